--- a/Makefile
+++ b/Makefile
@@ -1,10 +1,11 @@
 # the front door: make demo, make test
 GOLANGCI_VERSION = v2.15.0
+GOPLS_VERSION = v0.23.0
 PROTOC_GEN_GO_VERSION = v1.36.12
 PROTOC_GEN_TWIRP_VERSION = v8.1.3+incompatible
 TOOLS = $(CURDIR)/.tools/bin
 
-.PHONY: all build test lint fmt generate demo clean proof outage bench measure
+.PHONY: all build test lint fmt gopls generate demo clean proof outage bench measure
 
 all: build
 
@@ -16,6 +17,13 @@
 	GOBIN=$(TOOLS) go install github.com/golangci/golangci-lint/v2/cmd/golangci-lint@$(GOLANGCI_VERSION)
 	mv $(TOOLS)/golangci-lint $@
 
+$(TOOLS)/gopls-$(GOPLS_VERSION):
+	GOBIN=$(TOOLS) go install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+	mv $(TOOLS)/gopls $@
+
+# renames identifiers: .tools/bin/gopls-VERSION rename -w FILE:LINE:COLUMN NAME
+gopls: $(TOOLS)/gopls-$(GOPLS_VERSION)
+
 lint: $(TOOLS)/golangci-lint-$(GOLANGCI_VERSION)
 	@test -z "$$(gofmt -l $$(git ls-files -c -o --exclude-standard '*.go'))" || { gofmt -l .; echo "not formatted: run 'make fmt'"; exit 1; }
 	go vet ./...
