--- a/ledger/doc.go
+++ b/ledger/doc.go
@@ -1,31 +1,35 @@
 // Package ledger accounts for the accelerator memory of each backend server, so
-// that no order can overcommit it. It folds the order records of the control
-// stream and the engines' reports; it opens no socket and starts no goroutine.
+// that no order can overcommit it. It applies the order records of the control
+// stream and the engines' reports. It opens no socket and starts no goroutine.
 //
-// An order is pending from its record on, until a later record of a leader settles
-// it. What is loaded by the last report and what pending orders may still load is
-// counted together, each weight once and at the larger memory said of it. A leader
-// settles an order only when no copy of it can arrive any more:
-//   - the engine has answered the one time that it was sent, or refused it, or the
-//     order was never sent;
-//   - it is a former leader's, the engine checks fencing numbers, and a report
-//     shows a newer one: what has not arrived by then is refused;
-//   - Life has passed since it was superseded or sent without an answer.
+// An order is pending from the time its record is read until a leader's later record
+// settles it. The memory of a backend server is the union of what its last report
+// lists as loaded and what pending orders may still load; each weight counts once, at
+// the larger of its stated sizes. A leader settles an order only when no copy of it
+// can reach the engine any more:
+//   - the engine has answered the single send or refused it, or the order was never
+//     sent;
+//   - the order comes from a former leader, the engine checks fencing tokens, and a
+//     report shows a higher one, so the engine rejects what has not arrived yet;
+//   - the order lifetime has passed since the order was superseded, or since it was
+//     sent without an answer.
 //
-// Orders to an engine that checks fences need no record. A leader first raises the
-// fence there by an order that changes nothing; a report that shows it shows all that
-// former leaders' orders have done and will ever do. From then on the leader counts its
-// own orders in its memory, until a report shows their effect or a higher fence. So
-// such engines can be given orders while the log is down.
+// Orders to an engine that checks fences need no record. A new leader first raises the
+// engine's highest fence by an order that changes nothing. A report that shows this
+// fence also shows all effects that orders of former leaders will ever have. From then
+// on the leader tracks its own orders in process memory until a report shows their
+// effect or a higher fence. Such engines can therefore be given orders while the log is
+// unavailable.
 //
-// Life bounds a pause of the process that recorded the order: between the check of
-// its lease and the send it can be stopped for any time, and nothing tells an
-// engine that ignores fencing numbers that the order is old. Ten minutes are
-// longer than the pauses of machines that come back at all (migration, swapping,
-// a stopped container); the cost is the memory of the two or three loads that were
-// in flight when a leader died. A longer pause is not covered on such engines.
+// The order lifetime bounds how long the process that recorded an order may be paused.
+// It can be paused between checking its lease and sending the order, and an engine that
+// ignores fencing tokens cannot tell that the order is old. The default of ten minutes
+// exceeds the pauses of machines that resume at all (live migration, swapping, a
+// stopped container). It costs the memory of the two or three loads that were in flight
+// when a leader died. Longer pauses are not covered on such engines.
 //
-// Size: an order record is about 350 bytes and its settlement 200; at one load a
-// second that is 550 bytes/s at most, and nothing when nothing moves. A pending
-// order takes about 400 bytes of memory, a backend server 200 and its weights.
+// Size: an order record takes about 350 bytes and its settlement 200, so at one load
+// per second the log grows by at most 550 bytes/s, and not at all while nothing is
+// loaded. A pending order takes about 400 bytes of memory, a backend server 200 bytes
+// plus its weights.
 package ledger
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -10,164 +10,170 @@
 	"galenastair"
 )
 
-// DefaultLife is how long an order may still arrive; see the package comment.
-const DefaultLife = 10 * time.Minute
+// DefaultOrderLifetime is how long after it was sent or superseded an order may still
+// reach an engine; see the package comment.
+const DefaultOrderLifetime = 10 * time.Minute
 
-// entry is one order that is not known to be finished or dead.
-type entry struct {
+// pendingOrder is an order that may still take effect.
+type pendingOrder struct {
 	order galenastair.Order
-	// superseded is when this instance folded that its author no longer leads.
-	superseded time.Time
-	// settled is when this instance folded its settlement. The entry stays until a
-	// report taken after that: the answer to an order may come before a report that
-	// does not show its effect yet.
-	settled time.Time
-	// unrecorded is set for an own order to an engine that checks fences.
+	// supersededAt is when this instance read in the log that the author no longer leads.
+	supersededAt time.Time
+	// settledAt is when this instance applied the settlement. The order is kept until a
+	// report taken after that, since a report may lag behind the answer to an order and
+	// not show its effect yet.
+	settledAt time.Time
+	// unrecorded is set for an order of this process to an engine that checks fences;
+	// it has no record in the log.
 	unrecorded bool
-	// begun is when it was decided on, or when its record was folded.
-	begun time.Time
+	// startedAt is when this process created the order or read its record.
+	startedAt time.Time
 }
 
-// account is what is known of one backend server's memory.
-type account struct {
-	report galenastair.EngineReport
-	at     time.Time
+// observedReport is the newest report of a backend server and when it was taken.
+type observedReport struct {
+	report  galenastair.EngineReport
+	takenAt time.Time
 }
 
-// Ledger holds all orders that may still take effect, and the memory they need.
+// Ledger holds all orders that may still take effect and the memory that they need.
+// It is not safe for concurrent use.
 type Ledger struct {
-	life     time.Duration
-	leader   Leader
-	restored time.Time
-	orders   map[galenastair.OrderID]*entry
-	accounts map[galenastair.BackendServerID]*account
+	orderLifetime time.Duration
+	leader        Leader
+	restoredAt    time.Time
+	orders        map[galenastair.OrderID]*pendingOrder
+	reports       map[galenastair.BackendServerID]*observedReport
 }
 
-// New returns an empty ledger; orders may arrive for life after they were sent.
-func New(life time.Duration) *Ledger {
+// New returns an empty ledger. orderLifetime bounds how long an order may still arrive.
+func New(orderLifetime time.Duration) *Ledger {
 	return &Ledger{
-		life:     life,
-		orders:   map[galenastair.OrderID]*entry{},
-		accounts: map[galenastair.BackendServerID]*account{},
+		orderLifetime: orderLifetime,
+		orders:        map[galenastair.OrderID]*pendingOrder{},
+		reports:       map[galenastair.BackendServerID]*observedReport{},
 	}
 }
 
-// Apply folds a record; leader is who leads right after its offset.
+// Apply applies a record of the control stream; leader is the leader right after the
+// record's offset.
 //
-// A record of somebody else is void: a leader that was paused and still believes
-// that it leads appends orders that nobody counts, and it reads back just that.
+// A record by any other author is void. A paused leader that resumes after its lease
+// may still append orders; no instance counts them, and it reads back that they are void.
 func (l *Ledger) Apply(now time.Time, rec galenastair.Record, leader Leader) Verdict {
-	l.follow(now, leader)
+	l.setLeader(now, leader)
 	switch rec.Kind {
 	case KindIssued:
 		body, ok := decode[Issued](rec)
-		if !ok || !l.byLeader(rec, body.Order.Fence) || l.orders[body.Order.ID] != nil {
+		if !ok || !l.writtenByLeader(rec, body.Order.Fence) || l.orders[body.Order.ID] != nil {
 			return Void
 		}
-		l.orders[body.Order.ID] = &entry{order: body.Order, begun: now}
+		l.orders[body.Order.ID] = &pendingOrder{order: body.Order, startedAt: now}
 		return Valid
 	case KindSettled:
 		body, ok := decode[Settled](rec)
-		if !ok || !l.byLeader(rec, body.Fence) || l.orders[body.Order] == nil {
+		if !ok || !l.writtenByLeader(rec, body.Fence) || l.orders[body.Order] == nil {
 			return Void
 		}
-		l.orders[body.Order].settled = now
+		l.orders[body.Order].settledAt = now
 		return Valid
 	}
 	return Foreign
 }
 
-func (l *Ledger) byLeader(rec galenastair.Record, f galenastair.Fence) bool {
+func (l *Ledger) writtenByLeader(rec galenastair.Record, f galenastair.Fence) bool {
 	return rec.Author == string(l.leader.ID) && f == l.leader.Fence
 }
 
-func (l *Ledger) follow(now time.Time, leader Leader) {
+func (l *Ledger) setLeader(now time.Time, leader Leader) {
 	if leader == l.leader {
 		return
 	}
 	l.leader = leader
-	for _, e := range l.orders {
-		if e.superseded.IsZero() {
-			e.superseded = now
+	for _, p := range l.orders {
+		if p.supersededAt.IsZero() {
+			p.supersededAt = now
 		}
 	}
 }
 
-// Report takes in a report that was taken at or after at: the moment of asking the
-// engine itself, less the age that it gives. Reports passed on by others will not
-// do, since a connection that was silent for a while makes an old one look new.
-func (l *Ledger) Report(at time.Time, r galenastair.EngineReport) {
-	a := l.accounts[r.BackendServer]
-	if a == nil {
-		a = &account{}
-		l.accounts[r.BackendServer] = a
+// ApplyReport applies a report that was taken at or after takenAt: the time at which this
+// process asked the engine, less the age that the engine states. Reports relayed by other
+// instances must not be passed, since a stalled connection makes an old one look new.
+func (l *Ledger) ApplyReport(takenAt time.Time, r galenastair.EngineReport) {
+	obs := l.reports[r.BackendServer]
+	if obs == nil {
+		obs = &observedReport{}
+		l.reports[r.BackendServer] = obs
 	}
-	if !at.After(a.at) {
+	if !takenAt.After(obs.takenAt) {
 		return
 	}
-	a.at, a.report = at, r
-	for id, e := range l.orders {
-		if e.order.BackendServer == r.BackendServer && l.shown(e, a) {
+	obs.takenAt, obs.report = takenAt, r
+	for id, p := range l.orders {
+		if p.order.BackendServer == r.BackendServer && l.coveredBy(p, obs) {
 			delete(l.orders, id)
 		}
 	}
 }
 
-// shown says whether a report shows all that an order will ever do.
-func (l *Ledger) shown(e *entry, a *account) bool {
-	if !e.settled.IsZero() && a.at.After(e.settled) {
+// coveredBy reports whether a report shows every effect that an order will ever have.
+func (l *Ledger) coveredBy(p *pendingOrder, obs *observedReport) bool {
+	if !p.settledAt.IsZero() && obs.takenAt.After(p.settledAt) {
 		return true
 	}
-	return e.unrecorded && (a.refuses(e.order.Fence) || a.at.Sub(e.begun) > l.life)
+	return p.unrecorded && (obs.rejects(p.order.Fence) || obs.takenAt.Sub(p.startedAt) > l.orderLifetime)
 }
 
-// refuses says whether orders of a fence that have not arrived never will.
-func (a *account) refuses(f galenastair.Fence) bool {
-	return a.report.ChecksFence && a.report.HighestFence > f
+// rejects reports whether the engine rejects any order with fence f that arrives from now on.
+func (obs *observedReport) rejects(f galenastair.Fence) bool {
+	return obs.report.ChecksFence && obs.report.HighestFence > f
 }
 
-// Forget drops a backend server that is gone for good; its orders stay until settled.
-func (l *Ledger) Forget(id galenastair.BackendServerID) { delete(l.accounts, id) }
+// RemoveServer drops the report of a backend server that is no longer listed. Its orders
+// stay until they are settled.
+func (l *Ledger) RemoveServer(id galenastair.BackendServerID) { delete(l.reports, id) }
 
-// Pending returns the orders for a backend server that may still take effect.
-func (l *Ledger) Pending(id galenastair.BackendServerID) []galenastair.Order {
+// PendingOrders returns the orders for a backend server that may still take effect.
+func (l *Ledger) PendingOrders(id galenastair.BackendServerID) []galenastair.Order {
 	var out []galenastair.Order
-	for _, e := range l.orders {
-		if e.order.BackendServer == id {
-			out = append(out, e.order)
+	for _, p := range l.orders {
+		if p.order.BackendServer == id {
+			out = append(out, p.order)
 		}
 	}
 	slices.SortFunc(out, func(a, b galenastair.Order) int { return cmp.Compare(a.ID, b.ID) })
 	return out
 }
 
-// Begun returns when an order was decided on, if this process did, or else when this process
-// learnt of it; zero if it is not pending.
-func (l *Ledger) Begun(id galenastair.OrderID) time.Time {
-	if e := l.orders[id]; e != nil {
-		return e.begun
+// StartedAt returns when this process created an order or first read its record, and the
+// zero time if the order is not pending.
+func (l *Ledger) StartedAt(id galenastair.OrderID) time.Time {
+	if p := l.orders[id]; p != nil {
+		return p.startedAt
 	}
 	return time.Time{}
 }
 
-// Open says whether an order is recorded and not settled.
-func (l *Ledger) Open(id galenastair.OrderID) bool {
-	e := l.orders[id]
-	return e != nil && e.settled.IsZero()
+// Unsettled reports whether an order is pending and not settled yet.
+func (l *Ledger) Unsettled(id galenastair.OrderID) bool {
+	p := l.orders[id]
+	return p != nil && p.settledAt.IsZero()
 }
 
-// Settleable returns the former leaders' orders that can be settled now, and why.
-func (l *Ledger) Settleable(now time.Time) []Settled {
+// SettleableOrders returns settlements for the orders of former leaders that can no longer
+// arrive.
+func (l *Ledger) SettleableOrders(now time.Time) []Settled {
 	var out []Settled
-	for id, e := range l.orders {
-		if e.unrecorded || !e.settled.IsZero() || e.superseded.IsZero() {
+	for id, p := range l.orders {
+		if p.unrecorded || !p.settledAt.IsZero() || p.supersededAt.IsZero() {
 			continue
 		}
-		a := l.accounts[e.order.BackendServer]
+		obs := l.reports[p.order.BackendServer]
 		switch {
-		case a != nil && a.refuses(e.order.Fence):
+		case obs != nil && obs.rejects(p.order.Fence):
 			out = append(out, Settled{id, l.leader.Fence, Superseded})
-		case now.Sub(e.superseded) >= l.life:
+		case now.Sub(p.supersededAt) >= l.orderLifetime:
 			out = append(out, Settled{id, l.leader.Fence, Expired})
 		}
 	}
@@ -175,21 +181,22 @@
 	return out
 }
 
-// Snapshot returns the orders not yet settled; equal records give equal snapshots.
+// Snapshot returns the recorded orders that are not settled. Ledgers that applied the same
+// records return identical snapshots.
 func (l *Ledger) Snapshot() (json.RawMessage, error) {
 	var orders []galenastair.Order
-	for _, e := range l.orders {
-		if e.settled.IsZero() && !e.unrecorded {
-			orders = append(orders, e.order)
+	for _, p := range l.orders {
+		if p.settledAt.IsZero() && !p.unrecorded {
+			orders = append(orders, p.order)
 		}
 	}
 	slices.SortFunc(orders, func(a, b galenastair.Order) int { return cmp.Compare(a.ID, b.ID) })
 	return json.Marshal(orders)
 }
 
-// Restore replaces the orders by those of a snapshot, but for those that only this
-// process knows. Orders settled just before it are not in it, so reports from before
-// now no longer count.
+// Restore replaces the recorded orders with those of a snapshot and keeps the unrecorded
+// orders of this process. A snapshot omits orders that were settled shortly before it, and a
+// report taken before now may not show their effect yet, so only later reports count.
 func (l *Ledger) Restore(now time.Time, raw json.RawMessage, leader Leader) error {
 	var orders []galenastair.Order
 	if raw != nil {
@@ -197,16 +204,16 @@
 			return err
 		}
 	}
-	maps.DeleteFunc(l.orders, func(_ galenastair.OrderID, e *entry) bool { return !e.unrecorded })
-	clear(l.accounts)
-	l.restored = now
+	maps.DeleteFunc(l.orders, func(_ galenastair.OrderID, p *pendingOrder) bool { return !p.unrecorded })
+	clear(l.reports)
+	l.restoredAt = now
 	l.leader = leader
 	for _, o := range orders {
-		e := &entry{order: o, begun: now}
+		p := &pendingOrder{order: o, startedAt: now}
 		if o.Fence != leader.Fence {
-			e.superseded = now
+			p.supersededAt = now
 		}
-		l.orders[o.ID] = e
+		l.orders[o.ID] = p
 	}
 	return nil
 }
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -12,9 +12,9 @@
 )
 
 var (
-	begin  = time.Unix(1000, 0)
-	first  = Leader{"i0", 1}
-	second = Leader{"i1", 2}
+	startTime = time.Unix(1000, 0)
+	leader1   = Leader{"i0", 1}
+	leader2   = Leader{"i1", 2}
 )
 
 func issue(l *Ledger, now time.Time, by Leader, id string, memory galenastair.Bytes) Verdict {
@@ -36,15 +36,15 @@
 func report(checks bool, f galenastair.Fence, loaded ...string) galenastair.EngineReport {
 	r := galenastair.EngineReport{BackendServer: "e", MemoryTotal: 10, ChecksFence: checks, HighestFence: f}
 	for _, id := range loaded {
-		r.Loaded = append(r.Loaded, galenastair.LoadedWeight{Weight: order(first, id, 6).Weight, State: galenastair.Ready})
+		r.Loaded = append(r.Loaded, galenastair.LoadedWeight{Weight: order(leader1, id, 6).Weight, State: galenastair.Ready})
 	}
 	return r
 }
 
-// A leader recorded a load and was stopped before it sent it. Its successor must keep
-// the memory: for Life on an engine that ignores fencing numbers, and on one that
-// checks them until the engine has seen a newer one. Seen failing without ChecksFence
-// and without the comparison of fencing numbers in Settleable.
+// A leader records a load and is paused before sending it. Its successor must keep the
+// memory reserved: for the order lifetime on an engine that ignores fencing tokens, and until
+// a report shows a higher token on one that checks them. The test fails if SettleableOrders
+// ignores ChecksFence or does not compare the tokens.
 func TestFormerLeadersOrderKeepsItsMemory(t *testing.T) {
 	for _, c := range []struct {
 		checks bool
@@ -52,23 +52,23 @@
 		after  time.Duration
 		want   Settlement
 	}{
-		{checks: false, fence: second.Fence, after: time.Second},
-		{checks: true, fence: first.Fence, after: time.Second},
-		{checks: true, fence: second.Fence, after: time.Second, want: Superseded},
-		{checks: false, fence: second.Fence, after: DefaultLife, want: Expired},
+		{checks: false, fence: leader2.Fence, after: time.Second},
+		{checks: true, fence: leader1.Fence, after: time.Second},
+		{checks: true, fence: leader2.Fence, after: time.Second, want: Superseded},
+		{checks: false, fence: leader2.Fence, after: DefaultOrderLifetime, want: Expired},
 	} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
 			is := is.New(t)
-			l := New(DefaultLife)
-			l.Report(begin, report(c.checks, first.Fence))
-			is.Equal(issue(l, begin, first, "a", 6), Valid)
-			is.Equal(issue(l, begin, second, "b", 1), Valid)
-			is.Equal(issue(l, begin, first, "c", 1), Valid) // the helper lets first lead again
-			l.Apply(begin, galenastair.Record{}, second)
-			now := begin.Add(c.after)
-			l.Report(now, report(c.checks, c.fence))
-			is.True(!l.Fits(order(second, "d", 4)))
-			got := l.Settleable(now)
+			l := New(DefaultOrderLifetime)
+			l.ApplyReport(startTime, report(c.checks, leader1.Fence))
+			is.Equal(issue(l, startTime, leader1, "a", 6), Valid)
+			is.Equal(issue(l, startTime, leader2, "b", 1), Valid)
+			is.Equal(issue(l, startTime, leader1, "c", 1), Valid) // issue makes leader1 the leader again
+			l.Apply(startTime, galenastair.Record{}, leader2)
+			now := startTime.Add(c.after)
+			l.ApplyReport(now, report(c.checks, c.fence))
+			is.True(!l.Fits(order(leader2, "d", 4)))
+			got := l.SettleableOrders(now)
 			if c.want == "" {
 				is.Equal(len(got), 0)
 				return
@@ -76,50 +76,50 @@
 			is.True(len(got) >= 2)
 			for _, s := range got {
 				is.Equal(s.Settlement, c.want)
-				is.Equal(l.Apply(now, record(KindSettled, second, s), second), Valid)
+				is.Equal(l.Apply(now, record(KindSettled, leader2, s), leader2), Valid)
 			}
-			is.True(!l.Fits(order(second, "d", 4))) // not before a report taken after that
-			l.Report(now.Add(time.Second), report(c.checks, c.fence))
-			is.True(l.Fits(order(second, "d", 4)))
+			is.True(!l.Fits(order(leader2, "d", 4))) // the memory stays reserved until a later report
+			l.ApplyReport(now.Add(time.Second), report(c.checks, c.fence))
+			is.True(l.Fits(order(leader2, "d", 4)))
 		})
 	}
 }
 
-// An order read back from the log counts only if its author led at its offset: a
-// paused leader that comes back finds its order void. Seen failing with byLeader true.
-func TestOrderOfWhoDoesNotLeadIsVoid(t *testing.T) {
+// An order that is read back counts only if its author was the leader at its offset, so the
+// order of a leader that was paused past its lease is void. The test fails if writtenByLeader
+// always returns true.
+func TestOrderFromNonLeaderIsVoid(t *testing.T) {
 	is := is.New(t)
-	l := New(DefaultLife)
-	rec := record(KindIssued, first, Issued{order(first, "a", 6)})
-	is.Equal(l.Apply(begin, rec, second), Void)
-	is.Equal(len(l.Pending("e")), 0)
+	l := New(DefaultOrderLifetime)
+	rec := record(KindIssued, leader1, Issued{order(leader1, "a", 6)})
+	is.Equal(l.Apply(startTime, rec, leader2), Void)
+	is.Equal(len(l.PendingOrders("e")), 0)
 }
 
-// Two reports come in the wrong order: the older one doesn't show what is loaded. A
-// new instance that starts from a snapshot takes a report from before it. In both
-// cases the memory would look free. Seen failing with older reports taken in, with
-// Known true before a new report, and with orders left out of Snapshot.
-func TestOldReportsAndNewInstances(t *testing.T) {
+// Reports can arrive out of order, and a new instance can receive one that was taken before
+// its snapshot. Either would make used memory look free. The test fails if older reports are
+// applied, if HasCurrentReport holds before a new report, or if Snapshot omits orders.
+func TestStaleReportsAreIgnored(t *testing.T) {
 	is := is.New(t)
-	l := New(DefaultLife)
-	is.True(!l.Fits(order(first, "a", 1))) // nothing is known yet
-	l.Report(begin.Add(2*time.Second), report(true, 1, "x"))
-	l.Report(begin.Add(1*time.Second), report(true, 1))
-	is.Equal(l.Free("e"), galenastair.Bytes(4))
-	is.Equal(issue(l, begin, first, "a", 3), Valid)
+	l := New(DefaultOrderLifetime)
+	is.True(!l.Fits(order(leader1, "a", 1))) // no report yet
+	l.ApplyReport(startTime.Add(2*time.Second), report(true, 1, "x"))
+	l.ApplyReport(startTime.Add(1*time.Second), report(true, 1))
+	is.Equal(l.FreeMemory("e"), galenastair.Bytes(4))
+	is.Equal(issue(l, startTime, leader1, "a", 3), Valid)
 	raw, err := l.Snapshot()
 	is.NoErr(err)
 
-	fresh := New(DefaultLife)
-	now := begin.Add(10 * time.Second)
-	is.NoErr(fresh.Restore(now, raw, first))
-	fresh.Report(now.Add(-time.Second), report(true, 1))
-	is.True(!fresh.Fits(order(first, "b", 1)))
-	fresh.Report(now.Add(time.Second), report(true, 1, "x"))
-	is.Equal(fresh.Free("e"), galenastair.Bytes(1))
-	again, err := fresh.Snapshot()
+	restored := New(DefaultOrderLifetime)
+	now := startTime.Add(10 * time.Second)
+	is.NoErr(restored.Restore(now, raw, leader1))
+	restored.ApplyReport(now.Add(-time.Second), report(true, 1))
+	is.True(!restored.Fits(order(leader1, "b", 1)))
+	restored.ApplyReport(now.Add(time.Second), report(true, 1, "x"))
+	is.Equal(restored.FreeMemory("e"), galenastair.Bytes(1))
+	again, err := restored.Snapshot()
 	is.NoErr(err)
 	is.Equal(string(raw), string(again))
-	l.Forget("e")
-	is.True(!l.Known("e"))
+	l.RemoveServer("e")
+	is.True(!l.HasCurrentReport("e"))
 }
--- a/ledger/memory.go
+++ b/ledger/memory.go
@@ -4,69 +4,72 @@
 	"galenastair"
 )
 
-// weightKey tells weights apart that take memory side by side.
+// weightKey identifies a weight: two versions of one model take memory at the same time.
 type weightKey struct {
 	name    galenastair.ModelName
 	version string
 }
 
-func keyOf(w galenastair.Weight) weightKey { return weightKey{w.Name, w.Version} }
+func weightKeyOf(w galenastair.Weight) weightKey { return weightKey{w.Name, w.Version} }
 
-// needs returns the largest memory that each weight on a backend server may take.
-func (l *Ledger) needs(id galenastair.BackendServerID) map[weightKey]galenastair.Bytes {
+// memoryByWeight returns the memory that each weight on a backend server takes or may take
+// once all pending loads have arrived.
+func (l *Ledger) memoryByWeight(id galenastair.BackendServerID) map[weightKey]galenastair.Bytes {
 	sum := map[weightKey]galenastair.Bytes{}
-	count := func(w galenastair.Weight) { sum[keyOf(w)] = max(sum[keyOf(w)], w.Memory) }
-	if a := l.accounts[id]; a != nil {
-		for _, w := range a.report.Loaded {
+	count := func(w galenastair.Weight) { sum[weightKeyOf(w)] = max(sum[weightKeyOf(w)], w.Memory) }
+	if obs := l.reports[id]; obs != nil {
+		for _, w := range obs.report.Loaded {
 			count(w.Weight)
 		}
 	}
-	for _, e := range l.orders {
-		if e.order.BackendServer == id && e.order.Kind == galenastair.LoadModel {
-			count(e.order.Weight)
+	for _, p := range l.orders {
+		if p.order.BackendServer == id && p.order.Kind == galenastair.LoadModel {
+			count(p.order.Weight)
 		}
 	}
 	return sum
 }
 
-// Known says whether the backend server's memory is known at all.
-func (l *Ledger) Known(id galenastair.BackendServerID) bool {
-	a := l.accounts[id]
-	return a != nil && a.at.After(l.restored)
+// HasCurrentReport reports whether there is a report of the backend server that was taken
+// after the last Restore.
+func (l *Ledger) HasCurrentReport(id galenastair.BackendServerID) bool {
+	obs := l.reports[id]
+	return obs != nil && obs.takenAt.After(l.restoredAt)
 }
 
-// Reserved returns the memory that is or may become taken.
-func (l *Ledger) Reserved(id galenastair.BackendServerID) galenastair.Bytes {
+// ReservedMemory returns the memory that loaded weights take and pending orders may take.
+func (l *Ledger) ReservedMemory(id galenastair.BackendServerID) galenastair.Bytes {
 	var sum galenastair.Bytes
-	for _, m := range l.needs(id) {
+	for _, m := range l.memoryByWeight(id) {
 		sum += m
 	}
 	return sum
 }
 
-// Free returns the memory that no order can take any more; it may be negative.
-func (l *Ledger) Free(id galenastair.BackendServerID) galenastair.Bytes {
-	if !l.Known(id) {
+// FreeMemory returns the memory that is neither taken nor reserved. It is 0 without a
+// current report, and may be negative.
+func (l *Ledger) FreeMemory(id galenastair.BackendServerID) galenastair.Bytes {
+	if !l.HasCurrentReport(id) {
 		return 0
 	}
-	return l.accounts[id].report.MemoryTotal - l.Reserved(id)
+	return l.reports[id].report.MemoryTotal - l.ReservedMemory(id)
 }
 
-// Fits says whether an order keeps the backend server's memory within its total,
-// whatever becomes of all other orders.
+// Fits reports whether an order keeps the backend server within its total memory,
+// whichever of the other pending orders take effect.
 func (l *Ledger) Fits(o galenastair.Order) bool {
-	if !l.Known(o.BackendServer) {
+	if !l.HasCurrentReport(o.BackendServer) {
 		return false
 	}
 	if o.Kind != galenastair.LoadModel {
 		return true
 	}
-	needs := l.needs(o.BackendServer)
-	k := keyOf(o.Weight)
+	needs := l.memoryByWeight(o.BackendServer)
+	k := weightKeyOf(o.Weight)
 	needs[k] = max(needs[k], o.Weight.Memory)
 	var sum galenastair.Bytes
 	for _, m := range needs {
 		sum += m
 	}
-	return sum <= l.accounts[o.BackendServer].report.MemoryTotal
+	return sum <= l.reports[o.BackendServer].report.MemoryTotal
 }
--- a/ledger/model_engine_test.go
+++ b/ledger/model_engine_test.go
@@ -7,8 +7,8 @@
 	"galenastair"
 )
 
-func (e *modelEngine) act(o galenastair.Order) {
-	if e.checks && o.Fence < e.fence {
+func (e *simEngine) apply(o galenastair.Order) {
+	if e.checksFence && o.Fence < e.fence {
 		return
 	}
 	e.fence = max(e.fence, o.Fence)
@@ -22,9 +22,9 @@
 	}
 }
 
-// unloaded lets engines finish what they unload; the memory is taken until then.
-func (w *world) unloaded() {
-	for _, e := range w.engines {
+// finishUnloads completes all unloads in progress; they take memory until then.
+func (sim *simulation) finishUnloads() {
+	for _, e := range sim.engines {
 		for name, l := range e.loaded {
 			if l.State == galenastair.Unloading {
 				delete(e.loaded, name)
@@ -33,32 +33,32 @@
 	}
 }
 
-// keep notes what an engine would report now.
-func (w *world) keep(e *modelEngine) {
+// saveReport keeps the current report of an engine, and the 39 before it.
+func (sim *simulation) saveReport(e *simEngine) {
 	r := galenastair.EngineReport{
-		BackendServer: e.id, MemoryTotal: modelTotal, HighestFence: e.fence, ChecksFence: e.checks,
+		BackendServer: e.id, MemoryTotal: simMemory, HighestFence: e.fence, ChecksFence: e.checksFence,
 	}
 	for _, name := range slices.Sorted(maps.Keys(e.loaded)) {
 		r.Loaded = append(r.Loaded, e.loaded[name])
 	}
-	e.past = append(e.past, pastReport{w.now, r})
-	if len(e.past) > 40 {
-		e.past = e.past[1:]
+	e.reports = append(e.reports, timedReport{sim.now, r})
+	if len(e.reports) > 40 {
+		e.reports = e.reports[1:]
 	}
 }
 
-func (w *world) check() {
-	w.t.Helper()
-	for _, e := range w.engines {
+func (sim *simulation) checkMemory() {
+	sim.t.Helper()
+	for _, e := range sim.engines {
 		var sum galenastair.Bytes
 		for _, l := range e.loaded {
 			sum += l.Weight.Memory
 		}
-		if sum >= modelTotal-1 {
-			w.full++
+		if sum >= simMemory-1 {
+			sim.fullSteps++
 		}
-		if sum > modelTotal {
-			w.t.Fatalf("seed %d: %s holds %d of %d: %v", w.seed, e.id, sum, modelTotal, e.loaded)
+		if sum > simMemory {
+			sim.t.Fatalf("seed %d: %s holds %d of %d: %v", sim.seed, e.id, sum, simMemory, e.loaded)
 		}
 	}
 }
--- a/ledger/model_steps_test.go
+++ b/ledger/model_steps_test.go
@@ -9,224 +9,225 @@
 	"galenastair"
 )
 
-// append adds a record to the log, loses it, or lets it come late.
-func (w *world) append(rec galenastair.Record) {
+// append adds a record to the log, drops it or delays it.
+func (sim *simulation) append(rec galenastair.Record) {
 	switch {
-	case w.logDown || w.draw(10) == 0:
-	case w.draw(6) == 0:
-		w.late = append(w.late, rec)
+	case sim.logDown || sim.randN(10) == 0:
+	case sim.randN(6) == 0:
+		sim.delayed = append(sim.delayed, rec)
 	default:
-		w.log = append(w.log, logged{rec, w.leader})
+		sim.log = append(sim.log, logEntry{rec, sim.leader})
 	}
 }
 
-func (w *world) fold(in *instance) {
-	if w.draw(2) == 0 {
-		in.held = slices.DeleteFunc(in.held, func(f *flight) bool { return f.answered && in.ledger.orders[f.order.ID] == nil })
-	}
-	for n := 1 + w.draw(12); n > 0 && in.folded < len(w.log); n-- {
-		rec := w.log[in.folded]
-		in.folded++
-		verdict := in.ledger.Apply(w.now, rec.rec, rec.leader)
+func (sim *simulation) applyRecords(in *instance) {
+	if sim.randN(2) == 0 {
+		in.issued = slices.DeleteFunc(in.issued, func(so *simOrder) bool { return so.answered && in.ledger.orders[so.order.ID] == nil })
+	}
+	for n := 1 + sim.randN(12); n > 0 && in.applied < len(sim.log); n-- {
+		rec := sim.log[in.applied]
+		in.applied++
+		verdict := in.ledger.Apply(sim.now, rec.rec, rec.leader)
 		if verdict != Valid || rec.rec.Kind != KindIssued {
 			continue
 		}
 		body, _ := decode[Issued](rec.rec)
-		for _, f := range in.held {
-			f.read = f.read || body.Order.ID == f.order.ID
+		for _, so := range in.issued {
+			so.readBack = so.readBack || body.Order.ID == so.order.ID
 		}
 	}
 }
 
-// look asks an engine itself; it may answer with a report some seconds old.
-func (w *world) look(in *instance) {
-	e := w.engines[w.draw(len(w.engines))]
-	p := e.past[w.draw(len(e.past))]
-	in.ledger.Report(p.at, p.report)
+// fetchReport applies a report of a random engine that may be some seconds old.
+func (sim *simulation) fetchReport(in *instance) {
+	e := sim.engines[sim.randN(len(sim.engines))]
+	r := e.reports[sim.randN(len(e.reports))]
+	in.ledger.ApplyReport(r.takenAt, r.report)
 }
 
-// issue decides on an order; only an instance that has folded its own leadership does.
-func (w *world) issue(in *instance) {
+// issue creates an order if the instance has read in the log that it is the leader.
+func (sim *simulation) issue(in *instance) {
 	if !in.leads() {
 		return
 	}
-	e := w.engines[w.draw(len(w.engines))]
-	w.orders++
-	size := galenastair.Bytes(2 + w.draw(4))
+	e := sim.engines[sim.randN(len(sim.engines))]
+	sim.orderCount++
+	size := galenastair.Bytes(2 + sim.randN(4))
 	o := galenastair.Order{
-		ID:            galenastair.OrderID(fmt.Sprint("o", w.orders)),
+		ID:            galenastair.OrderID(fmt.Sprint("o", sim.orderCount)),
 		Fence:         in.ledger.leader.Fence,
 		BackendServer: e.id,
 		Kind:          galenastair.LoadModel,
 		Weight:        galenastair.Weight{Name: galenastair.ModelName(fmt.Sprint("m", size)), Memory: size},
 	}
-	if a := in.ledger.accounts[e.id]; a != nil && len(a.report.Loaded) > 0 && w.draw(2) == 0 {
+	if obs := in.ledger.reports[e.id]; obs != nil && len(obs.report.Loaded) > 0 && sim.randN(2) == 0 {
 		o.Kind = galenastair.UnloadModel
-		o.Weight = a.report.Loaded[w.draw(len(a.report.Loaded))].Weight
+		o.Weight = obs.report.Loaded[sim.randN(len(obs.report.Loaded))].Weight
 	}
-	for _, f := range in.held {
-		if f.order.BackendServer != e.id || f.read || f.givenUp {
+	for _, so := range in.issued {
+		if so.order.BackendServer != e.id || so.readBack || so.abandoned {
 			continue
 		}
-		if w.now.Sub(f.begun) < 3*time.Second {
-			return // one unread order for a backend server at a time
+		if sim.now.Sub(so.createdAt) < 3*time.Second {
+			return // one order per backend server that is not read back yet
 		}
-		f.givenUp = true // it may still come up in the log, but is never sent
+		so.abandoned = true // its record may still appear in the log, but it is never sent
 	}
-	if e.checks && !in.ledger.Raised(e.id, o.Fence) {
+	if e.checksFence && !in.ledger.FenceConfirmed(e.id, o.Fence) {
 		o.Kind, o.Weight = galenastair.UnloadModel, galenastair.Weight{Name: "none"}
-		w.flights = append(w.flights, &flight{begun: w.now, order: o, read: true, sent: true})
+		sim.inFlight = append(sim.inFlight, &simOrder{createdAt: sim.now, order: o, readBack: true, sent: true})
 		return
 	}
 	if !in.ledger.Fits(o) {
 		return
 	}
-	f := &flight{begun: w.now, order: o, unrecorded: e.checks, read: e.checks}
-	if w.draw(4) == 0 {
-		f.paused = w.now.Add(time.Duration(w.draw(40)) * time.Second)
+	so := &simOrder{createdAt: sim.now, order: o, unrecorded: e.checksFence, readBack: e.checksFence}
+	if sim.randN(4) == 0 {
+		so.pausedUntil = sim.now.Add(time.Duration(sim.randN(40)) * time.Second)
 	}
-	in.held = append(in.held, f)
-	if f.unrecorded {
-		in.ledger.Expect(w.now, o)
+	in.issued = append(in.issued, so)
+	if so.unrecorded {
+		in.ledger.AddUnrecorded(sim.now, o)
 		return
 	}
 	body, _ := json.Marshal(Issued{Order: o})
-	w.append(galenastair.Record{Kind: KindIssued, Author: string(in.id), Body: body})
+	sim.append(galenastair.Record{Kind: KindIssued, Author: string(in.id), Body: body})
 }
 
-// send lets an issuer send an order that it read back as valid. Whether it still
-// leads does not matter: it may have been paused right after it looked.
-func (w *world) send() {
-	for _, f := range w.held() {
-		if !f.read || f.sent || f.givenUp || w.now.Before(f.paused) || (!f.last.IsZero() && !w.now.Before(f.last)) {
+// send sends an order that its issuer has read back as valid. The issuer need not lead any
+// more, since it may have been paused right after its lease check.
+func (sim *simulation) send() {
+	for _, so := range sim.issuedOrders() {
+		if !so.readBack || so.sent || so.abandoned || sim.now.Before(so.pausedUntil) || (!so.sendBefore.IsZero() && !sim.now.Before(so.sendBefore)) {
 			continue
 		}
-		f.sent = true
-		w.flights = append(w.flights, f)
+		so.sent = true
+		sim.inFlight = append(sim.inFlight, so)
 		return
 	}
 }
 
-// held returns the orders of all instances, from a drawn one on.
-func (w *world) held() []*flight {
-	var out []*flight
-	first := w.draw(len(w.instances))
-	for i := range w.instances {
-		out = append(out, w.instances[(first+i)%len(w.instances)].held...)
+// issuedOrders returns the orders of all instances, beginning with a random instance.
+func (sim *simulation) issuedOrders() []*simOrder {
+	var out []*simOrder
+	first := sim.randN(len(sim.instances))
+	for i := range sim.instances {
+		out = append(out, sim.instances[(first+i)%len(sim.instances)].issued...)
 	}
 	return out
 }
 
-// arrive lets an order on its way reach its engine, late or never.
-func (w *world) arrive() {
-	if len(w.flights) == 0 {
+// deliver removes a random order from those in flight and applies it at its engine or drops it.
+func (sim *simulation) deliver() {
+	if len(sim.inFlight) == 0 {
 		return
 	}
-	i := w.draw(len(w.flights))
-	f := w.flights[i]
-	old := f.unrecorded && w.now.Sub(f.begun) > modelLife // the bound that Life states
-	if old || !f.last.IsZero() && !w.now.Before(f.last) || w.draw(8) == 0 {
-		w.flights = slices.Delete(w.flights, i, i+1)
+	i := sim.randN(len(sim.inFlight))
+	so := sim.inFlight[i]
+	expired := so.unrecorded && sim.now.Sub(so.createdAt) > simOrderLifetime // orders arrive within their lifetime
+	if expired || !so.sendBefore.IsZero() && !sim.now.Before(so.sendBefore) || sim.randN(8) == 0 {
+		sim.inFlight = slices.Delete(sim.inFlight, i, i+1)
 		return
 	}
-	w.flights = slices.Delete(w.flights, i, i+1)
-	for _, e := range w.engines {
-		if e.id == f.order.BackendServer {
-			e.act(f.order)
+	sim.inFlight = slices.Delete(sim.inFlight, i, i+1)
+	for _, e := range sim.engines {
+		if e.id == so.order.BackendServer {
+			e.apply(so.order)
 		}
 	}
-	w.arrived++
-	f.answered = w.draw(4) > 0
+	sim.delivered++
+	so.answered = sim.randN(4) > 0
 }
 
-// settle appends what an instance knows to be dead.
-func (w *world) settle(in *instance) {
+// settle appends settlements for orders that the instance knows can no longer arrive.
+func (sim *simulation) settle(in *instance) {
 	if !in.leads() {
 		return
 	}
-	for _, f := range in.held {
-		if !f.sent && f.paused.Before(w.now) && w.draw(8) == 0 {
-			f.givenUp = true
+	for _, so := range in.issued {
+		if !so.sent && so.pausedUntil.Before(sim.now) && sim.randN(8) == 0 {
+			so.abandoned = true
 		}
-		e := in.ledger.orders[f.order.ID]
-		if f.unrecorded {
-			f.end(w.now, in.ledger)
+		e := in.ledger.orders[so.order.ID]
+		if so.unrecorded {
+			so.end(sim.now, in.ledger)
 			continue
 		}
-		if e == nil || !e.settled.IsZero() || !e.superseded.IsZero() || !f.answered && !f.givenUp {
+		if e == nil || !e.settledAt.IsZero() || !e.supersededAt.IsZero() || !so.answered && !so.abandoned {
 			continue
 		}
-		w.appendSettled(in, Settled{f.order.ID, f.order.Fence, Answered})
+		sim.appendSettled(in, Settled{so.order.ID, so.order.Fence, Answered})
 	}
-	for _, s := range in.ledger.Settleable(w.now) {
-		w.appendSettled(in, s)
+	for _, s := range in.ledger.SettleableOrders(sim.now) {
+		sim.appendSettled(in, s)
 	}
 }
 
-// end tells the ledger of an unrecorded order's end as its issuer saw it.
-func (f *flight) end(now time.Time, l *Ledger) {
+// end ends an unrecorded order in the ledger of its issuer.
+func (so *simOrder) end(now time.Time, l *Ledger) {
 	switch {
-	case f.answered:
-		l.End(now, f.order.ID, Answered)
-	case f.givenUp && !f.sent:
-		l.End(now, f.order.ID, NeverSent)
+	case so.answered:
+		l.EndUnrecorded(now, so.order.ID, Answered)
+	case so.abandoned && !so.sent:
+		l.EndUnrecorded(now, so.order.ID, NeverSent)
 	}
 }
 
-func (w *world) appendSettled(in *instance, s Settled) {
+func (sim *simulation) appendSettled(in *instance, s Settled) {
 	body, _ := json.Marshal(s)
-	w.append(galenastair.Record{Kind: KindSettled, Author: string(in.id), Body: body})
+	sim.append(galenastair.Record{Kind: KindSettled, Author: string(in.id), Body: body})
 }
 
-// disturb changes the leader, the log or an instance.
-func (w *world) disturb(in *instance) {
-	switch w.draw(8) {
+// injectFault restarts an instance, changes the leader, toggles the log outage, appends the
+// delayed records or advances the clock by half the order lifetime.
+func (sim *simulation) injectFault(in *instance) {
+	switch sim.randN(8) {
 	case 6, 7:
-		w.restart(in)
+		sim.restart(in)
 	case 0, 1:
-		w.changeLeader(in)
+		sim.changeLeader(in)
 	case 2:
-		w.logDown = !w.logDown
+		sim.logDown = !sim.logDown
 	case 3:
-		for _, rec := range w.late {
-			w.log = append(w.log, logged{rec, w.leader})
+		for _, rec := range sim.delayed {
+			sim.log = append(sim.log, logEntry{rec, sim.leader})
 		}
-		w.late = nil
+		sim.delayed = nil
 	case 4:
-		w.restart(in)
+		sim.restart(in)
 	case 5:
-		w.now = w.now.Add(modelLife / 2)
+		sim.now = sim.now.Add(simOrderLifetime / 2)
 	}
 }
 
-func (w *world) changeLeader(in *instance) {
-	if w.logDown || in.id == w.leader.ID {
+func (sim *simulation) changeLeader(in *instance) {
+	if sim.logDown || in.id == sim.leader.ID {
 		return
 	}
-	w.leader = Leader{in.id, w.leader.Fence + 1}
-	w.log = append(w.log, logged{galenastair.Record{Kind: "MemberLapse"}, w.leader})
-	for _, other := range w.instances {
-		for _, f := range other.held {
-			if f.last.IsZero() {
-				f.last = w.now.Add(modelLife) // the bound on pauses that Life states
+	sim.leader = Leader{in.id, sim.leader.Fence + 1}
+	sim.log = append(sim.log, logEntry{galenastair.Record{Kind: "MemberLapse"}, sim.leader})
+	for _, other := range sim.instances {
+		for _, so := range other.issued {
+			if so.sendBefore.IsZero() {
+				so.sendBefore = sim.now.Add(simOrderLifetime) // longer pauses are not covered
 			}
 		}
 	}
 }
 
-// restart replaces an instance by a new process that starts from a peer's snapshot.
-func (w *world) restart(in *instance) {
-	if in.id == w.leader.ID {
+// restart replaces an instance with a new process that restores a peer's snapshot.
+func (sim *simulation) restart(in *instance) {
+	if in.id == sim.leader.ID {
 		return
 	}
-	peer := w.instances[w.draw(len(w.instances))]
+	peer := sim.instances[sim.randN(len(sim.instances))]
 	raw, err := peer.ledger.Snapshot()
 	if err != nil || peer == in {
 		return
 	}
-	in.folded, in.ledger, in.held = peer.folded, New(modelLife), nil
-	in.first = w.leader.Fence + 1
-	if err := in.ledger.Restore(w.now, raw, peer.ledger.leader); err != nil {
-		w.t.Fatal(err)
+	in.applied, in.ledger, in.issued = peer.applied, New(simOrderLifetime), nil
+	in.minFence = sim.leader.Fence + 1
+	if err := in.ledger.Restore(sim.now, raw, peer.ledger.leader); err != nil {
+		sim.t.Fatal(err)
 	}
 }
--- a/ledger/model_test.go
+++ b/ledger/model_test.go
@@ -11,101 +11,101 @@
 	"galenastair"
 )
 
-// The model's world: engines with memory, a log, instances with ledgers of their
-// own that lag, and orders on their way for as long as Life allows.
+// The simulation has engines with limited memory, a log, instances whose ledgers lag
+// behind it, and orders that stay in flight for up to the order lifetime.
 const (
-	modelLife  = 60 * time.Second
-	modelTotal = galenastair.Bytes(10)
-	// modelSeeds takes some six seconds with the race detector; make proof asks for
-	// more by SEEDS.
-	modelSeeds = 400
+	simOrderLifetime = 60 * time.Second
+	simMemory        = galenastair.Bytes(10)
+	// simSeeds is the default number of runs, about six seconds with the race detector;
+	// the environment variable SEEDS overrides it.
+	simSeeds = 400
 )
 
-type world struct {
-	t         *testing.T
-	seed      uint64
-	rng       *rand.Rand
-	arrived   int
-	full      int
-	now       time.Time
-	log       []logged
-	leader    Leader
-	logDown   bool
-	late      []galenastair.Record
-	engines   []*modelEngine
-	instances []*instance
-	flights   []*flight
-	orders    int
+type simulation struct {
+	t          *testing.T
+	seed       uint64
+	rng        *rand.Rand
+	delivered  int
+	fullSteps  int
+	now        time.Time
+	log        []logEntry
+	leader     Leader
+	logDown    bool
+	delayed    []galenastair.Record
+	engines    []*simEngine
+	instances  []*instance
+	inFlight   []*simOrder
+	orderCount int
 }
 
-type logged struct {
+type logEntry struct {
 	rec    galenastair.Record
 	leader Leader
 }
 
-type modelEngine struct {
-	id     galenastair.BackendServerID
-	checks bool
-	fence  galenastair.Fence
-	loaded map[galenastair.ModelName]galenastair.LoadedWeight
-	// past holds the reports that a reader may be given, oldest first.
-	past []pastReport
+type simEngine struct {
+	id          galenastair.BackendServerID
+	checksFence bool
+	fence       galenastair.Fence
+	loaded      map[galenastair.ModelName]galenastair.LoadedWeight
+	// reports holds the past reports, oldest first, any of which a request may return.
+	reports []timedReport
 }
 
-type pastReport struct {
-	at     time.Time
-	report galenastair.EngineReport
+type timedReport struct {
+	takenAt time.Time
+	report  galenastair.EngineReport
 }
 
-// instance is one member with its ledger; it may be paused with an order in hand.
+// instance is one member with its ledger; it may be paused between creating and sending an order.
 type instance struct {
-	id     galenastair.InstanceID
-	ledger *Ledger
-	folded int
-	held   []*flight
-	// first is the first fence that this process can lead under: a new process of the
-	// same instance is another member, and no leader by what the one before it was.
-	first galenastair.Fence
+	id      galenastair.InstanceID
+	ledger  *Ledger
+	applied int
+	issued  []*simOrder
+	// minFence is the lowest fence under which this process can lead: after a restart the
+	// instance is a new member and does not inherit the leadership of its former process.
+	minFence galenastair.Fence
 }
 
-// leads says that the instance has folded its own leadership.
+// leads reports whether the instance has read in the log that it is the leader.
 func (in *instance) leads() bool {
-	return in.ledger.leader.ID == in.id && in.ledger.leader.Fence >= in.first
+	return in.ledger.leader.ID == in.id && in.ledger.leader.Fence >= in.minFence
 }
 
-// flight is an order between its record and its end.
-type flight struct {
-	order   galenastair.Order
-	begun   time.Time
-	givenUp bool
-	// paused is until when its issuer is stopped between its check and the send.
-	paused   time.Time
-	read     bool
-	sent     bool
-	answered bool
-	// unrecorded is an order to an engine that checks fences.
+// simOrder is an order from its creation to its end.
+type simOrder struct {
+	order     galenastair.Order
+	createdAt time.Time
+	abandoned bool
+	// pausedUntil is when the issuer resumes from a pause between its lease check and the send.
+	pausedUntil time.Time
+	readBack    bool
+	sent        bool
+	answered    bool
+	// unrecorded is set for an order to an engine that checks fences.
 	unrecorded bool
-	// last is when a paused issuer could still send it; after that nothing does.
-	last time.Time
+	// sendBefore bounds the pause of an issuer that no longer leads: the order is neither
+	// sent nor delivered from then on.
+	sendBefore time.Time
 }
 
-// An accelerator runs out of memory, and every model on it dies with it. It happens
-// when a leader orders a load while a former leader's order is still on its way,
-// when a report is older than an order it is thought to show, or when a leader that
-// was paused sends what it had in hand.
+// An engine whose memory is overcommitted fails with every model on it. That can happen
+// when a leader orders a load while a former leader's order is still in flight, when a
+// report is older than the order whose effect it is assumed to show, or when a leader
+// resumes from a pause and sends an old order.
 //
-// The test lets instances lag, pause with orders in hand, lose and delay appends,
-// orders and answers, change the leader at any moment, restart from snapshots, take
-// the log away in mid-move, and uses engines that check fencing numbers and engines
-// that don't. Seen failing with each of these changed: pending orders not counted
-// (needs); orders of former leaders dropped at the change (Life zero); a settled order
-// dropped at once, or at a report from before its settlement; an order without a record
-// given before the fence is raised; one that was answered not counted until a report
-// shows it; one without an answer forgotten; records of former
-// leaders valid (byLeader); an order sent before it was read back; Fits two too wide.
-// Changes that it misses are in the tests of ledger_test.go.
+// Each seed drives engines with and without fence checks and injects lagging and paused
+// instances, lost and delayed records, orders and answers, leader changes, restarts from
+// snapshots and log outages. The test fails if memoryByWeight ignores pending orders, if
+// orders of former leaders are dropped when the leader changes, if a settled order is
+// dropped at once or by a report from before its settlement, if an unrecorded order is
+// sent before the fence is confirmed, if an answered one is dropped before a report shows
+// it or an unanswered one is dropped, if records of former leaders are valid, if an order
+// is sent before it is read back, or if Fits allows two units too many. ledger_test.go
+// covers further cases.
 func TestMemoryIsNeverOvercommitted(t *testing.T) {
-	first, last := uint64(1), uint64(modelSeeds)
+	first, last := uint64(1), uint64(simSeeds)
 	if s := os.Getenv("SEEDS"); s != "" {
 		last, _ = strconv.ParseUint(s, 10, 64)
 	}
@@ -113,67 +113,67 @@
 		first, _ = strconv.ParseUint(s, 10, 64)
 		last = first
 	}
-	arrived, full := 0, 0
+	delivered, fullSteps := 0, 0
 	for seed := first; seed <= last; seed++ {
-		w := newWorld(t, seed)
+		sim := newSimulation(t, seed)
 		for range 600 {
-			w.step()
-			w.check()
+			sim.step()
+			sim.checkMemory()
 		}
-		arrived += w.arrived
-		full += w.full
+		delivered += sim.delivered
+		fullSteps += sim.fullSteps
 	}
-	t.Logf("%d worlds, %d orders carried out, %d moments with memory full", last-first+1, arrived, full)
+	t.Logf("%d simulations, %d orders delivered, %d engine steps with full memory", last-first+1, delivered, fullSteps)
 }
 
-func newWorld(t *testing.T, seed uint64) *world {
-	w := &world{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0)}
+func newSimulation(t *testing.T, seed uint64) *simulation {
+	sim := &simulation{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0)}
 	for i := range 2 {
-		e := &modelEngine{
-			id:     galenastair.BackendServerID(fmt.Sprint("e", i)),
-			checks: i == 0,
-			loaded: map[galenastair.ModelName]galenastair.LoadedWeight{},
+		e := &simEngine{
+			id:          galenastair.BackendServerID(fmt.Sprint("e", i)),
+			checksFence: i == 0,
+			loaded:      map[galenastair.ModelName]galenastair.LoadedWeight{},
 		}
-		w.engines = append(w.engines, e)
-		w.keep(e)
+		sim.engines = append(sim.engines, e)
+		sim.saveReport(e)
 	}
 	for i := range 3 {
-		in := &instance{id: galenastair.InstanceID(fmt.Sprint("i", i)), ledger: New(modelLife)}
-		w.instances = append(w.instances, in)
+		in := &instance{id: galenastair.InstanceID(fmt.Sprint("i", i)), ledger: New(simOrderLifetime)}
+		sim.instances = append(sim.instances, in)
 	}
-	w.changeLeader(w.instances[0])
-	return w
+	sim.changeLeader(sim.instances[0])
+	return sim
 }
 
-func (w *world) draw(n int) int { return w.rng.IntN(n) }
+func (sim *simulation) randN(n int) int { return sim.rng.IntN(n) }
 
-func (w *world) step() {
-	w.now = w.now.Add(time.Duration(w.draw(4)) * 200 * time.Millisecond)
-	in := w.instances[w.draw(len(w.instances))]
-	for _, other := range w.instances {
-		if other.id == w.leader.ID && w.draw(3) > 0 {
-			in = other // most of what matters is done by the leader
+func (sim *simulation) step() {
+	sim.now = sim.now.Add(time.Duration(sim.randN(4)) * 200 * time.Millisecond)
+	in := sim.instances[sim.randN(len(sim.instances))]
+	for _, other := range sim.instances {
+		if other.id == sim.leader.ID && sim.randN(3) > 0 {
+			in = other // weighted towards the leader, which issues and settles the orders
 		}
 	}
-	switch w.draw(25) {
+	switch sim.randN(25) {
 	case 0, 1, 2, 3:
-		w.fold(in)
+		sim.applyRecords(in)
 	case 4, 5, 6, 7, 8:
-		w.look(in)
+		sim.fetchReport(in)
 	case 9, 10, 11, 12, 13:
-		w.issue(in)
+		sim.issue(in)
 	case 14, 15, 16:
-		w.send()
+		sim.send()
 	case 17, 18:
-		w.arrive()
+		sim.deliver()
 	case 19, 20:
-		w.settle(in)
+		sim.settle(in)
 	case 21, 22:
-		w.unloaded()
+		sim.finishUnloads()
 	case 23, 24:
-		w.disturb(in)
+		sim.injectFault(in)
 	}
-	for _, e := range w.engines {
-		w.keep(e)
+	for _, e := range sim.engines {
+		sim.saveReport(e)
 	}
 }
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -6,7 +6,7 @@
 	"galenastair"
 )
 
-// The kinds of order record in the control stream.
+// Record kinds of orders in the control stream.
 const (
 	KindIssued  galenastair.RecordKind = "OrderIssued"
 	KindSettled galenastair.RecordKind = "OrderSettled"
@@ -17,10 +17,10 @@
 	Order galenastair.Order
 }
 
-// Settlement says why no copy of an order can arrive any more.
+// Settlement is the reason why no copy of an order can arrive any more.
 type Settlement string
 
-// The reasons for settling an order.
+// Reasons for settling an order.
 const (
 	Answered   Settlement = "Answered"
 	Refused    Settlement = "Refused"
@@ -29,30 +29,30 @@
 	Expired    Settlement = "Expired"
 )
 
-// Settled is the record that ends an order's reservation.
+// Settled is the record that releases the memory reserved for an order.
 type Settled struct {
 	Order      galenastair.OrderID
 	Fence      galenastair.Fence
 	Settlement Settlement
 }
 
-// Verdict says what the fold made of a record.
+// Verdict is the result of applying a record.
 type Verdict string
 
-// The verdicts on a record.
+// Results of applying a record: Void has no effect, Foreign is not a record of orders.
 const (
 	Valid   Verdict = "Valid"
 	Void    Verdict = "Void"
 	Foreign Verdict = "Foreign"
 )
 
-// Leader is who leads at a record's offset.
+// Leader identifies the leader at a record's offset.
 type Leader struct {
 	ID    galenastair.InstanceID
 	Fence galenastair.Fence
 }
 
-// decode reads a body; one that cannot be read is void for every reader alike.
+// decode parses a record's body. A malformed body makes the record void on every instance.
 func decode[T any](rec galenastair.Record) (T, bool) {
 	var body T
 	err := json.Unmarshal(rec.Body, &body)
--- a/ledger/unrecorded.go
+++ b/ledger/unrecorded.go
@@ -6,28 +6,29 @@
 	"galenastair"
 )
 
-// Raised says whether an engine checks fences and shows a leader's own as the highest:
-// nothing of a former leader arrives there any more, and the report shows all that has.
-func (l *Ledger) Raised(id galenastair.BackendServerID, f galenastair.Fence) bool {
-	a := l.accounts[id]
-	return l.Known(id) && a.report.ChecksFence && a.report.HighestFence == f
+// FenceConfirmed reports whether an engine checks fences and its last report shows f as the
+// highest. It then rejects orders of former leaders, and the report shows the effect of all
+// that it has accepted from them.
+func (l *Ledger) FenceConfirmed(id galenastair.BackendServerID, f galenastair.Fence) bool {
+	obs := l.reports[id]
+	return l.HasCurrentReport(id) && obs.report.ChecksFence && obs.report.HighestFence == f
 }
 
-// Expect counts an order of this process that stands in no record. Only an engine that
-// Raised says yes of may be given one: a successor learns of it from the engine alone.
-func (l *Ledger) Expect(now time.Time, o galenastair.Order) {
-	l.orders[o.ID] = &entry{order: o, unrecorded: true, begun: now}
+// AddUnrecorded adds an order of this process that has no record in the log. FenceConfirmed
+// must hold for its engine, since a successor learns of the order from the engine alone.
+func (l *Ledger) AddUnrecorded(now time.Time, o galenastair.Order) {
+	l.orders[o.ID] = &pendingOrder{order: o, unrecorded: true, startedAt: now}
 }
 
-// End notes how an order that stands in no record ended. One that an engine may have
-// carried out is counted until a report shows what it did.
-func (l *Ledger) End(now time.Time, id galenastair.OrderID, why Settlement) {
-	e := l.orders[id]
-	if e == nil || !e.unrecorded {
+// EndUnrecorded ends an order that was added by AddUnrecorded. An answered order is kept until
+// a report shows its effect; any other is dropped at once.
+func (l *Ledger) EndUnrecorded(now time.Time, id galenastair.OrderID, why Settlement) {
+	p := l.orders[id]
+	if p == nil || !p.unrecorded {
 		return
 	}
 	if why == Answered {
-		e.settled = now
+		p.settledAt = now
 		return
 	}
 	delete(l.orders, id)
--- a/place/fence.go
+++ b/place/fence.go
@@ -22,7 +22,7 @@
 // an engine that checks fences has room as well.
 func (l *Leader) takesOrders(now time.Time, id galenastair.BackendServerID) bool {
 	if l.reports[id].ChecksFence {
-		return l.ledger.Raised(id, l.fence)
+		return l.ledger.FenceConfirmed(id, l.fence)
 	}
 	return l.records(now) && now.Sub(l.recordFailed) >= failureRest
 }
@@ -74,7 +74,7 @@
 // raiseFences makes engines that check fences refuse what former leaders have sent.
 func (l *Leader) raiseFences(ctx context.Context, now time.Time) {
 	for _, id := range l.known() {
-		if !l.reports[id].ChecksFence || l.ledger.Raised(id, l.fence) || now.Sub(l.looked[id]) < raisePeriod {
+		if !l.reports[id].ChecksFence || l.ledger.FenceConfirmed(id, l.fence) || now.Sub(l.looked[id]) < raisePeriod {
 			continue
 		}
 		l.looked[id] = now
--- a/place/leader.go
+++ b/place/leader.go
@@ -134,7 +134,7 @@
 		settings:   DefaultSettings(),
 		ordered:    func(galenastair.OrderKind, Reason) {},
 		records:    func(time.Time) bool { return true },
-		life:       ledger.DefaultLife,
+		life:       ledger.DefaultOrderLifetime,
 		forecast:   forecast.New(),
 		servers:    map[galenastair.BackendServerID]route.Server{},
 		reports:    map[galenastair.BackendServerID]galenastair.EngineReport{},
@@ -174,7 +174,7 @@
 			if _, ok := l.servers[id]; !ok {
 				delete(l.reports, id)
 				delete(l.looked, id)
-				l.ledger.Forget(id)
+				l.ledger.RemoveServer(id)
 			}
 		}
 	})
--- a/place/leader_test.go
+++ b/place/leader_test.go
@@ -222,7 +222,7 @@
 	n := 0
 	_ = b.leader.loop.Do(b.ctx, func() {
 		for i := range b.engines {
-			n += len(b.leader.ledger.Pending(b.engines[i].BackendServer))
+			n += len(b.leader.ledger.PendingOrders(b.engines[i].BackendServer))
 		}
 	})
 	return n
--- a/place/order.go
+++ b/place/order.go
@@ -115,7 +115,7 @@
 	}
 	return r, l.loop.Do(ctx, func() {
 		l.reports[id] = r
-		l.ledger.Report(asked.Add(-r.Age), r)
+		l.ledger.ApplyReport(asked.Add(-r.Age), r)
 	})
 }
 
@@ -182,14 +182,14 @@
 		Weight:        s.Weight,
 	}
 	checks := l.reports[s.Server].ChecksFence
-	if checks && !l.ledger.Raised(s.Server, fence) {
+	if checks && !l.ledger.FenceConfirmed(s.Server, fence) {
 		return nil, errNotRaised
 	}
 	if !l.ledger.Fits(o) {
 		return nil, errNoRoom
 	}
 	if checks {
-		l.ledger.Expect(l.clock.Now(), o)
+		l.ledger.AddUnrecorded(l.clock.Now(), o)
 		return &ownOrder{order: o, unrecorded: true}, nil
 	}
 	own := &ownOrder{order: o, verdict: make(chan ledger.Verdict, 1)}
@@ -238,7 +238,7 @@
 	_ = l.loop.Post(context.WithoutCancel(ctx), func() {
 		o.ended = why
 		if o.unrecorded {
-			l.ledger.End(l.clock.Now(), o.order.ID, why)
+			l.ledger.EndUnrecorded(l.clock.Now(), o.order.ID, why)
 		}
 	})
 }
--- a/place/round.go
+++ b/place/round.go
@@ -70,7 +70,7 @@
 // settlement shows all that the order did.
 func (l *Leader) lookAfter(ctx context.Context, now time.Time) {
 	for _, id := range l.known() {
-		if len(l.planned[id]) > 0 || now.Sub(l.looked[id]) < lookPeriod || len(l.ledger.Pending(id)) == 0 {
+		if len(l.planned[id]) > 0 || now.Sub(l.looked[id]) < lookPeriod || len(l.ledger.PendingOrders(id)) == 0 {
 			continue
 		}
 		l.looked[id] = now
@@ -182,8 +182,8 @@
 		Closed:           !l.takesOrders(now, id),
 		Opening:          l.opening(now, id),
 	}
-	for _, o := range l.ledger.Pending(id) {
-		if o.Kind == galenastair.LoadModel && v.copies[key(o.Weight)] == nil && now.Sub(l.ledger.Begun(o.ID)) > orderPatience {
+	for _, o := range l.ledger.PendingOrders(id) {
+		if o.Kind == galenastair.LoadModel && v.copies[key(o.Weight)] == nil && now.Sub(l.ledger.StartedAt(o.ID)) > orderPatience {
 			v.reserve(o.Weight)
 			out.Reserved = append(out.Reserved, o.Weight)
 			continue
@@ -250,11 +250,11 @@
 
 // settle records the end of orders that can no longer arrive.
 func (l *Leader) settle(ctx context.Context, now time.Time) {
-	for _, s := range l.ledger.Settleable(now) {
+	for _, s := range l.ledger.SettleableOrders(now) {
 		l.appendSettled(ctx, now, s)
 	}
 	for id, o := range l.orders {
-		if !l.ledger.Open(id) {
+		if !l.ledger.Unsettled(id) {
 			if o.ended != "" {
 				delete(l.orders, id) // it was settled, or never came into the log
 			}
