--- a/planner/adapters.go
+++ b/planner/adapters.go
@@ -10,78 +10,78 @@
 )
 
 const (
-	// usedLately keeps an adapter from being dropped for another while its callers
-	// still come, or their streams still run.
-	usedLately = 4 * time.Second
-	// copyShare is the part of one engine's share of a model's work from which an
-	// adapter gets a further copy: below it, the callers of one adapter do not crowd
-	// the engine that holds it.
-	copyShare = 0.6
-	// leastWork is the part of an engine's time to which the demand of one request has
-	// faded after some fifteen seconds.
-	leastWork = 0.00005
-	// fetchedAtOnce is how many adapters an engine takes on their way together.
-	fetchedAtOnce = 4
+	// adapterIdleTime is how long an adapter must be unused before it can be evicted, so that one
+	// whose callers still send or whose streams still run stays.
+	adapterIdleTime = 4 * time.Second
+	// extraCopyShare is the fraction of one engine's share of a model's work from which an adapter
+	// gets another copy. Below it, the callers of one adapter do not overload the engine that
+	// holds it.
+	extraCopyShare = 0.6
+	// minAdapterWork is the utilisation to which the demand of a single request decays in about
+	// 15 s.
+	minAdapterWork = 0.00005
+	// maxAdapterQueue bounds the queue of an engine to which adapter loads are added.
+	maxAdapterQueue = 4
 )
 
-// splitName splits an adapter's name into its model and its own.
+// splitName splits MODEL/ADAPTER into the model and the adapter.
 func splitName(name galenastair.ModelName) (galenastair.ModelName, string) {
 	model, adapter, _ := strings.Cut(string(name), "/")
 	return galenastair.ModelName(model), adapter
 }
 
-// engineForAdapter picks where an adapter is loaded: the least busy engine that holds
-// its model and has a place, or else one with an adapter that nobody uses. The second
-// result is the adapter to drop first, if any.
-func (s *site) engineForAdapter(now time.Time, name galenastair.ModelName) (*engine, galenastair.ModelName) {
+// engineForAdapter picks the engine that loads an adapter: the least loaded one that holds its
+// model and has a free adapter slot or an adapter to evict. The second result is the adapter to
+// evict first, if any.
+func (s *service) engineForAdapter(now time.Time, name galenastair.ModelName) (*engine, galenastair.ModelName) {
 	model, _ := splitName(name)
 	var best *engine
-	var drop galenastair.ModelName
+	var evict galenastair.ModelName
 	least := math.Inf(1)
 	for _, e := range s.engines {
-		if !e.ready(model) || e.adapters[name] != nil || e.unsure || e.moving() {
+		if !e.ready(model) || e.adapters[name] != nil || e.stateUnknown || e.inTransition() {
 			continue
 		}
-		victim, ok := s.placeFor(now, e)
+		victim, ok := s.adapterSlot(now, e)
 		if !ok {
 			continue
 		}
 		load := s.load(e)
 		if victim != "" {
-			// an empty place is worth some requests more on the engine
+			// an empty slot is worth about as much as this many pending prompt tokens
 			load += 4000
 		}
 		if load < least {
-			best, drop, least = e, victim, load
+			best, evict, least = e, victim, load
 		}
 	}
-	return best, drop
+	return best, evict
 }
 
-// placeFor says whether an engine has a place for one more adapter, and which adapter
-// makes way where all are taken: the one unused for longest, but not the last copy of
-// one that is used.
-func (s *site) placeFor(now time.Time, e *engine) (galenastair.ModelName, bool) {
-	if len(e.adapters) < s.contents.engine.AdapterPlaces {
+// adapterSlot reports whether an engine can take one more adapter, and which adapter to evict if
+// all slots are used: the least recently used one, unless it is the last copy of an adapter in
+// demand.
+func (s *service) adapterSlot(now time.Time, e *engine) (galenastair.ModelName, bool) {
+	if len(e.adapters) < s.modelSet.engine.AdapterPlaces {
 		return "", true
 	}
 	var victim galenastair.ModelName
 	var oldest time.Time
-	for name, it := range e.adapters {
-		if it.state != place.Ready || now.Sub(it.used) < usedLately {
+	for name, c := range e.adapters {
+		if c.state != place.Ready || now.Sub(c.lastUsed) < adapterIdleTime {
 			continue
 		}
-		if s.forecast.Work(name) > 0 && s.adapterCopies(name) < 2 && now.Sub(it.used) < 2*usedLately {
+		if s.forecast.Work(name) > 0 && s.adapterCopies(name) < 2 && now.Sub(c.lastUsed) < 2*adapterIdleTime {
 			continue
 		}
-		if victim == "" || it.used.Before(oldest) {
-			victim, oldest = name, it.used
+		if victim == "" || c.lastUsed.Before(oldest) {
+			victim, oldest = name, c.lastUsed
 		}
 	}
 	return victim, victim != ""
 }
 
-func (s *site) adapterCopies(name galenastair.ModelName) int {
+func (s *service) adapterCopies(name galenastair.ModelName) int {
 	if s.index != nil {
 		return s.index.adapters[name]
 	}
@@ -94,28 +94,29 @@
 	return n
 }
 
-// loadAdapter orders an adapter and returns who waits for it; nil if no engine can take it now.
-func (s *site) loadAdapter(now time.Time, name galenastair.ModelName, why place.Reason) (*engine, *waiters) {
-	e, drop := s.engineForAdapter(now, name)
+// loadAdapter queues an adapter load and returns its waiters, or nil if no engine can take the
+// adapter now.
+func (s *service) loadAdapter(now time.Time, name galenastair.ModelName, why place.Reason) (*engine, *waiters) {
+	e, evict := s.engineForAdapter(now, name)
 	if e == nil {
 		return nil, nil
 	}
-	if drop != "" {
-		m, a := splitName(drop)
-		e.add(now, task{kind: galenastair.UnloadModel, model: m, adapter: a, reason: place.MakeRoom})
-		s.index.moved(drop, -1)
+	if evict != "" {
+		m, a := splitName(evict)
+		e.enqueue(now, queuedOrder{kind: galenastair.UnloadModel, model: m, adapter: a, reason: place.MakeRoom})
+		s.index.adjust(evict, -1)
 	}
 	m, a := splitName(name)
-	done := e.add(now, task{kind: galenastair.LoadModel, model: m, adapter: a, reason: why})
-	s.index.moved(name, 1)
+	done := e.enqueue(now, queuedOrder{kind: galenastair.LoadModel, model: m, adapter: a, reason: why})
+	s.index.adjust(name, 1)
 	return e, done
 }
 
-// spreadAdapters gives adapters that are asked for a first copy, and busy ones more,
-// as long as places are empty: the callers of a busy adapter would else all wait at
-// one engine while others with the same model idle.
-func (s *site) spreadAdapters(now time.Time) {
-	for _, m := range s.contents.models {
+// replicateAdapters gives adapters in demand a first copy, and busy ones more, as long as slots
+// are free. Without further copies, all callers of a busy adapter would wait at one engine while
+// others with the same model are idle.
+func (s *service) replicateAdapters(now time.Time) {
+	for _, m := range s.modelSet.models {
 		if m.Adapters == 0 {
 			continue
 		}
@@ -126,33 +127,32 @@
 		total := s.workOf(m)
 		for name, work := range s.adapterWork(m) {
 			have := s.adapterCopies(name)
-			want := int(math.Ceil(work / (copyShare * total / float64(copies))))
-			if have >= min(want, copies) || work < leastWork {
+			want := int(math.Ceil(work / (extraCopyShare * total / float64(copies))))
+			if have >= min(want, copies) || work < minAdapterWork {
 				continue
 			}
-			if s.emptyPlace(m.Name, name) {
+			if s.hasFreeSlot(m.Name, name) {
 				s.loadAdapter(now, name, place.Adapter)
 			}
 		}
 	}
 }
 
-// preloadAtOnce bounds the adapters that one round fetches ahead of demand: well below
-// what the weight store serves at full speed, so that those that callers wait for come
-// first.
-const preloadAtOnce = 6
+// maxPreloadsPerRound bounds the adapters that a round loads ahead of demand. It is well below
+// what the weight store serves at full speed, so that adapters that callers wait for come first.
+const maxPreloadsPerRound = 6
 
-// preloadAdapters gives each adapter a copy while places are empty, asked for or not.
-// Callers then find it also while nobody plans, which lasts some seconds each time that
-// the planner dies.
-func (s *site) preloadAdapters(now time.Time) {
-	left := preloadAtOnce
-	for _, m := range s.contents.models {
-		for _, name := range s.contents.adapters[m.Name] {
+// preloadAdapters loads one copy of each adapter while slots are free, whether or not it is in
+// demand. Callers then find a copy also while there is no leader, which lasts some seconds each
+// time the leader dies.
+func (s *service) preloadAdapters(now time.Time) {
+	left := maxPreloadsPerRound
+	for _, m := range s.modelSet.models {
+		for _, name := range s.modelSet.adapters[m.Name] {
 			if left <= 0 {
 				return
 			}
-			if s.adapterCopies(name) > 0 || !s.emptyPlace(m.Name, name) {
+			if s.adapterCopies(name) > 0 || !s.hasFreeSlot(m.Name, name) {
 				continue
 			}
 			if e, _ := s.loadAdapter(now, name, place.Spare); e != nil {
@@ -162,9 +162,9 @@
 	}
 }
 
-func (s *site) emptyPlace(m, name galenastair.ModelName) bool {
+func (s *service) hasFreeSlot(m, name galenastair.ModelName) bool {
 	for _, e := range s.index.ready[m] {
-		if e.adapters[name] == nil && len(e.adapters) < s.contents.engine.AdapterPlaces && len(e.tasks) < fetchedAtOnce {
+		if e.adapters[name] == nil && len(e.adapters) < s.modelSet.engine.AdapterPlaces && len(e.queue) < maxAdapterQueue {
 			return true
 		}
 	}
--- a/planner/bed_test.go
+++ b/planner/bed_test.go
@@ -19,58 +19,59 @@
 	"galenastair/quota"
 )
 
-// clock is moved by the test.
-type clock struct{ now time.Time }
+// fakeClock is advanced by the test.
+type fakeClock struct{ now time.Time }
 
-func (c *clock) Now() time.Time { return c.now }
+func (c *fakeClock) Now() time.Time { return c.now }
 
-// holder is a lease that the test gives and takes.
-type holder struct {
+// fakeLease is a lease that the test grants and revokes.
+type fakeLease struct {
 	holds bool
 	fence galenastair.Fence
 }
 
-func (h *holder) Order() (galenastair.Fence, bool) { return h.fence, h.holds }
-func (h *holder) Holds() bool                      { return h.holds }
-func (h *holder) Hosts() bool                      { return h.holds }
-func (h *holder) Refused(galenastair.Fence)        { h.holds = false }
+func (l *fakeLease) Order() (galenastair.Fence, bool) { return l.fence, l.holds }
+func (l *fakeLease) Holds() bool                      { return l.holds }
+func (l *fakeLease) Hosts() bool                      { return l.holds }
+func (l *fakeLease) Refused(galenastair.Fence)        { l.holds = false }
 
-// errLost says that an order got no answer.
+// errLost is returned for an order without an answer.
 var errLost = errors.New("no answer")
 
-// late is an order that acts after its answer was lost.
-type late struct {
+// delayedOrder is an order that takes effect after its answer was lost.
+type delayedOrder struct {
 	at    time.Time
 	order galenastair.EngineOrder
 }
 
-// sim is a model engine as the planner's orders meet it.
-type sim struct {
-	id       galenastair.BackendServerID
-	born     int64
-	beat     int64
-	sequence int64
-	fence    galenastair.Fence
-	models   map[galenastair.ModelName][]string
-	lates    []late
-	overfull string
+// fakeEngine simulates how a model engine executes orders.
+type fakeEngine struct {
+	id            galenastair.BackendServerID
+	born          int64
+	beat          int64
+	sequence      int64
+	fence         galenastair.Fence
+	models        map[galenastair.ModelName][]string
+	delayedOrders []delayedOrder
+	violation     string
 }
 
 const (
-	simModels   = 3
-	simAdapters = 2
+	maxModels   = 3
+	maxAdapters = 2
 )
 
-// take carries an order out as an engine does: only at the sequence that it presumes.
-func (s *sim) take(o galenastair.EngineOrder) galenastair.OrderAnswer {
-	if o.Fence < s.fence {
+// apply executes an order only if its sequence number is the number of accepted orders, as engines
+// do.
+func (e *fakeEngine) apply(o galenastair.EngineOrder) galenastair.OrderAnswer {
+	if o.Fence < e.fence {
 		return galenastair.OrderFenced
 	}
-	s.fence = o.Fence
-	if o.Sequence != s.sequence {
+	e.fence = o.Fence
+	if o.Sequence != e.sequence {
 		return galenastair.OrderBusy
 	}
-	held, loaded := s.models[o.Model]
+	held, loaded := e.models[o.Model]
 	has := loaded && (o.Adapter == "" || slices.Contains(held, o.Adapter))
 	if has == (o.Kind == galenastair.LoadModel) {
 		return galenastair.OrderHeld
@@ -78,197 +79,197 @@
 	if o.Adapter != "" && !loaded {
 		return galenastair.OrderWrong
 	}
-	s.sequence++
+	e.sequence++
 	switch {
 	case o.Adapter != "" && o.Kind == galenastair.LoadModel:
-		s.models[o.Model] = append(held, o.Adapter)
+		e.models[o.Model] = append(held, o.Adapter)
 	case o.Adapter != "":
-		s.models[o.Model] = slices.DeleteFunc(held, func(a string) bool { return a == o.Adapter })
+		e.models[o.Model] = slices.DeleteFunc(held, func(a string) bool { return a == o.Adapter })
 		return galenastair.OrderHeld
 	case o.Kind == galenastair.LoadModel:
-		s.models[o.Model] = nil
+		e.models[o.Model] = nil
 	default:
-		delete(s.models, o.Model)
+		delete(e.models, o.Model)
 	}
-	s.check()
+	e.check()
 	return galenastair.OrderAccepted
 }
 
-func (s *sim) check() {
+func (e *fakeEngine) check() {
 	adapters := 0
-	for _, a := range s.models {
+	for _, a := range e.models {
 		adapters += len(a)
 	}
-	if len(s.models) > simModels || adapters > simAdapters {
-		s.overfull = fmt.Sprintf("%s holds %v", s.id, s.models)
+	if len(e.models) > maxModels || adapters > maxAdapters {
+		e.violation = fmt.Sprintf("%s holds %v", e.id, e.models)
 	}
 }
 
-func (s *sim) list() []galenastair.EngineModel {
+func (e *fakeEngine) listModels() []galenastair.EngineModel {
 	var out []galenastair.EngineModel
-	for name, adapters := range s.models {
+	for name, adapters := range e.models {
 		out = append(out, galenastair.EngineModel{Name: name, Adapters: slices.Clone(adapters)})
 	}
 	return out
 }
 
-func (s *sim) registration() pool.Server {
-	s.beat++
-	return pool.Server{ID: s.id, Service: "writer", Address: string(s.id), Slots: 64, Born: s.born, Beat: s.beat, Models: s.list()}
+func (e *fakeEngine) registration() pool.Server {
+	e.beat++
+	return pool.Server{ID: e.id, Service: "writer", Address: string(e.id), Slots: 64, Born: e.born, Beat: e.beat, Models: e.listModels()}
 }
 
-// world is engines whose answers are lost, whose orders act late and whose
-// registrations come late.
-type world struct {
-	clock *clock
+// fakeFleet simulates engines whose answers are lost, whose unanswered orders take effect late and
+// whose registrations arrive late.
+type fakeFleet struct {
+	clock *fakeClock
 
-	// mu guards the rest: orders to several engines are under way together.
-	mu      sync.Mutex
-	rng     *rand.Rand
-	sims    map[string]*sim
-	lossy   float64
-	reports []delayed
+	// mu guards the fields below, as orders to several engines run concurrently.
+	mu            sync.Mutex
+	rng           *rand.Rand
+	fakes         map[string]*fakeEngine
+	lossRate      float64
+	registrations []delayedRegistration
 }
 
-type delayed struct {
+type delayedRegistration struct {
 	at     time.Time
 	server pool.Server
 }
 
-func (w *world) Order(_ context.Context, address string, o galenastair.EngineOrder) (galenastair.OrderAnswer, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	s := w.sims[address]
-	switch lost := w.rng.Float64(); {
-	case lost < w.lossy/2:
-		s.lates = append(s.lates, late{w.clock.now.Add(2*time.Second + time.Duration(w.rng.IntN(10))*time.Second), o})
+func (f *fakeFleet) Order(_ context.Context, address string, o galenastair.EngineOrder) (galenastair.OrderAnswer, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	e := f.fakes[address]
+	switch lost := f.rng.Float64(); {
+	case lost < f.lossRate/2:
+		e.delayedOrders = append(e.delayedOrders, delayedOrder{f.clock.now.Add(2*time.Second + time.Duration(f.rng.IntN(10))*time.Second), o})
 		return 0, errLost
-	case lost < w.lossy:
-		s.take(o)
+	case lost < f.lossRate:
+		e.apply(o)
 		return 0, errLost
 	}
-	return s.take(o), nil
+	return e.apply(o), nil
 }
 
-func (w *world) State(_ context.Context, address string, _ galenastair.BackendServerID) (galenastair.EngineState, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.rng.Float64() < w.lossy/2 {
+func (f *fakeFleet) State(_ context.Context, address string, _ galenastair.BackendServerID) (galenastair.EngineState, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.rng.Float64() < f.lossRate/2 {
 		return galenastair.EngineState{}, errLost
 	}
-	s := w.sims[address]
-	return galenastair.EngineState{Sequence: s.sequence, Models: s.list()}, nil
+	e := f.fakes[address]
+	return galenastair.EngineState{Sequence: e.sequence, Models: e.listModels()}, nil
 }
 
-// act lets late orders act.
-func (w *world) act() {
-	for _, s := range w.sims {
-		rest := s.lates[:0]
-		for _, l := range s.lates {
-			if l.at.After(w.clock.now) {
+// applyDelayedOrders executes the delayed orders that are due.
+func (f *fakeFleet) applyDelayedOrders() {
+	for _, e := range f.fakes {
+		rest := e.delayedOrders[:0]
+		for _, l := range e.delayedOrders {
+			if l.at.After(f.clock.now) {
 				rest = append(rest, l)
 				continue
 			}
-			s.take(l.order)
+			e.apply(l.order)
 		}
-		s.lates = rest
+		e.delayedOrders = rest
 	}
 }
 
-// bed is a planner over such a world, stepped by the test.
-type bed struct {
+// harness runs a planner against a fakeFleet, one step at a time.
+type harness struct {
 	t       *testing.T
-	world   *world
-	lease   *holder
+	fleet   *fakeFleet
+	lease   *fakeLease
 	planner *Planner
 	loop    *control.Loop
 }
 
-func newBed(t *testing.T, seed uint64, engines int) *bed {
+func newHarness(t *testing.T, seed uint64, engines int) *harness {
 	t.Helper()
-	c := &clock{now: time.Unix(1000, 0)}
-	w := &world{clock: c, rng: rand.New(rand.NewPCG(seed, 7)), sims: map[string]*sim{}}
-	b := &bed{t: t, world: w, lease: &holder{holds: true, fence: 1}, loop: control.NewLoop()}
-	b.planner = New("me", quota.Terms{Window: time.Second}, w, b.lease, b.loop, WithClock(c))
+	c := &fakeClock{now: time.Unix(1000, 0)}
+	f := &fakeFleet{clock: c, rng: rand.New(rand.NewPCG(seed, 7)), fakes: map[string]*fakeEngine{}}
+	h := &harness{t: t, fleet: f, lease: &fakeLease{holds: true, fence: 1}, loop: control.NewLoop()}
+	h.planner = New("me", quota.Terms{Window: time.Second}, f, h.lease, h.loop, WithClock(c))
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- b.loop.Run(ctx) }()
+	go func() { ended <- h.loop.Run(ctx) }()
 	t.Cleanup(func() {
 		cancel()
 		<-ended
 	})
 	var models []catalog.Model
-	for i := range engines*simModels - 2 {
+	for i := range engines*maxModels - 2 {
 		models = append(models, catalog.Model{Name: galenastair.ModelName(fmt.Sprintf("m%d", i)), Memory: 70 * gigabyte,
 			Load: time.Second, Adapters: i % 4, AdapterMemory: gigabyte / 20})
 	}
 	is := is.New(t)
-	is.NoErr(b.planner.SetCatalog(t.Context(), catalog.New(1, catalog.Limits{}, nil, []*catalog.Service{{Name: "writer", Engine: &catalog.Engine{
-		Slots: 64, Memory: 230 * gigabyte, AdapterPlaces: simAdapters, LoadsPerSecond: 3, Models: models,
+	is.NoErr(h.planner.SetCatalog(t.Context(), catalog.New(1, catalog.Limits{}, nil, []*catalog.Service{{Name: "writer", Engine: &catalog.Engine{
+		Slots: 64, Memory: 230 * gigabyte, AdapterPlaces: maxAdapters, LoadsPerSecond: 3, Models: models,
 	}}}, nil)))
 	for i := range engines {
 		id := fmt.Sprintf("e%d", i)
-		s := &sim{id: galenastair.BackendServerID(id), born: 1, models: map[galenastair.ModelName][]string{}}
-		for k := range simModels {
-			if n := i*simModels + k; n < len(models) {
-				s.models[models[n].Name] = nil
+		e := &fakeEngine{id: galenastair.BackendServerID(id), born: 1, models: map[galenastair.ModelName][]string{}}
+		for k := range maxModels {
+			if n := i*maxModels + k; n < len(models) {
+				e.models[models[n].Name] = nil
 			}
 		}
-		w.sims[id] = s
-		is.NoErr(b.planner.SetServer(t.Context(), s.registration()))
+		f.fakes[id] = e
+		is.NoErr(h.planner.SetServer(t.Context(), e.registration()))
 	}
-	return b
+	return h
 }
 
-// step moves the clock and runs the planner once.
-func (b *bed) step(d time.Duration) {
-	b.t.Helper()
-	// nothing that was posted may read the clock while it is moved
-	b.do(func() {})
-	b.world.clock.now = b.world.clock.now.Add(d)
-	b.world.act()
-	rest := b.world.reports[:0]
-	for _, r := range b.world.reports {
-		if r.at.After(b.world.clock.now) {
+// step advances the clock and runs the planner once.
+func (h *harness) step(d time.Duration) {
+	h.t.Helper()
+	// functions that are already posted must not read the clock while it is advanced
+	h.do(func() {})
+	h.fleet.clock.now = h.fleet.clock.now.Add(d)
+	h.fleet.applyDelayedOrders()
+	rest := h.fleet.registrations[:0]
+	for _, r := range h.fleet.registrations {
+		if r.at.After(h.fleet.clock.now) {
 			rest = append(rest, r)
 			continue
 		}
-		if err := b.planner.SetServer(b.t.Context(), r.server); err != nil {
-			b.t.Fatal(err)
+		if err := h.planner.SetServer(h.t.Context(), r.server); err != nil {
+			h.t.Fatal(err)
 		}
 	}
-	b.world.reports = rest
-	b.do(b.planner.tick)
-	b.settle()
+	h.fleet.registrations = rest
+	h.do(h.planner.tick)
+	h.settle()
 }
 
-// settle waits until the orders of a step have been answered.
-func (b *bed) settle() {
+// settle waits until all orders of a step have been answered.
+func (h *harness) settle() {
 	for busy := true; busy; {
 		busy = false
-		b.do(func() {
-			for _, s := range b.planner.sites {
+		h.do(func() {
+			for _, s := range h.planner.services {
 				for _, e := range s.engines {
-					busy = busy || e.running
+					busy = busy || e.orderInFlight
 				}
 			}
 		})
 	}
 }
 
-func (b *bed) do(f func()) {
-	b.t.Helper()
-	if err := b.loop.Do(b.t.Context(), f); err != nil {
-		b.t.Fatal(err)
+func (h *harness) do(f func()) {
+	h.t.Helper()
+	if err := h.loop.Do(h.t.Context(), f); err != nil {
+		h.t.Fatal(err)
 	}
 }
 
-// tokens is the time in which an engine of the test reads as many.
+// tokens returns the time in which a simulated engine processes n prompt tokens.
 func tokens(n int) time.Duration { return time.Duration(n) * time.Second / 20400 }
 
-func (b *bed) ask(demands map[galenastair.ModelName]time.Duration) {
-	b.t.Helper()
-	if _, err := b.planner.Exchange(b.t.Context(), Report{Instance: "i", Demands: demands}); err != nil && !errors.Is(err, ErrNotPlanner) {
-		b.t.Fatal(err)
+func (h *harness) ask(demands map[galenastair.ModelName]time.Duration) {
+	h.t.Helper()
+	if _, err := h.planner.Exchange(h.t.Context(), Report{Instance: "i", Demands: demands}); err != nil && !errors.Is(err, ErrNotPlanner) {
+		h.t.Fatal(err)
 	}
 }
--- a/planner/contents.go
+++ b/planner/contents.go
@@ -7,49 +7,49 @@
 	"galenastair/catalog"
 )
 
-// contents is what the engines of one service may hold.
-type contents struct {
+// modelSet holds the models and adapters that the engines of one service can load.
+type modelSet struct {
 	service galenastair.ServiceName
 	engine  *catalog.Engine
 	models  map[galenastair.ModelName]*catalog.Model
-	// adapters are the names of each model's, behind the model's and a slash.
+	// adapters lists each model's adapters as MODEL/ADAPTER.
 	adapters       map[galenastair.ModelName][]galenastair.ModelName
 	weights        []galenastair.Weight
 	largestAdapter galenastair.Bytes
 }
 
-func newContents(s *catalog.Service) *contents {
-	c := &contents{service: s.Name, engine: s.Engine, models: map[galenastair.ModelName]*catalog.Model{},
+func newModelSet(s *catalog.Service) *modelSet {
+	ms := &modelSet{service: s.Name, engine: s.Engine, models: map[galenastair.ModelName]*catalog.Model{},
 		adapters: map[galenastair.ModelName][]galenastair.ModelName{}}
 	for i := range s.Engine.Models {
 		m := &s.Engine.Models[i]
-		c.models[m.Name] = m
+		ms.models[m.Name] = m
 		for n := 1; n <= m.Adapters; n++ {
-			c.adapters[m.Name] = append(c.adapters[m.Name], adapterName(m.Name, "a"+strconv.Itoa(n)))
+			ms.adapters[m.Name] = append(ms.adapters[m.Name], adapterName(m.Name, "a"+strconv.Itoa(n)))
 		}
-		c.weights = append(c.weights, galenastair.Weight{Name: m.Name, Memory: m.Memory})
+		ms.weights = append(ms.weights, galenastair.Weight{Name: m.Name, Memory: m.Memory})
 		if m.Adapters > 0 {
-			c.largestAdapter = max(c.largestAdapter, m.AdapterMemory)
+			ms.largestAdapter = max(ms.largestAdapter, m.AdapterMemory)
 		}
 	}
-	return c
+	return ms
 }
 
-// memory of a model that the configuration no longer names counts as the largest.
-func (c *contents) memory(name galenastair.ModelName) galenastair.Bytes {
-	if m := c.models[name]; m != nil {
+// memory returns the memory of a model. One that is no longer configured counts as the largest.
+func (ms *modelSet) memory(name galenastair.ModelName) galenastair.Bytes {
+	if m := ms.models[name]; m != nil {
 		return m.Memory
 	}
 	var most galenastair.Bytes
-	for _, m := range c.models {
+	for _, m := range ms.models {
 		most = max(most, m.Memory)
 	}
 	return most
 }
 
-// knows says whether a model, or an adapter of it, can be loaded at all.
-func (c *contents) knows(m galenastair.ModelName, adapter string) bool {
-	model := c.models[m]
+// knows reports whether a model, or an adapter of it, is configured.
+func (ms *modelSet) knows(m galenastair.ModelName, adapter string) bool {
+	model := ms.models[m]
 	if model == nil || adapter == "" {
 		return model != nil
 	}
--- a/planner/doc.go
+++ b/planner/doc.go
@@ -1,14 +1,15 @@
-// Package planner keeps models and adapters on the model engines where callers ask for
-// them, while this instance holds the lease. It hears from all instances what is asked
-// and what waits, plans a few times a second, and gives orders one at a time to each
-// engine.
+// Package planner decides which models and adapters each model engine holds, following demand. It
+// is active only while this instance holds the lease. Every instance reports its demand and its
+// in-flight load; the planner runs a few rounds per second and sends each engine its orders one at
+// a time.
 //
-// What is loaded where is read from the engines' registrations; orders add to it what
-// may have happened since. Memory and adapter places are counted at the larger of
-// what may be there. An order names the count of orders that its engine has accepted,
-// so of two orders that presume the same count only one can act, however late.
+// The models loaded on an engine are read from its registration, and orders whose effect the
+// registration cannot show yet are added. Where the two disagree, memory and adapter slots are
+// accounted at the larger value. An order carries the number of orders that its engine has
+// accepted so far, so of two orders with the same number only one can take effect, however late it
+// arrives.
 //
-// State: about 2 KB an engine. Messages: each instance's exchange, a few hundred bytes
-// a few times a second; one call for each order, and one report where its outcome is
-// not known.
+// Memory: about 2 KB per engine. Network: one exchange per instance, of a few hundred bytes, a few
+// times per second; one call per order, and one state query for each order whose outcome is
+// unknown.
 package planner
--- a/planner/engine.go
+++ b/planner/engine.go
@@ -10,31 +10,31 @@
 	"galenastair/pool"
 )
 
-// item is one model or adapter as an engine holds it.
-type item struct {
+// modelCopy is one model or adapter on an engine.
+type modelCopy struct {
 	state place.CopyState
-	// since is when it was last known to be in its state, by an order or a list.
-	since time.Time
-	used  time.Time
-	// sent says that the order that put it in its state was accepted.
-	sent bool
-	// inUse is until when an adapter that goes may still hold its place: its engine
-	// stops listing it before the requests that use it have ended.
-	inUse time.Time
+	// stateSince is when the state was last confirmed, by an order or by the engine's own list.
+	stateSince time.Time
+	lastUsed   time.Time
+	// accepted reports that the engine accepted the order that led to this state.
+	accepted bool
+	// inUseUntil is when an adapter that is being unloaded has freed its slot at the latest. Its
+	// engine stops listing it before the requests that use it have ended.
+	inUseUntil time.Time
 }
 
-// task is an order that is wanted.
-type task struct {
+// queuedOrder is an order that has not been completed yet.
+type queuedOrder struct {
 	kind    galenastair.OrderKind
 	model   galenastair.ModelName
 	adapter string
 	reason  place.Reason
-	// done are told once the order was accepted or given up.
+	// done is notified when the order is accepted or given up.
 	done *waiters
 }
 
-// name is the model's, or the adapter's behind a slash.
-func (t task) name() galenastair.ModelName { return adapterName(t.model, t.adapter) }
+// name returns the name of the model, or MODEL/ADAPTER for an adapter.
+func (q queuedOrder) name() galenastair.ModelName { return adapterName(q.model, q.adapter) }
 
 func adapterName(m galenastair.ModelName, adapter string) galenastair.ModelName {
 	if adapter == "" {
@@ -44,93 +44,96 @@
 }
 
 const (
-	// unseen is how long an accepted order may not show in the engine's registration
-	// before its state is asked for: a load takes some seconds.
-	unseen = 5 * time.Second
-	// longestUse is how long the requests run that use an adapter which is to go.
-	longestUse = 6 * time.Second
-	// longestLate is how long an order without an answer may act after it was sent.
-	longestLate = 12 * time.Second
-	// lateBeat is how long a registration may still show what was before an order: it
-	// is written every heartbeat of about a second, and was on its way for a while.
-	lateBeat = 2500 * time.Millisecond
-	// adapterLoad is what an adapter takes at most while few are on their way, and a round
-	// trip.
-	adapterLoad = 45 * time.Millisecond
+	// confirmTimeout is how long an accepted order may be missing from the engine's registration
+	// before the engine's state is queried. A load takes some seconds.
+	confirmTimeout = 5 * time.Second
+	// maxAdapterUse bounds how long requests keep using an adapter that has been ordered to
+	// unload.
+	maxAdapterUse = 6 * time.Second
+	// maxOrderDelay bounds how long after it was sent an unanswered order may still take effect.
+	maxOrderDelay = 12 * time.Second
+	// maxRegistrationDelay bounds how long a registration may still show the state before an
+	// order. Registrations are written about once per second and take time to arrive.
+	maxRegistrationDelay = 2500 * time.Millisecond
+	// adapterLoadTime bounds the time to load an adapter, including a round trip, while the engine
+	// loads only a few.
+	adapterLoadTime = 45 * time.Millisecond
 )
 
-// engine is what the planner knows of one model engine.
+// engine is the planner's view of one model engine.
 type engine struct {
 	server pool.Server
-	// sequence counts the orders that it has accepted since its start, as far as known;
-	// an engine's answer "busy" shows that it is wrong.
-	sequence int64
-	accepts  time.Time
-	// lost is the count that the last order without an answer presumes, and lostUntil
-	// until when it may act.
-	lost      int64
-	lostUntil time.Time
-	models    map[galenastair.ModelName]*item
-	adapters  map[galenastair.ModelName]*item
-	tasks     []task
-	// running says that an order is under way, unsure that the outcome of one is not
-	// known, so that its state must be asked for before the next.
-	running bool
-	unsure  bool
-	// strict says that this instance orders, so that what it counts must not be too low.
-	strict bool
-	rest   time.Time
+	// sequence is the number of orders accepted since the engine's start, as far as known. It is
+	// wrong if the engine answers that it is busy.
+	sequence   int64
+	acceptedAt time.Time
+	// lostSequence is the sequence number of the last unanswered order. That order may take effect
+	// until lostUntil.
+	lostSequence int64
+	lostUntil    time.Time
+	models       map[galenastair.ModelName]*modelCopy
+	adapters     map[galenastair.ModelName]*modelCopy
+	queue        []queuedOrder
+	// orderInFlight is set while a call to the engine is running. stateUnknown is set if the
+	// outcome of an order is unknown; the engine's state is then queried before the next order is
+	// sent.
+	orderInFlight bool
+	stateUnknown  bool
+	// leading is set while this instance sends the orders. What the engine holds must not be
+	// underestimated then.
+	leading bool
+	retryAt time.Time
 }
 
 func newEngine(s pool.Server) *engine {
-	e := &engine{models: map[galenastair.ModelName]*item{}, adapters: map[galenastair.ModelName]*item{}}
-	e.registered(time.Time{}, s)
+	e := &engine{models: map[galenastair.ModelName]*modelCopy{}, adapters: map[galenastair.ModelName]*modelCopy{}}
+	e.applyRegistration(time.Time{}, s)
 	return e
 }
 
-// beginTerm makes the engine's state be asked for before the first order: another
-// holder's orders may have come since its last registration.
-func (e *engine) beginTerm() { e.strict, e.unsure = true, true }
+// beginTerm has the engine's state queried before the first order, since a previous leader's
+// orders may have taken effect after its last registration.
+func (e *engine) beginTerm() { e.leading, e.stateUnknown = true, true }
 
-// endTerm forgets the orders of a term.
+// endTerm gives up all queued orders.
 func (e *engine) endTerm() {
-	for _, t := range e.tasks {
-		e.givenUp(t)
-		t.done.notify(false)
+	for _, q := range e.queue {
+		e.release(q)
+		q.done.notify(false)
 	}
-	e.tasks = nil
-	e.strict = false
+	e.queue = nil
+	e.leading = false
 }
 
-// registered takes in a registration. While this instance orders, what it lacks is
-// asked for and not dropped: a registration that was written before an order and read after its
-// effect would have a place given away twice.
-func (e *engine) registered(now time.Time, s pool.Server) {
+// applyRegistration applies a registration. While this instance leads, copies that it does not
+// list are not removed; the engine's state is queried instead. A registration that was written
+// before an order but read after its effect would otherwise free the same memory twice.
+func (e *engine) applyRegistration(now time.Time, s pool.Server) {
 	if s.Beat < e.server.Beat {
 		return
 	}
 	e.server = s
-	models, adapters := listed(s.Models)
-	lacks := syncItems(now, e.models, models, unseen, !e.strict)
-	lacks = syncItems(now, e.adapters, adapters, lateBeat, !e.strict) || lacks
-	e.unsure = e.unsure || e.strict && lacks
+	models, adapters := listedNames(s.Models)
+	missing := syncCopies(now, e.models, models, confirmTimeout, !e.leading)
+	missing = syncCopies(now, e.adapters, adapters, maxRegistrationDelay, !e.leading) || missing
+	e.stateUnknown = e.stateUnknown || e.leading && missing
 }
 
-// stated takes in the state that an idle engine gave when asked.
-func (e *engine) stated(now time.Time, s galenastair.EngineState) {
-	models, adapters := listed(s.Models)
+// applyState applies the state that an idle engine returned.
+func (e *engine) applyState(now time.Time, s galenastair.EngineState) {
+	models, adapters := listedNames(s.Models)
 	for _, name := range s.Fetching {
 		adapters[name] = true
 	}
-	syncItems(now, e.models, models, reportLag, true)
-	syncItems(now, e.adapters, adapters, reportLag, true)
-	for _, t := range e.tasks {
-		// what waits to be sent is not in the state yet, and still takes its place
-		e.count(now, t)
+	syncCopies(now, e.models, models, maxReportAge, true)
+	syncCopies(now, e.adapters, adapters, maxReportAge, true)
+	for _, q := range e.queue {
+		// queued orders are not part of the state yet, and still need their memory
+		e.reserve(now, q)
 	}
 }
 
-func listed(ms []galenastair.EngineModel) (models, adapters map[galenastair.ModelName]bool) {
+func listedNames(ms []galenastair.EngineModel) (models, adapters map[galenastair.ModelName]bool) {
 	models, adapters = map[galenastair.ModelName]bool{}, map[galenastair.ModelName]bool{}
 	for _, m := range ms {
 		models[m.Name] = true
@@ -141,57 +144,59 @@
 	return models, adapters
 }
 
-// syncItems goes by what an engine lists: what it lists is there, and what it lacks is
-// gone if drop allows that and it was not seen for so long that the list must be newer.
-// The result says that something is lacking, or has not gone, for that long.
-func syncItems(now time.Time, items map[galenastair.ModelName]*item, listed map[galenastair.ModelName]bool, late time.Duration, drop bool) bool {
-	lacks := false
-	for name, it := range items {
-		overdue := now.Sub(it.since) > late
+// syncCopies updates copies from the names that an engine lists. Listed names are present. A name
+// that is not listed is removed if drop is set and its state was last confirmed longer ago than
+// late, so that the list must be newer. The result reports whether a copy has been missing for
+// longer than late without being removed.
+func syncCopies(now time.Time, copies map[galenastair.ModelName]*modelCopy, listed map[galenastair.ModelName]bool, late time.Duration, drop bool) bool {
+	missing := false
+	for name, c := range copies {
+		overdue := now.Sub(c.stateSince) > late
 		switch {
-		case now.Before(it.inUse):
-		case listed[name] && it.state == place.Going:
-			if overdue && now.Sub(it.since) > unseen {
-				it.state = place.Ready
+		case now.Before(c.inUseUntil):
+		case listed[name] && c.state == place.Going:
+			if overdue && now.Sub(c.stateSince) > confirmTimeout {
+				c.state = place.Ready
 			}
 		case listed[name]:
-			it.state = place.Ready
-		case it.state == place.Going && it.sent || overdue && drop:
-			delete(items, name)
+			c.state = place.Ready
+		case c.state == place.Going && c.accepted || overdue && drop:
+			delete(copies, name)
 		default:
-			lacks = lacks || overdue
+			missing = missing || overdue
 		}
 	}
 	for name := range listed {
-		if items[name] == nil {
-			items[name] = &item{state: place.Ready}
+		if copies[name] == nil {
+			copies[name] = &modelCopy{state: place.Ready}
 		}
-		if items[name].state == place.Ready {
-			items[name].since = now
+		if copies[name].state == place.Ready {
+			copies[name].stateSince = now
 		}
 	}
-	return lacks
+	return missing
 }
 
-// fits says whether an order may be sent by all that the engine may hold by now: an unload that
-// acts late, or waits for its users, leaves no room for the load that was planned in its place.
-func (e *engine) fits(c *contents, t task) bool {
-	if t.kind != galenastair.LoadModel {
+// hasRoom reports whether an order can be sent given everything that the engine may hold. An
+// unload that takes effect late, or waits for requests to end, leaves no room for the load that
+// was planned to follow it.
+func (e *engine) hasRoom(models *modelSet, q queuedOrder) bool {
+	if q.kind != galenastair.LoadModel {
 		return true
 	}
-	if t.adapter != "" {
-		return len(e.adapters) <= c.engine.AdapterPlaces && e.ready(t.model)
+	if q.adapter != "" {
+		return len(e.adapters) <= models.engine.AdapterPlaces && e.ready(q.model)
 	}
-	return e.free(c) >= 0
+	return e.freeMemory(models) >= 0
 }
 
-// counts names all that is counted as held, for logs: a letter for the state of each
-// that is not simply there.
-func (e *engine) counts() string {
+// heldSummary lists what the engine is assumed to hold, for logs. A copy that is being loaded is
+// prefixed with "+", one that is being unloaded with "-".
+func (e *engine) heldSummary() string {
 	var names []string
-	for _, items := range []map[galenastair.ModelName]*item{e.models, e.adapters} {
-		for name, it := range items {
-			mark := map[place.CopyState]string{place.Coming: "+", place.Going: "-"}[it.state]
+	for _, copies := range []map[galenastair.ModelName]*modelCopy{e.models, e.adapters} {
+		for name, c := range copies {
+			mark := map[place.CopyState]string{place.Coming: "+", place.Going: "-"}[c.state]
 			names = append(names, mark+string(name))
 		}
 	}
@@ -199,75 +204,76 @@
 	return strings.Join(names, " ")
 }
 
-// moving says whether a model is being loaded or unloaded; the engine takes no other
+// inTransition reports whether a model is being loaded or unloaded. The engine accepts no other
 // order meanwhile.
-func (e *engine) moving() bool {
-	for _, it := range e.models {
-		if it.state != place.Ready {
+func (e *engine) inTransition() bool {
+	for _, c := range e.models {
+		if c.state != place.Ready {
 			return true
 		}
 	}
 	return false
 }
 
-// add queues an order and counts what it may do at once.
-func (e *engine) add(now time.Time, t task) *waiters {
-	e.count(now, t)
-	t.done = &waiters{}
-	e.tasks = append(e.tasks, t)
-	return t.done
+// enqueue queues an order and accounts for its effect at once.
+func (e *engine) enqueue(now time.Time, q queuedOrder) *waiters {
+	e.reserve(now, q)
+	q.done = &waiters{}
+	e.queue = append(e.queue, q)
+	return q.done
 }
 
-// coming returns who waits for a load that is queued or under way; nil if none is.
-func (e *engine) coming(name galenastair.ModelName) *waiters {
-	for _, t := range e.tasks {
-		if t.kind == galenastair.LoadModel && t.name() == name {
-			return t.done
+// pendingWaiters returns the waiters of a load that is queued or in flight, or nil if there is
+// none.
+func (e *engine) pendingWaiters(name galenastair.ModelName) *waiters {
+	for _, q := range e.queue {
+		if q.kind == galenastair.LoadModel && q.name() == name {
+			return q.done
 		}
 	}
 	return nil
 }
 
-// count counts what a queued order may do.
-func (e *engine) count(now time.Time, t task) {
-	items := e.itemsOf(t)
-	if t.kind == galenastair.LoadModel {
-		items[t.name()] = &item{state: place.Coming, since: now, used: now}
-	} else if it := items[t.name()]; it != nil {
-		it.state, it.since, it.sent = place.Going, now, false
+// reserve accounts for the effect of a queued order.
+func (e *engine) reserve(now time.Time, q queuedOrder) {
+	copies := e.copiesOf(q)
+	if q.kind == galenastair.LoadModel {
+		copies[q.name()] = &modelCopy{state: place.Coming, stateSince: now, lastUsed: now}
+	} else if c := copies[q.name()]; c != nil {
+		c.state, c.stateSince, c.accepted = place.Going, now, false
 	}
 }
 
-func (e *engine) itemsOf(t task) map[galenastair.ModelName]*item {
-	if t.adapter != "" {
+func (e *engine) copiesOf(q queuedOrder) map[galenastair.ModelName]*modelCopy {
+	if q.adapter != "" {
 		return e.adapters
 	}
 	return e.models
 }
 
-// accepted notes that the engine took an order.
-func (e *engine) accepted(now time.Time, t task) {
+// accepted records that the engine accepted an order.
+func (e *engine) accepted(now time.Time, q queuedOrder) {
 	e.sequence++
-	e.accepts = now
-	items := e.itemsOf(t)
+	e.acceptedAt = now
+	copies := e.copiesOf(q)
 	switch {
-	case t.adapter != "" && t.kind == galenastair.LoadModel:
-		items[t.name()] = &item{state: place.Ready, since: now, used: now}
-	case t.adapter != "":
-		// it is in use, and goes when its requests have ended
-		if it := items[t.name()]; it != nil {
-			it.inUse = now.Add(longestUse)
+	case q.adapter != "" && q.kind == galenastair.LoadModel:
+		copies[q.name()] = &modelCopy{state: place.Ready, stateSince: now, lastUsed: now}
+	case q.adapter != "":
+		// the adapter is in use, and is unloaded when its requests have ended
+		if c := copies[q.name()]; c != nil {
+			c.inUseUntil = now.Add(maxAdapterUse)
 		}
-	case t.kind == galenastair.UnloadModel:
-		e.dropAdapters(t.model)
+	case q.kind == galenastair.UnloadModel:
+		e.removeAdapters(q.model)
 	}
-	if it := items[t.name()]; it != nil {
-		it.since, it.sent = now, true
+	if c := copies[q.name()]; c != nil {
+		c.stateSince, c.accepted = now, true
 	}
 }
 
-// dropAdapters forgets the adapters of a model that goes.
-func (e *engine) dropAdapters(m galenastair.ModelName) {
+// removeAdapters removes the adapters of a model that is being unloaded.
+func (e *engine) removeAdapters(m galenastair.ModelName) {
 	prefix := string(m) + "/"
 	for name := range e.adapters {
 		if len(name) > len(prefix) && string(name[:len(prefix)]) == prefix {
@@ -276,47 +282,48 @@
 	}
 }
 
-// alreadyApplied notes that an order had nothing to do, or was done at once.
-func (e *engine) alreadyApplied(now time.Time, t task) {
-	items := e.itemsOf(t)
-	if t.kind == galenastair.LoadModel {
-		items[t.name()] = &item{state: place.Ready, since: now, used: now}
+// alreadyApplied records an order that had nothing to do or was completed at once.
+func (e *engine) alreadyApplied(now time.Time, q queuedOrder) {
+	copies := e.copiesOf(q)
+	if q.kind == galenastair.LoadModel {
+		copies[q.name()] = &modelCopy{state: place.Ready, stateSince: now, lastUsed: now}
 		return
 	}
-	delete(items, t.name())
-	if t.adapter != "" {
-		// the answer does not say whether the adapter was there, so whether this counted;
-		// counted too high, a late order could act on top of others
-		e.unsure = true
+	delete(copies, q.name())
+	if q.adapter != "" {
+		// The answer does not say whether the adapter was loaded, so it is unknown whether the
+		// engine counted this order. If sequence were too high, an unanswered order could still
+		// take effect after later ones.
+		e.stateUnknown = true
 	}
 }
 
-// givenUp takes back what a queued order was counted for.
-func (e *engine) givenUp(t task) {
-	items := e.itemsOf(t)
-	it := items[t.name()]
-	if it == nil {
+// release reverts what reserve accounted for.
+func (e *engine) release(q queuedOrder) {
+	copies := e.copiesOf(q)
+	c := copies[q.name()]
+	if c == nil {
 		return
 	}
-	if t.kind == galenastair.LoadModel && it.state == place.Coming {
-		delete(items, t.name())
-	} else if it.state == place.Going {
-		it.state = place.Ready
+	if q.kind == galenastair.LoadModel && c.state == place.Coming {
+		delete(copies, q.name())
+	} else if c.state == place.Going {
+		c.state = place.Ready
 	}
 }
 
-// free is the memory that no model or adapter can take any more.
-func (e *engine) free(c *contents) galenastair.Bytes {
-	free := c.engine.Memory
+// freeMemory returns the memory that is left when everything that may be loaded is loaded.
+func (e *engine) freeMemory(models *modelSet) galenastair.Bytes {
+	free := models.engine.Memory
 	for name := range e.models {
-		free -= c.memory(name)
+		free -= models.memory(name)
 	}
-	// all places are counted as taken, so that adapters never wait for memory
-	return free - galenastair.Bytes(c.engine.AdapterPlaces)*c.largestAdapter
+	// all adapter slots count as used, so that adapters never wait for memory
+	return free - galenastair.Bytes(models.engine.AdapterPlaces)*models.largestAdapter
 }
 
-// ready says whether a model is ready and will stay.
+// ready reports whether a model is ready on an engine that is not leaving.
 func (e *engine) ready(m galenastair.ModelName) bool {
-	it := e.models[m]
-	return it != nil && it.state == place.Ready && !e.server.Leaving
+	c := e.models[m]
+	return c != nil && c.state == place.Ready && !e.server.Leaving
 }
--- a/planner/index.go
+++ b/planner/index.go
@@ -2,35 +2,36 @@
 
 import "galenastair"
 
-// index is what the engines hold, so that a round over hundreds of engines and a thousand
-// adapters looks at each engine once.
-type index struct {
-	// ready are the engines that answer for a model, and adapters counts the copies of one.
+// engineIndex indexes the engines by what they hold, so that a round over hundreds of engines and
+// a thousand adapters visits each engine once.
+type engineIndex struct {
+	// ready lists the engines on which a model is ready. adapters counts the copies of each
+	// adapter.
 	ready    map[galenastair.ModelName][]*engine
 	adapters map[galenastair.ModelName]int
 }
 
-func (s *site) newIndex() *index {
-	x := &index{ready: map[galenastair.ModelName][]*engine{}, adapters: map[galenastair.ModelName]int{}}
+func (s *service) newEngineIndex() *engineIndex {
+	i := &engineIndex{ready: map[galenastair.ModelName][]*engine{}, adapters: map[galenastair.ModelName]int{}}
 	for _, e := range s.engines {
 		for name := range e.models {
 			if e.ready(name) {
-				x.ready[name] = append(x.ready[name], e)
+				i.ready[name] = append(i.ready[name], e)
 			}
 		}
 		if !s.preferred(e) {
 			continue
 		}
 		for name := range e.adapters {
-			x.adapters[name]++
+			i.adapters[name]++
 		}
 	}
-	return x
+	return i
 }
 
-// moved notes that an adapter is loaded, or dropped.
-func (x *index) moved(name galenastair.ModelName, by int) {
-	if x != nil {
-		x.adapters[name] += by
+// adjust changes the number of copies of an adapter.
+func (i *engineIndex) adjust(name galenastair.ModelName, by int) {
+	if i != nil {
+		i.adapters[name] += by
 	}
 }
--- a/planner/limits.go
+++ b/planner/limits.go
@@ -7,35 +7,36 @@
 	"galenastair/ratelimit"
 )
 
-// limitLife is how long a limit counts after an answer has named it: an engine that is asked for
-// nothing any more would keep it for good, and get no load.
-const limitLife = 10 * time.Second
+// limitTTL is how long a rate limit counts after an answer reported it. Without expiry, an engine
+// that no longer receives requests would keep its limit forever, and no model would be loaded
+// there.
+const limitTTL = 10 * time.Second
 
-// namedLimit is the rate that a backend server has named last, to any instance.
-type namedLimit struct {
+// reportedLimit is the latest rate limit that a backend server reported to any instance.
+type reportedLimit struct {
 	perSecond float64
 	at        time.Time
 }
 
-// noteLimits takes in what servers have named in answers to an instance.
-func (p *Planner) noteLimits(now time.Time, limits []ratelimit.Limit) {
+// recordLimits records the rate limits that servers reported to one instance.
+func (p *Planner) recordLimits(now time.Time, limits []ratelimit.Limit) {
 	for _, l := range limits {
 		at, known := now.Add(-l.Age), p.limits[l.Server]
-		if l.Age > limitLife || at.Before(known.at) {
+		if l.Age > limitTTL || at.Before(known.at) {
 			continue
 		}
 		if known.perSecond != l.PerSecond {
 			p.logger.Log("event", "limit named", "server", l.Server, "limit", l.PerSecond, "before", known.perSecond)
 		}
-		p.limits[l.Server] = namedLimit{l.PerSecond, at}
+		p.limits[l.Server] = reportedLimit{l.PerSecond, at}
 	}
 }
 
-// currentLimits returns what servers have lately named.
+// currentLimits returns the rate limits that have not expired, and removes the others.
 func (p *Planner) currentLimits(now time.Time) []ratelimit.Limit {
 	var out []ratelimit.Limit
 	for id, l := range p.limits {
-		if now.Sub(l.at) > limitLife {
+		if now.Sub(l.at) > limitTTL {
 			delete(p.limits, id)
 			continue
 		}
@@ -44,22 +45,23 @@
 	return out
 }
 
-// limited says whether an engine takes few requests for now.
-func (s *site) limited(e *engine) bool { return s.limits[e.server.ID].perSecond > 0 }
+// isLimited reports whether an engine currently has a rate limit.
+func (s *service) isLimited(e *engine) bool { return s.limits[e.server.ID].perSecond > 0 }
 
-// preferred says whether an engine is one to send requests to: others do only where none is.
-func (s *site) preferred(e *engine) bool { return !e.server.Leaving && !s.limited(e) }
+// preferred reports whether requests go to an engine by default. Others are used only if there is
+// no preferred one.
+func (s *service) preferred(e *engine) bool { return !e.server.Leaving && !s.isLimited(e) }
 
-// Admit answers for a request that is to go to a server with a limit.
-func (p *Planner) Admit(limit ratelimit.Limit, patience time.Duration) (ratelimit.Verdict, error) {
+// Admit decides when a request may be sent to a rate-limited server.
+func (p *Planner) Admit(limit ratelimit.Limit, maxWait time.Duration) (ratelimit.Verdict, error) {
 	if !p.lease.Holds() {
 		return ratelimit.Verdict{}, ErrNotPlanner
 	}
-	return p.limiter.Admit(p.clock.Now(), limit, patience), nil
+	return p.limiter.Admit(p.clock.Now(), limit, maxWait), nil
 }
 
-// index returns an instance's place among those that report.
-func (p *Planner) index(id galenastair.InstanceID) int {
+// fleetIndex returns the index of an instance among those that report.
+func (p *Planner) fleetIndex(id galenastair.InstanceID) int {
 	n := 0
 	for other := range p.reports {
 		if other < id {
--- a/planner/loads.go
+++ b/planner/loads.go
@@ -5,7 +5,7 @@
 	"galenastair/pool"
 )
 
-// loads is what requests put on each backend server.
+// loads is the load of requests on each backend server.
 type loads map[galenastair.BackendServerID]pool.Load
 
 func (l loads) add(more map[galenastair.BackendServerID]pool.Load) {
@@ -15,7 +15,7 @@
 	}
 }
 
-// subtract takes back what was added before; figures are whole numbers, so nothing is left.
+// subtract reverts add. Values are whole numbers, so no rounding error remains.
 func (l loads) subtract(less map[galenastair.BackendServerID]pool.Load) {
 	for id, m := range less {
 		sum := l[id]
@@ -29,7 +29,7 @@
 	}
 }
 
-func (l loads) keyed() map[pool.ServerKey]pool.Load {
+func (l loads) byKey() map[pool.ServerKey]pool.Load {
 	out := make(map[pool.ServerKey]pool.Load, len(l))
 	for id, load := range l {
 		out[pool.KeyOf(id)] = load
--- a/planner/message.go
+++ b/planner/message.go
@@ -13,79 +13,80 @@
 	"galenastair/registry"
 )
 
-// Report is what one instance tells the planner.
+// Report is what an instance sends to the planner in each exchange.
 type Report struct {
 	Instance galenastair.InstanceID
-	// Address is its peer address, TableVersion that of the owners that it goes by, and
-	// Stopping says that it is about to end.
+	// Address is the instance's peer address. TableVersion is the version of the owner table that
+	// it uses. Stopping is set when it is about to exit.
 	Address      string
 	Zone         galenastair.AvailabilityZone
 	TableVersion int64
 	Stopping     bool
-	// Loads is what its requests put on each backend server now.
+	// Loads is the load of the instance's requests on each backend server.
 	Loads map[galenastair.BackendServerID]pool.Load
-	// Demands is the engine time asked of each model and adapter since the last report.
+	// Demands is the engine time requested of each model and adapter since the last report.
 	Demands map[galenastair.ModelName]time.Duration
 	Asks    []quota.Ask
-	// Passed is what it leaves to the lender.
+	// ReleasedQuota is the part of the instance's quotas that it leaves to the lender.
 	Passed quota.Passed
-	// Positions are how far it has read the store's topics.
+	// Positions are the offsets up to which it has read the topics of the store.
 	Positions map[galenastair.Topic]galenastair.Offset
-	// Poisons are requests that stopped a backend server since the last report.
+	// PoisonRequests are requests that crashed a backend server since the last report.
 	Poisons []claim.Digest
-	// Absent are backend servers at whose addresses nothing listened a moment ago.
+	// Down lists backend servers that have just refused a connection.
 	Absent []galenastair.BackendServerID
-	// Seen is the number of the newest change of placement that it was told by this planner.
+	// LastChange is the number of the newest placement change received from this planner.
 	Seen int64
-	// Limits are what backend servers have named in answers to the instance.
+	// Limits are the rate limits that backend servers reported in answers to this instance.
 	Limits []ratelimit.Limit
 }
 
-// News is what the planner answers.
+// Update is the planner's reply to a Report.
 type News struct {
-	// Lapsed says that the instance that answers lends and tells on, but may hold the lease
-	// no more.
+	// LeaseExpired is set if the answering instance may no longer hold the lease. It still lends
+	// quota and passes on what others report.
 	Lapsed bool
-	// Renewal is the newest renewal of the answering instance's lease.
+	// Renewal is the latest renewal of the answering instance's lease.
 	Renewal lease.Renewal
-	// Standing is its place among the instances, as the lender counts them.
+	// QuotaStanding is the fleet size and the instance's part of the quotas, as the lender counts
+	// them.
 	Standing quota.Standing
-	// Loads is what all other instances' requests put on each backend server.
+	// Loads is the load of all other instances' requests on each backend server.
 	Loads map[pool.ServerKey]pool.Load
 	Loans []quota.Ask
-	// TableVersion is that of the owners in force, and Table names them if the instance goes
-	// by others. Grants are what it owns itself.
+	// TableVersion is the version of the owner table in force. Table is set if the instance uses
+	// another version. Grants are the shards that the instance owns.
 	TableVersion int64
 	Table        account.Table
 	Grants       []account.Grant
-	// Placed says what backend servers hold since a moment ago, Dropped what they no
-	// longer hold or are about to give up.
+	// Added lists models and adapters that have recently been loaded. Removed lists those that
+	// have been unloaded or are about to be.
 	Placed  []Placement
 	Dropped []Placement
-	// Newest numbers the newest of these changes.
+	// LastChange is the number of the newest of these changes.
 	Newest  int64
 	Poisons []claim.Digest
-	// Tails are what the planner has read of the store's topics beyond the instance's
+	// Tails are the records of the store's topics that the planner has read beyond the instance's
 	// positions.
 	Tails []Tail
-	// Limits are what backend servers have named in answers to any instance.
+	// Limits are the rate limits that backend servers reported to any instance.
 	Limits []ratelimit.Limit
-	// Index is the instance's place in the fleet, from 0.
+	// Index is the instance's index in the fleet, from 0.
 	Index int
 }
 
-// Tail is the end of one topic.
+// Tail holds the latest records of one topic.
 type Tail struct {
 	Topic galenastair.Topic
 	galenastair.KeyedBatch
-	// Age is how long ago the store confirmed the end, and FromAge how long ago it confirmed
-	// the position that the reader reported to be the end; 0 if that is not known.
+	// Age is how long ago the store confirmed the end of the topic. FromAge is how long ago it
+	// confirmed the reader's position as the end, or 0 if unknown.
 	Age     time.Duration
 	FromAge time.Duration
-	// Changes are told in place of records, where Changed says so.
+	// Changes replaces the records if Changed is set.
 	Changes []registry.Change
 	Changed bool
-	// Peer is an instance that has the records which the others lack, and Wait says that one
+	// Peer is the address of an instance that has the missing records. Wait is set if an instance
 	// will have them soon.
 	Peer string
 	Wait bool
@@ -97,10 +98,10 @@
 	Name   galenastair.ModelName
 }
 
-// Promise says where a model or adapter will be ready, and when.
+// Availability says where and when a model or adapter will be ready.
 type Promise struct {
 	Server galenastair.BackendServerID
-	// Ready is the time from now; Server is empty if nothing can be promised, and Ready then
-	// when it is worth to ask again, if that is known.
+	// ReadyIn is the time until then. If Server is empty, it is not known where a copy will be,
+	// and ReadyIn is the time after which to ask again, or 0 if that is not known either.
 	Ready time.Duration
 }
--- a/planner/need.go
+++ b/planner/need.go
@@ -8,16 +8,16 @@
 	"galenastair/place"
 )
 
-// Need promises a place for a model or adapter that a request waits for. For an
-// adapter it waits until its order was taken; for a model it foretells its load. Where one is
-// held is told also while the lease can't be renewed.
+// Need returns where a model or adapter that a request waits for will be available. For an
+// adapter, it waits until the engine has accepted the load; for a model, it estimates when the
+// load will be done. Copies that are ready are returned even while the lease cannot be renewed.
 func (p *Planner) Need(ctx context.Context, name galenastair.ModelName) (Promise, error) {
-	var promise Promise
+	var where Promise
 	var wait <-chan bool
 	err := ErrNotPlanner
 	doErr := p.loop.Do(ctx, func() {
 		if p.lease.Hosts() {
-			promise, wait = p.need(name)
+			where, wait = p.locate(name)
 			err = nil
 		}
 	})
@@ -25,48 +25,48 @@
 		return Promise{}, doErr
 	}
 	if err != nil || wait == nil {
-		return promise, err
+		return where, err
 	}
 	select {
 	case taken := <-wait:
 		if !taken {
 			return Promise{}, nil
 		}
-		return promise, nil
+		return where, nil
 	case <-ctx.Done():
 		return Promise{}, ctx.Err()
 	}
 }
 
-func (p *Planner) need(name galenastair.ModelName) (Promise, <-chan bool) {
+func (p *Planner) locate(name galenastair.ModelName) (Promise, <-chan bool) {
 	now := p.clock.Now()
 	model, adapter := splitName(name)
-	for _, s := range p.sites {
-		if !s.contents.knows(model, adapter) {
+	for _, s := range p.services {
+		if !s.modelSet.knows(model, adapter) {
 			continue
 		}
-		s.asked(now, name, 0)
-		if promise, ok := s.held(now, name, adapter != ""); ok {
-			return promise, nil
+		s.recordDemand(now, name, 0)
+		if where, ok := s.readyCopy(now, name, adapter != ""); ok {
+			return where, nil
 		}
 		if adapter == "" || s.modelCopies(model) == 0 {
-			return s.foretellModel(now, model), nil
+			return s.predictModelLoad(now, model), nil
 		}
-		return p.fetch(now, s, name)
+		return p.awaitAdapter(now, s, name)
 	}
 	return Promise{}, nil
 }
 
-// held finds the least busy engine that holds a model or adapter.
-func (s *site) held(now time.Time, name galenastair.ModelName, adapter bool) (Promise, bool) {
+// readyCopy returns the least loaded engine that holds a model or adapter.
+func (s *service) readyCopy(now time.Time, name galenastair.ModelName, adapter bool) (Promise, bool) {
 	var best *engine
 	for _, e := range s.engines {
-		items := e.models
+		copies := e.models
 		if adapter {
-			items = e.adapters
+			copies = e.adapters
 		}
-		it := items[name]
-		if it == nil || it.state != place.Ready || !s.preferred(e) {
+		c := copies[name]
+		if c == nil || c.state != place.Ready || !s.preferred(e) {
 			continue
 		}
 		if best == nil || s.load(e) < s.load(best) {
@@ -77,72 +77,72 @@
 		return Promise{}, false
 	}
 	ready := time.Duration(0)
-	if it := best.adapters[name]; it != nil {
-		ready = max(0, it.since.Add(adapterLoad).Sub(now))
+	if c := best.adapters[name]; c != nil {
+		ready = max(0, c.stateSince.Add(adapterLoadTime).Sub(now))
 	}
 	return Promise{Server: best.server.ID, Ready: ready}, true
 }
 
-// foretellModel says when a model that is being loaded will answer, or may be loaded: a caller
-// that is told to come back sooner is refused again, and gives up.
-func (s *site) foretellModel(now time.Time, m galenastair.ModelName) Promise {
+// predictModelLoad estimates when a model that is being loaded, or may be loaded, will be ready. A
+// caller that is told to retry sooner is refused again and gives up.
+func (s *service) predictModelLoad(now time.Time, m galenastair.ModelName) Promise {
 	for _, e := range s.engines {
-		it := e.models[m]
-		if it == nil || it.state != place.Coming || e.server.Leaving {
+		c := e.models[m]
+		if c == nil || c.state != place.Coming || e.server.Leaving {
 			continue
 		}
-		left := it.since.Add(s.contents.models[m].Load).Sub(now)
+		left := c.stateSince.Add(s.modelSet.models[m].Load).Sub(now)
 		return Promise{Server: e.server.ID, Ready: max(0, left)}
 	}
-	return Promise{Ready: makingRoom + s.contents.models[m].Load}
+	return Promise{Ready: evictionTime + s.modelSet.models[m].Load}
 }
 
-// makingRoom is what it usually takes until a model that nobody has can be loaded: a round,
-// an unload, and the end of the requests that use what goes.
-const makingRoom = time.Second
+// evictionTime is how long it typically takes before a model without a copy can be loaded: a
+// planning round, an unload, and the end of the requests that use the unloaded model.
+const evictionTime = time.Second
 
-// fetch returns where an adapter will be, and what tells the end of its order: one that is under
-// way already, or else a new one. An engine whose last order got no answer comes last, since its
-// next order waits until its state is known.
-func (p *Planner) fetch(now time.Time, s *site, name galenastair.ModelName) (Promise, <-chan bool) {
-	unsure, pending := p.coming(s, name)
-	if pending != nil && !unsure {
-		return pending.promise()
+// awaitAdapter returns where an adapter will be, and a channel that receives the outcome of its
+// load: one that is already queued, or else a new one. An engine whose last order got no answer is
+// used only if there is no other, since it takes no order until its state is known.
+func (p *Planner) awaitAdapter(now time.Time, s *service, name galenastair.ModelName) (Promise, <-chan bool) {
+	stateUnknown, pending := p.findPendingLoad(s, name)
+	if pending != nil && !stateUnknown {
+		return pending.availability()
 	}
 	if _, ok := p.lease.Order(); !ok {
-		return pending.promise()
+		return pending.availability()
 	}
 	e, done := s.loadAdapter(now, name, place.Unreachable)
 	if e == nil {
-		return pending.promise()
+		return pending.availability()
 	}
-	p.startEngine(now, s, e)
-	return (&pendingLoad{e, done}).promise()
+	p.sendNextOrder(now, s, e)
+	return (&pendingLoad{e, done}).availability()
 }
 
-// pendingLoad is a load that an engine has been or will be ordered.
+// pendingLoad is a load that is queued on an engine or in flight.
 type pendingLoad struct {
 	engine *engine
 	done   *waiters
 }
 
-// promise says where and when the load will be; nowhere if there is none.
-func (l *pendingLoad) promise() (Promise, <-chan bool) {
+// availability returns where and when the load will be ready, or nothing for a nil load.
+func (l *pendingLoad) availability() (Promise, <-chan bool) {
 	if l == nil {
 		return Promise{}, nil
 	}
-	return Promise{Server: l.engine.server.ID, Ready: adapterLoad}, l.done.add()
+	return Promise{Server: l.engine.server.ID, Ready: adapterLoadTime}, l.done.add()
 }
 
-// coming finds a load of an adapter that is queued or under way, on an engine whose state is
-// known if there is one.
-func (p *Planner) coming(s *site, name galenastair.ModelName) (unsure bool, found *pendingLoad) {
+// findPendingLoad returns a load of an adapter that is queued or in flight, preferably on an
+// engine whose state is known.
+func (p *Planner) findPendingLoad(s *service, name galenastair.ModelName) (stateUnknown bool, found *pendingLoad) {
 	for _, e := range s.engines {
-		done := e.coming(name)
-		if done == nil || !s.preferred(e) || found != nil && e.unsure {
+		done := e.pendingWaiters(name)
+		if done == nil || !s.preferred(e) || found != nil && e.stateUnknown {
 			continue
 		}
-		unsure, found = e.unsure, &pendingLoad{e, done}
+		stateUnknown, found = e.stateUnknown, &pendingLoad{e, done}
 	}
-	return unsure, found
+	return stateUnknown, found
 }
--- a/planner/news.go
+++ b/planner/news.go
@@ -7,45 +7,46 @@
 	"galenastair/place"
 )
 
-// newsAt is a change of what a backend server holds.
-type newsAt struct {
+// placementChange is a change in what a backend server holds.
+type placementChange struct {
 	Placement
-	dropped bool
-	at      time.Time
-	number  int64
+	removed  bool
+	at       time.Time
+	sequence int64
 }
 
-// announce adds a change for all instances; it takes back an earlier one of the same.
-func (p *Planner) announce(now time.Time, at Placement, dropped bool) {
-	p.news = slices.DeleteFunc(p.news, func(c newsAt) bool { return c.Placement == at })
-	p.newest++
-	p.news = append(p.news, newsAt{at, dropped, now, p.newest})
+// publishChange adds a change for all instances and replaces an earlier one for the same
+// placement.
+func (p *Planner) publishChange(now time.Time, at Placement, removed bool) {
+	p.changes = slices.DeleteFunc(p.changes, func(c placementChange) bool { return c.Placement == at })
+	p.lastChange++
+	p.changes = append(p.changes, placementChange{at, removed, now, p.lastChange})
 }
 
-// announceUnload tells of what engines are about to give up, once.
-func (p *Planner) announceUnload(now time.Time, at Placement) {
-	known := func(c newsAt) bool { return c.Placement == at && c.dropped }
-	if !slices.ContainsFunc(p.news, known) {
-		p.announce(now, at, true)
+// publishUnload publishes a placement as removed, unless that has been published already.
+func (p *Planner) publishUnload(now time.Time, at Placement) {
+	known := func(c placementChange) bool { return c.Placement == at && c.removed }
+	if !slices.ContainsFunc(p.changes, known) {
+		p.publishChange(now, at, true)
 	}
 }
 
-func (p *Planner) expireNews(now time.Time) {
-	for len(p.news) > 0 && now.Sub(p.news[0].at) > newsLife {
-		p.news = p.news[1:]
+func (p *Planner) expireChanges(now time.Time) {
+	for len(p.changes) > 0 && now.Sub(p.changes[0].at) > changeTTL {
+		p.changes = p.changes[1:]
 	}
-	for len(p.poisons) > 0 && now.Sub(p.poisons[0].at) > newsLife {
-		p.poisons = p.poisons[1:]
+	for len(p.poisonRequests) > 0 && now.Sub(p.poisonRequests[0].at) > changeTTL {
+		p.poisonRequests = p.poisonRequests[1:]
 	}
 }
 
-// announceUnloads tells of all that engines are about to give up.
-func (p *Planner) announceUnloads(now time.Time) {
-	for _, s := range p.sites {
+// publishUnloads publishes all models that are being unloaded.
+func (p *Planner) publishUnloads(now time.Time) {
+	for _, s := range p.services {
 		for id, e := range s.engines {
-			for name, it := range e.models {
-				if it.state == place.Going {
-					p.announceUnload(now, Placement{id, name})
+			for name, c := range e.models {
+				if c.state == place.Going {
+					p.publishUnload(now, Placement{id, name})
 				}
 			}
 		}
--- a/planner/note.go
+++ b/planner/note.go
@@ -7,28 +7,28 @@
 	"galenastair/quota"
 )
 
-// Note is what a leader leaves on the platform for those that come after it.
+// LeaderState is what a leader stores on the platform for its successors.
 type Note struct {
 	quota.Note
-	// Table names the owners of the organisations' accounts, if they have any.
+	// Table assigns the organisations' accounts to owners, if they have any.
 	account.Table
 }
 
-// SetNote takes in what a leader before this one left on the platform.
+// SetInheritedState sets the state that a previous leader stored.
 func (p *Planner) SetNote(ctx context.Context, n Note) error {
-	return p.loop.Post(ctx, func() { p.note = n })
+	return p.loop.Post(ctx, func() { p.inherited = n })
 }
 
-// Note returns what is to be left on the platform; false if this instance has nothing to
-// say, as it does not plan or has not counted the instances yet.
+// LeaderState returns the state to store. It returns false if this instance does not lead or has
+// not counted the instances yet.
 func (p *Planner) Note(ctx context.Context) (Note, bool) {
 	var n Note
 	ok := false
 	err := p.loop.Do(ctx, func() {
 		switch {
-		case !p.held || !p.lease.Holds():
-		case p.owned:
-			n, ok = p.ownersNote()
+		case !p.leading || !p.lease.Holds():
+		case p.hasOwners:
+			n, ok = p.ownersState()
 		default:
 			n.Note, ok = p.lender.Note(p.clock.Now())
 		}
@@ -36,13 +36,13 @@
 	return n, ok && err == nil
 }
 
-// Noted takes in that a note of this term stands on the platform.
+// StateStored records that the platform has stored a state of this term.
 func (p *Planner) Noted(ctx context.Context, n Note) error {
 	return p.loop.Post(ctx, func() {
 		switch {
-		case !p.held:
+		case !p.leading:
 		case n.Version != 0:
-			p.ownersNoted(n.Table)
+			p.ownersStored(n.Table)
 		default:
 			p.lender.Noted(n.Note)
 		}
--- a/planner/order.go
+++ b/planner/order.go
@@ -6,69 +6,70 @@
 	"galenastair"
 )
 
-// reportLag is how old an engine's report may be: "some hundred ms" by its page.
-const reportLag = time.Second
+// maxReportAge bounds the age of the state that an engine returns. Engines document it as some
+// hundred milliseconds.
+const maxReportAge = time.Second
 
-// start gives each engine its next order.
-func (p *Planner) start(now time.Time, s *site) {
+// sendOrders sends each engine its next order.
+func (p *Planner) sendOrders(now time.Time, s *service) {
 	for _, e := range s.engines {
-		p.startEngine(now, s, e)
+		p.sendNextOrder(now, s, e)
 	}
 }
 
-func (p *Planner) startEngine(now time.Time, s *site, e *engine) {
-	if e.running || now.Before(e.rest) || len(e.tasks) == 0 && !e.unsure {
+func (p *Planner) sendNextOrder(now time.Time, s *service, e *engine) {
+	if e.orderInFlight || now.Before(e.retryAt) || len(e.queue) == 0 && !e.stateUnknown {
 		return
 	}
-	if e.unsure {
-		p.ask(s, e)
+	if e.stateUnknown {
+		p.requestState(s, e)
 		return
 	}
 	fence, ok := p.lease.Order()
 	if !ok {
 		return
 	}
-	t := e.tasks[0]
-	if !e.fits(s.contents, t) {
-		p.logger.Log("event", "order dropped", "kind", t.kind, "name", t.name(), "server", e.server.ID, "reason", t.reason)
-		p.drop(e, t)
+	q := e.queue[0]
+	if !e.hasRoom(s.modelSet, q) {
+		p.logger.Log("event", "order dropped", "kind", q.kind, "name", q.name(), "server", e.server.ID, "reason", q.reason)
+		p.abandon(e, q)
 		return
 	}
 	order := galenastair.EngineOrder{
-		Kind:     t.kind,
-		Model:    t.model,
-		Adapter:  t.adapter,
+		Kind:     q.kind,
+		Model:    q.model,
+		Adapter:  q.adapter,
 		Sequence: e.sequence,
 		Holder:   p.self,
 		Fence:    fence,
 		Expect:   e.server.ID,
 	}
-	e.running = true
-	held := e.counts()
-	// the engine's registration is the loop's: it may be written while the order is sent
+	e.orderInFlight = true
+	held := e.heldSummary()
+	// the registration belongs to the control loop, which may write it while the order is sent
 	address := e.server.Address
-	p.tasks.Go(func() { p.send(s, e, t, address, order, held) })
+	p.inFlight.Go(func() { p.send(s, e, q, address, order, held) })
 }
 
-// send gives one order. The lease is checked once more right before: this process may
-// have stood still since it was planned.
-func (p *Planner) send(s *site, e *engine, t task, address string, o galenastair.EngineOrder, held string) {
+// send sends one order. It checks the lease again immediately before the call, since the process
+// may have been suspended after the order was planned.
+func (p *Planner) send(s *service, e *engine, q queuedOrder, address string, o galenastair.EngineOrder, held string) {
 	answer, err := galenastair.OrderWrong, ErrNotPlanner
 	fence, ok := p.lease.Order()
 	sent := ok && fence == o.Fence
 	if sent {
 		answer, err = p.control.Order(p.ctx, address, o)
 	}
-	p.logger.Log("event", "order", "kind", t.kind, "name", t.name(), "server", o.Expect, "reason", t.reason,
-		"fence", int64(o.Fence), "sequence", o.Sequence, "held", held, "answer", outcome(answer, err), "err", err)
-	p.ordered(t.kind, t.reason, outcome(answer, err))
+	p.logger.Log("event", "order", "kind", q.kind, "name", q.name(), "server", o.Expect, "reason", q.reason,
+		"fence", int64(o.Fence), "sequence", o.Sequence, "held", held, "answer", outcomeLabel(answer, err), "err", err)
+	p.onOrder(q.kind, q.reason, outcomeLabel(answer, err))
 	_ = p.loop.Post(p.ctx, func() {
-		e.running = false
-		p.ended(s, e, t, o, sent, answer, err)
+		e.orderInFlight = false
+		p.handleOutcome(s, e, q, o, sent, answer, err)
 	})
 }
 
-func outcome(a galenastair.OrderAnswer, err error) string {
+func outcomeLabel(a galenastair.OrderAnswer, err error) string {
 	if err != nil {
 		return "Unknown"
 	}
@@ -87,128 +88,128 @@
 	return "Wrong"
 }
 
-// ended takes in the outcome of an order.
-func (p *Planner) ended(s *site, e *engine, t task, o galenastair.EngineOrder, sent bool, a galenastair.OrderAnswer, err error) {
+// handleOutcome processes the outcome of an order.
+func (p *Planner) handleOutcome(s *service, e *engine, q queuedOrder, o galenastair.EngineOrder, sent bool, a galenastair.OrderAnswer, err error) {
 	now := p.clock.Now()
 	switch {
 	case !sent:
-		p.drop(e, t)
+		p.abandon(e, q)
 		return
 	case err != nil:
-		// it may act seconds later, but not once another order was accepted; the
-		// engine's state tells whether it has
-		e.unsure, e.rest = true, now.Add(lostRest)
-		e.lost, e.lostUntil = o.Sequence, now.Add(longestLate)
+		// the order may still take effect seconds later, unless another order is accepted first;
+		// the engine's state shows whether it has
+		e.stateUnknown, e.retryAt = true, now.Add(unansweredRetryDelay)
+		e.lostSequence, e.lostUntil = o.Sequence, now.Add(maxOrderDelay)
 		return
 	}
 	switch a {
 	case galenastair.OrderAccepted:
-		e.accepted(now, t)
-		p.finish(now, e, t)
+		e.accepted(now, q)
+		p.finish(now, e, q)
 	case galenastair.OrderHeld:
-		e.alreadyApplied(now, t)
-		p.finish(now, e, t)
+		e.alreadyApplied(now, q)
+		p.finish(now, e, q)
 	case galenastair.OrderBusy:
-		e.unsure, e.rest = true, now.Add(busyRest)
+		e.stateUnknown, e.retryAt = true, now.Add(busyRetryDelay)
 		return
 	case galenastair.OrderFenced:
 		p.lease.Refused(o.Fence)
-		p.drop(e, t)
+		p.abandon(e, q)
 	default:
-		p.drop(e, t)
-		e.unsure = true
+		p.abandon(e, q)
+		e.stateUnknown = true
 	}
-	p.startEngine(now, s, e)
+	p.sendNextOrder(now, s, e)
 }
 
-func (p *Planner) finish(now time.Time, e *engine, t task) {
-	p.removeTask(e, t)
-	t.done.notify(true)
+func (p *Planner) finish(now time.Time, e *engine, q queuedOrder) {
+	p.dequeue(e, q)
+	q.done.notify(true)
 	switch {
-	case t.kind == galenastair.UnloadModel:
-		p.announce(now, Placement{e.server.ID, t.name()}, true)
-	case t.adapter != "":
-		p.announce(now, Placement{e.server.ID, t.name()}, false)
+	case q.kind == galenastair.UnloadModel:
+		p.publishChange(now, Placement{e.server.ID, q.name()}, true)
+	case q.adapter != "":
+		p.publishChange(now, Placement{e.server.ID, q.name()}, false)
 	}
 }
 
-func (p *Planner) drop(e *engine, t task) {
-	if p.removeTask(e, t) {
-		e.givenUp(t)
+func (p *Planner) abandon(e *engine, q queuedOrder) {
+	if p.dequeue(e, q) {
+		e.release(q)
 	}
-	t.done.notify(false)
+	q.done.notify(false)
 }
 
-// removeTask takes a task off its queue; a new term may have emptied that meanwhile.
-func (p *Planner) removeTask(e *engine, t task) bool {
-	if len(e.tasks) == 0 || e.tasks[0].name() != t.name() || e.tasks[0].kind != t.kind {
+// dequeue removes an order from its queue, unless a new term has cleared the queue meanwhile.
+func (p *Planner) dequeue(e *engine, q queuedOrder) bool {
+	if len(e.queue) == 0 || e.queue[0].name() != q.name() || e.queue[0].kind != q.kind {
 		return false
 	}
-	e.tasks = e.tasks[1:]
+	e.queue = e.queue[1:]
 	return true
 }
 
-// ask reads an engine's state where the outcome of an order is not known.
-func (p *Planner) ask(s *site, e *engine) {
-	e.running = true
+// requestState queries the state of an engine after an order whose outcome is unknown.
+func (p *Planner) requestState(s *service, e *engine) {
+	e.orderInFlight = true
 	address, id := e.server.Address, e.server.ID
-	p.tasks.Go(func() {
+	p.inFlight.Go(func() {
 		state, err := p.control.State(p.ctx, address, id)
 		_ = p.loop.Post(p.ctx, func() {
-			e.running = false
+			e.orderInFlight = false
 			p.handleState(s, e, state, err)
 		})
 	})
 }
 
-// handleState takes in an engine's state. If it has accepted more orders than were counted,
-// one without an answer has acted.
-func (p *Planner) handleState(s *site, e *engine, state galenastair.EngineState, err error) {
+// handleState processes the state of an engine. If it has accepted more orders than were counted,
+// an unanswered order has taken effect.
+func (p *Planner) handleState(s *service, e *engine, state galenastair.EngineState, err error) {
 	now := p.clock.Now()
 	p.logger.Log("event", "engine state", "server", e.server.ID, "sequence", state.Sequence, "counted", e.sequence, "busy", state.Busy, "err", err)
 	switch {
 	case err != nil:
-		e.rest = now.Add(lostRest)
+		e.retryAt = now.Add(unansweredRetryDelay)
 		return
 	case state.Busy:
-		e.rest = now.Add(busyRest)
+		e.retryAt = now.Add(busyRetryDelay)
 		return
-	case state.Sequence < e.sequence && now.Sub(e.accepts) < reportLag:
-		// the report is older than the last order
-		e.rest = now.Add(busyRest)
+	case state.Sequence < e.sequence && now.Sub(e.acceptedAt) < maxReportAge:
+		// the state is older than the last accepted order
+		e.retryAt = now.Add(busyRetryDelay)
 		return
 	}
-	if state.Sequence < e.lost && now.Before(e.lostUntil) {
-		e.rest = e.lostUntil
+	if state.Sequence < e.lostSequence && now.Before(e.lostUntil) {
+		e.retryAt = e.lostUntil
 		return
 	}
-	if state.Sequence > e.sequence && len(e.tasks) > 0 {
-		p.acted(now, e, state)
+	if state.Sequence > e.sequence && len(e.queue) > 0 {
+		p.finishIfApplied(now, e, state)
 	}
 	e.sequence = state.Sequence
-	e.stated(now, state)
-	e.unsure = false
-	p.startEngine(now, s, e)
+	e.applyState(now, state)
+	e.stateUnknown = false
+	p.sendNextOrder(now, s, e)
 }
 
-// acted finishes the first task if the state shows its effect.
-func (p *Planner) acted(now time.Time, e *engine, state galenastair.EngineState) {
-	t := e.tasks[0]
+// finishIfApplied completes the first queued order if the state shows its effect.
+func (p *Planner) finishIfApplied(now time.Time, e *engine, state galenastair.EngineState) {
+	q := e.queue[0]
 	has := false
 	for _, m := range state.Models {
-		if m.Name != t.model {
+		if m.Name != q.model {
 			continue
 		}
-		has = t.adapter == ""
+		has = q.adapter == ""
 		for _, a := range m.Adapters {
-			has = has || a == t.adapter
+			has = has || a == q.adapter
 		}
 	}
 	for _, f := range state.Fetching {
-		has = has || f == t.name()
+		has = has || f == q.name()
 	}
-	if has == (t.kind == galenastair.LoadModel) {
-		e.alreadyApplied(now, t)
-		p.finish(now, e, t)
+	if has == (q.kind == galenastair.LoadModel) {
+		e.alreadyApplied(now, q)
+		p.finish(now, e, q)
 	}
 }
--- a/planner/owners.go
+++ b/planner/owners.go
@@ -6,49 +6,49 @@
 	"galenastair/account"
 )
 
-// mostLent is the largest fleet whose quotas one instance lends. In a larger one each
-// organisation has an owner: the calls of all would be more than one instance answers, and
-// the part of each pays for no request while nobody lends.
-const mostLent = 24
-
-// beginOwners begins a term by what the leader before has left.
-func (p *Planner) beginOwners() {
-	p.assigner.Reset(p.boot(), p.note.Table)
-	p.owned = p.note.Version != 0
-	p.decided = p.owned || len(p.note.Instances) > 0
+// maxLendingFleet is the largest fleet whose quotas one instance lends. In a larger one, each
+// organisation has an owner instance: a single instance could not answer all calls, and while
+// there is no lender, the part of each instance would be too small for any request.
+const maxLendingFleet = 24
+
+// resetOwners initialises the owners of a term from the state of the previous leader.
+func (p *Planner) resetOwners() {
+	p.assigner.Reset(p.bootClock(), p.inherited.Table)
+	p.hasOwners = p.inherited.Version != 0
+	p.ownersDecided = p.hasOwners || len(p.inherited.Instances) > 0
 }
 
-// decideOwners has a large fleet's quotas kept by owners, if it is large when it is first
-// counted. Parts that were dealt are their instances' until all are started again.
+// decideOwners assigns quotas to owners if the fleet is large when it is first counted. Parts that
+// have been handed out remain valid until all instances restart.
 func (p *Planner) decideOwners(now time.Time) {
-	if p.decided || !p.lender.Counted(now) {
+	if p.ownersDecided || !p.lender.Counted(now) {
 		return
 	}
-	p.owned = p.lender.Fleet(now) > mostLent
-	p.decided = true
+	p.hasOwners = p.lender.Fleet(now) > maxLendingFleet
+	p.ownersDecided = true
 }
 
-// addOwners adds to the news who owns what.
-func (p *Planner) addOwners(r Report, news *News) {
-	now := p.boot()
+// addOwners adds the owner table and the instance's grants to the update.
+func (p *Planner) addOwners(r Report, update *News) {
+	now := p.bootClock()
 	p.assigner.Heard(now, r.Address, r.TableVersion, r.Stopping)
-	if !p.owned {
+	if !p.hasOwners {
 		return
 	}
-	news.Standing.Part, news.Standing.Moderate = 0, nil
+	update.Standing.Part, update.Standing.Moderate = 0, nil
 	table := p.assigner.Table()
-	news.TableVersion = table.Version
+	update.TableVersion = table.Version
 	if r.TableVersion != table.Version {
-		news.Table = table
+		update.Table = table
 	}
-	news.Grants = p.assigner.Grants(now, r.Address)
+	update.Grants = p.assigner.Grants(now, r.Address)
 }
 
-// ownersNote is what is to be left on the platform; false while nobody is there to own.
-func (p *Planner) ownersNote() (Note, bool) {
-	table, ok := p.assigner.Next(p.boot())
+// ownersState returns the owner table to store, or false while no instance can own quotas.
+func (p *Planner) ownersState() (Note, bool) {
+	table, ok := p.assigner.Next(p.bootClock())
 	return Note{Table: table}, ok
 }
 
-// ownersNoted takes in that a table stands on the platform.
-func (p *Planner) ownersNoted(t account.Table) { p.assigner.Noted(p.boot(), t) }
+// ownersStored records that the platform has stored a table.
+func (p *Planner) ownersStored(t account.Table) { p.assigner.Noted(p.bootClock(), t) }
--- a/planner/owners_test.go
+++ b/planner/owners_test.go
@@ -12,15 +12,15 @@
 	"galenastair/quota"
 )
 
-// A small fleet whose instances hold parts of the quotas grows, and owners grant the whole
-// beside the parts.
-func TestPartsAreNotFollowedByOwners(t *testing.T) {
+// A fleet that is small at first holds parts of the quotas. If owners took over when it grows,
+// they would grant the whole quota in addition to the parts.
+func TestSmallFleetThatGrowsKeepsParts(t *testing.T) {
 	is := is.New(t)
 	p := New("me", quota.Terms{Window: 8 * time.Second}, nil, nil, control.NewLoop())
 	now := time.Unix(1000, 0)
 	p.lender.Reset(now, quota.Note{})
-	p.beginOwners()
-	heard := func(from, to int) {
+	p.resetOwners()
+	report := func(from, to int) {
 		for i := from; i < to; i++ {
 			p.decideOwners(now)
 			p.lender.Heard(now, galenastair.InstanceID(fmt.Sprint("i", i)), quota.Passed{})
@@ -28,31 +28,32 @@
 	}
 	for range 40 {
 		now = now.Add(100 * time.Millisecond)
-		heard(0, 7)
+		report(0, 7)
 	}
-	is.True(!p.owned)
+	is.True(!p.hasOwners)
 	for range 40 {
 		now = now.Add(100 * time.Millisecond)
-		heard(0, 40)
+		report(0, 40)
 	}
-	is.True(!p.owned)
+	is.True(!p.hasOwners)
 }
 
-// A large fleet that starts for the first time goes by parts that pay for nothing.
+// A large fleet without stored state uses owners. With parts, each instance's part would be too
+// small for any request.
 func TestLargeFleetHasOwners(t *testing.T) {
 	is := is.New(t)
 	p := New("me", quota.Terms{Window: 8 * time.Second}, nil, nil, control.NewLoop())
 	now := time.Unix(1000, 0)
 	p.lender.Reset(now, quota.Note{})
-	p.beginOwners()
+	p.resetOwners()
 	for range 40 {
 		now = now.Add(100 * time.Millisecond)
 		for i := range 30 {
 			p.decideOwners(now)
-			if !p.owned {
+			if !p.hasOwners {
 				p.lender.Heard(now, galenastair.InstanceID(fmt.Sprint("i", i)), quota.Passed{})
 			}
 		}
 	}
-	is.True(p.owned)
+	is.True(p.hasOwners)
 }
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -20,127 +20,132 @@
 	"galenastair/ratelimit"
 )
 
-// ErrNotPlanner says that this instance does not hold the lease.
-var ErrNotPlanner = eris.New("this instance does not plan")
+// ErrNotPlanner is returned by an instance that does not hold the lease.
+var ErrNotPlanner = eris.New("this instance does not hold the planner lease")
 
 const (
-	// tickPeriod is how often the planner looks: a few times in the time of a load.
-	tickPeriod = 200 * time.Millisecond
-	// forecastPeriod is how often demand becomes a rate; a report comes at least as often.
-	forecastPeriod = 500 * time.Millisecond
-	// reportLife is how long an instance's loads count after its last report.
-	reportLife = 1500 * time.Millisecond
-	// newsLife is how long a change is told to all; a few exchanges long.
-	newsLife = 2 * time.Second
-	// busyRest is when an engine is asked again that was busy with another order.
-	busyRest = 120 * time.Millisecond
-	// lostRest is when an engine is asked for its state after an order without an
-	// answer: its report is some hundred milliseconds old.
-	lostRest = 400 * time.Millisecond
-	// firstRound is how long a new term listens before it plans: without the demand
-	// of all instances it would take busy models for idle ones.
-	firstRound = 900 * time.Millisecond
+	// planInterval is the time between planning rounds. A model load takes several of them.
+	planInterval = 200 * time.Millisecond
+	// forecastInterval is the time between forecast updates. Instances with demand report at least
+	// as often.
+	forecastInterval = 500 * time.Millisecond
+	// reportTTL is how long the load that an instance reported counts without a new report.
+	reportTTL = 1500 * time.Millisecond
+	// changeTTL is how long a placement change is included in exchanges. It spans several
+	// exchanges, so that a lost one does not lose the change.
+	changeTTL = 2 * time.Second
+	// busyRetryDelay is the wait before the next call to an engine that was executing another
+	// order.
+	busyRetryDelay = 120 * time.Millisecond
+	// unansweredRetryDelay is the wait before the state of an engine is queried after an order got
+	// no answer. Engine state lags by some hundred milliseconds.
+	unansweredRetryDelay = 400 * time.Millisecond
+	// termWarmUp is how long a new leader collects reports before it plans. With the demand of
+	// only some instances, it would take busy models for idle ones.
+	termWarmUp = 900 * time.Millisecond
 )
 
-// Lease tells whether this instance may act for all.
+// Lease reports whether this instance may act as the leader.
 type Lease interface {
-	// Order returns the fence for an order sent now; false if none may be sent.
+	// OrderFence returns the fencing number for an order sent now, or false if none may be sent.
 	Order() (galenastair.Fence, bool)
-	// Holds says whether this instance has the lease.
+	// Holds reports whether this instance holds the lease.
 	Holds() bool
-	// Hosts says whether it hears the others and lends, as it may for some time after.
+	// ServesPeers reports whether this instance answers exchanges and lends quota. It does so for
+	// some time after its lease has expired.
 	Hosts() bool
-	// Refused says that an engine has seen a higher fence than this.
+	// FenceRefused records that an engine has seen a higher fencing number than this one.
 	Refused(galenastair.Fence)
 }
 
-// Planner plans and gives orders while the lease is this instance's.
+// Planner plans placements and sends orders while this instance holds the lease.
 type Planner struct {
-	self    string
-	control galenastair.EngineControl
-	lease   Lease
-	loop    *control.Loop
-	clock   galenastair.Clock
-	logger  log.Logger
-	tasks   sync.WaitGroup
-	limiter *ratelimit.Limiter
-	ordered func(kind galenastair.OrderKind, reason place.Reason, outcome string)
+	self     string
+	control  galenastair.EngineControl
+	lease    Lease
+	loop     *control.Loop
+	clock    galenastair.Clock
+	logger   log.Logger
+	inFlight sync.WaitGroup
+	limiter  *ratelimit.Limiter
+	onOrder  func(kind galenastair.OrderKind, reason place.Reason, outcome string)
 
-	// the rest is owned by the control loop
-	ctx     context.Context
-	sites   map[galenastair.ServiceName]*site
-	servers map[galenastair.BackendServerID]pool.Server
-	// absent are servers at whose addresses nothing listens, by when that was said last.
-	absent  map[galenastair.BackendServerID]time.Time
+	// the fields below are accessed only in the control loop
+	ctx      context.Context
+	services map[galenastair.ServiceName]*service
+	servers  map[galenastair.BackendServerID]pool.Server
+	// downAt holds the servers that refuse connections, with the time of the last such report.
+	downAt  map[galenastair.BackendServerID]time.Time
 	lender  *quota.Lender
-	reports map[galenastair.InstanceID]report
-	// loads is the sum of all reports.
-	loads  loads
-	limits map[galenastair.BackendServerID]namedLimit
-	news   []newsAt
-	// newest numbers the changes in the news, over all terms of this process.
-	newest  int64
-	poisons []poisonAt
-	held    bool
-	// note is what the leader before left.
-	note Note
-	// owned says that organisations have owners, whom the assigner deals them to, and decided
-	// that it is settled whether they have.
-	owned    bool
-	decided  bool
-	assigner *account.Assigner
-	boot     boottime.Clock
-	since    time.Time
-	foretold time.Time
+	reports map[galenastair.InstanceID]instanceReport
+	// loads is the sum over all reports.
+	loads   loads
+	limits  map[galenastair.BackendServerID]reportedLimit
+	changes []placementChange
+	// lastChange is the sequence number of the newest entry in changes. It is not reset between
+	// terms.
+	lastChange     int64
+	poisonRequests []poisonReport
+	leading        bool
+	// inherited is the state that the previous leader stored.
+	inherited Note
+	// hasOwners reports that the quotas of organisations are assigned to owner instances.
+	// ownersDecided reports that this question is settled for the term.
+	hasOwners     bool
+	ownersDecided bool
+	assigner      *account.Assigner
+	bootClock     boottime.Clock
+	termStart     time.Time
+	lastForecast  time.Time
 }
 
-type report struct {
+type instanceReport struct {
 	loads map[galenastair.BackendServerID]pool.Load
 	at    time.Time
 }
 
-type poisonAt struct {
+type poisonReport struct {
 	digest claim.Digest
 	from   galenastair.InstanceID
 	at     time.Time
 }
 
-// Option varies a Planner.
+// Option configures a Planner.
 type Option func(*Planner)
 
-// WithLogger sets where orders and their ends are logged.
+// WithLogger sets the logger for orders and their outcomes.
 func WithLogger(l log.Logger) Option { return func(p *Planner) { p.logger = l } }
 
-// WithClock replaces the clock of the machine.
+// WithClock replaces the system clock.
 func WithClock(c galenastair.Clock) Option { return func(p *Planner) { p.clock = c } }
 
-// WithOrdered sets what is told of each order's outcome.
+// WithOrderHook sets a function that is called with the outcome of each order.
 func WithOrdered(f func(galenastair.OrderKind, place.Reason, string)) Option {
-	return func(p *Planner) { p.ordered = f }
+	return func(p *Planner) { p.onOrder = f }
 }
 
-// New returns a planner that does nothing until Run and while the lease is another's;
-// self names it in orders.
-func New(self string, t quota.Terms, c galenastair.EngineControl, d Lease, loop *control.Loop, opts ...Option) *Planner {
+// New returns a planner that is idle until Run is called and the lease is held. self identifies it
+// as the sender of orders.
+func New(self string, t quota.Terms, c galenastair.EngineControl, l Lease, loop *control.Loop, opts ...Option) *Planner {
 	p := &Planner{
-		self:     self,
-		control:  c,
-		lease:    d,
-		loop:     loop,
-		clock:    galenastair.SystemClock{},
-		logger:   log.NewNopLogger(),
-		ordered:  func(galenastair.OrderKind, place.Reason, string) {},
-		ctx:      context.Background(),
-		sites:    map[galenastair.ServiceName]*site{},
-		servers:  map[galenastair.BackendServerID]pool.Server{},
-		absent:   map[galenastair.BackendServerID]time.Time{},
-		lender:   quota.NewLender(t),
-		loads:    loads{},
-		limits:   map[galenastair.BackendServerID]namedLimit{},
-		limiter:  ratelimit.NewLimiter(),
-		assigner: account.NewAssigner(),
-		boot:     boottime.Now,
-		reports:  map[galenastair.InstanceID]report{},
+		self:      self,
+		control:   c,
+		lease:     l,
+		loop:      loop,
+		clock:     galenastair.SystemClock{},
+		logger:    log.NewNopLogger(),
+		onOrder:   func(galenastair.OrderKind, place.Reason, string) {},
+		ctx:       context.Background(),
+		services:  map[galenastair.ServiceName]*service{},
+		servers:   map[galenastair.BackendServerID]pool.Server{},
+		downAt:    map[galenastair.BackendServerID]time.Time{},
+		lender:    quota.NewLender(t),
+		loads:     loads{},
+		limits:    map[galenastair.BackendServerID]reportedLimit{},
+		limiter:   ratelimit.NewLimiter(),
+		assigner:  account.NewAssigner(),
+		bootClock: boottime.Now,
+		reports:   map[galenastair.InstanceID]instanceReport{},
 	}
 	for _, o := range opts {
 		o(p)
@@ -148,19 +153,20 @@
 	return p
 }
 
-// Run plans until the context ends, and returns when no order is under way.
+// Run plans until the context ends. It returns once no order is in flight.
 func (p *Planner) Run(ctx context.Context) error {
-	defer p.tasks.Wait()
+	defer p.inFlight.Wait()
 	if err := p.loop.Post(ctx, func() { p.ctx = ctx }); err != nil {
 		return err
 	}
-	err := p.loop.Every(ctx, tickPeriod, p.tick)
-	// a round posted before the end starts no order after the wait has begun
+	err := p.loop.Every(ctx, planInterval, p.tick)
+	// wait for rounds that are already posted, so that none sends an order after inFlight.Wait has
+	// begun
 	_ = p.loop.Do(context.WithoutCancel(ctx), func() {})
 	return err
 }
 
-// SetCatalog takes in a version of the configuration.
+// SetCatalog applies a version of the configuration.
 func (p *Planner) SetCatalog(ctx context.Context, c *catalog.Catalog) error {
 	return p.loop.Post(ctx, func() {
 		p.lender.SetContracts(c)
@@ -168,12 +174,12 @@
 			if s.Engine == nil {
 				return
 			}
-			if old := p.sites[s.Name]; old != nil {
-				old.contents = newContents(s)
+			if old := p.services[s.Name]; old != nil {
+				old.modelSet = newModelSet(s)
 				return
 			}
-			p.sites[s.Name] = newSite(s)
-			p.sites[s.Name].strict = p.held
+			p.services[s.Name] = newService(s)
+			p.services[s.Name].leading = p.leading
 			for _, srv := range p.servers {
 				p.setServer(srv)
 			}
@@ -182,20 +188,21 @@
 }
 
 func (p *Planner) setServer(s pool.Server) {
-	if _, absent := p.absent[s.ID]; absent {
-		// what it held is gone, or soon is: as with one that leaves, copies are made elsewhere
+	if _, down := p.downAt[s.ID]; down {
+		// its copies are lost or soon will be, so they are replaced as for a server that is
+		// leaving
 		s.Leaving = true
 	}
-	if site := p.sites[s.Service]; site != nil {
-		site.set(p.clock.Now(), s)
+	if svc := p.services[s.Service]; svc != nil {
+		svc.setEngine(p.clock.Now(), s)
 	}
 }
 
-// SetServer takes in a backend server's registration.
+// SetServer applies the registration of a backend server.
 func (p *Planner) SetServer(ctx context.Context, s pool.Server) error {
 	return p.loop.Post(ctx, func() {
 		if old, ok := p.servers[s.ID]; ok && old.Born != s.Born {
-			delete(p.absent, s.ID)
+			delete(p.downAt, s.ID)
 		}
 		p.servers[s.ID] = s
 		p.setServer(s)
@@ -206,50 +213,50 @@
 func (p *Planner) RemoveServer(ctx context.Context, id galenastair.BackendServerID) error {
 	return p.loop.Post(ctx, func() {
 		delete(p.servers, id)
-		delete(p.absent, id)
+		delete(p.downAt, id)
 		delete(p.limits, id)
-		for _, s := range p.sites {
+		for _, s := range p.services {
 			delete(s.engines, id)
 		}
 	})
 }
 
-// tick begins or ends a term, plans, and starts what orders can be started.
+// tick starts or ends a term, plans, and sends the orders that are due.
 func (p *Planner) tick() {
 	now := p.clock.Now()
 	holds := p.lease.Holds()
-	if holds != p.held {
-		p.held, p.since = holds, now
-		p.beginOrEnd(now, holds)
+	if holds != p.leading {
+		p.leading, p.termStart = holds, now
+		p.changeTerm(now, holds)
 	}
 	if !holds {
 		return
 	}
-	p.step(now)
-	p.present(now)
+	p.stepForecasts(now)
+	p.expireDown(now)
 	_, orders := p.lease.Order()
-	p.expire(now)
-	for _, s := range p.sites {
+	p.expireReports(now)
+	for _, s := range p.services {
 		s.loads, s.limits = p.loads, p.limits
-		if orders && now.Sub(p.since) >= firstRound {
-			s.round(now)
+		if orders && now.Sub(p.termStart) >= termWarmUp {
+			s.planRound(now)
 		}
-		p.start(now, s)
+		p.sendOrders(now, s)
 	}
-	p.announceUnloads(now)
+	p.publishUnloads(now)
 }
 
-func (p *Planner) beginOrEnd(now time.Time, holds bool) {
+func (p *Planner) changeTerm(now time.Time, holds bool) {
 	p.logger.Log("event", "term", "holds", holds)
 	if holds {
-		p.lender.Reset(now, p.note.Note)
+		p.lender.Reset(now, p.inherited.Note)
 		p.limiter.Reset()
-		p.beginOwners()
+		p.resetOwners()
 		clear(p.reports)
 		clear(p.loads)
 	}
-	for _, s := range p.sites {
-		s.strict = holds
+	for _, s := range p.services {
+		s.leading = holds
 		for _, e := range s.engines {
 			e.endTerm()
 			if holds {
@@ -259,20 +266,20 @@
 	}
 }
 
-// absentFor is how long an engine counts as ended after an instance has said so: some
-// exchanges, in which those that ask it say so again.
-const absentFor = 1500 * time.Millisecond
+// downTTL is how long an engine counts as down after an instance has reported it. It spans several
+// exchanges, in which instances that still send there report it again.
+const downTTL = 1500 * time.Millisecond
 
-// noteAbsent takes in that nothing listens at some servers' addresses. The registration of a
-// crashed process stays for three heartbeats; its models are loaded elsewhere before that.
-func (p *Planner) noteAbsent(now time.Time, ids []galenastair.BackendServerID) {
+// markDown records servers that refuse connections. The registration of a crashed process stays
+// for three heartbeats; marking it down gets its models loaded elsewhere before that.
+func (p *Planner) markDown(now time.Time, ids []galenastair.BackendServerID) {
 	for _, id := range ids {
 		s, known := p.servers[id]
 		if !known {
 			continue
 		}
-		_, before := p.absent[id]
-		p.absent[id] = now
+		_, before := p.downAt[id]
+		p.downAt[id] = now
 		if !before {
 			p.logger.Log("event", "absent", "server", id, "absent", true)
 			p.setServer(s)
@@ -280,110 +287,110 @@
 	}
 }
 
-// present ends the absence of servers of which nobody says so any more.
-func (p *Planner) present(now time.Time) {
-	for id, at := range p.absent {
-		if now.Sub(at) < absentFor {
+// expireDown clears the mark of servers that no instance has reported as down lately.
+func (p *Planner) expireDown(now time.Time) {
+	for id, at := range p.downAt {
+		if now.Sub(at) < downTTL {
 			continue
 		}
-		delete(p.absent, id)
+		delete(p.downAt, id)
 		p.logger.Log("event", "absent", "server", id, "absent", false)
 		p.setServer(p.servers[id])
 	}
 }
 
-func (p *Planner) step(now time.Time) {
-	if now.Sub(p.foretold) < forecastPeriod {
+func (p *Planner) stepForecasts(now time.Time) {
+	if now.Sub(p.lastForecast) < forecastInterval {
 		return
 	}
-	p.foretold = now
-	for _, s := range p.sites {
+	p.lastForecast = now
+	for _, s := range p.services {
 		s.forecast.Step(now)
 	}
 }
 
-// expire forgets reports of instances that have fallen silent.
-func (p *Planner) expire(now time.Time) {
+// expireReports removes the reports of instances that have stopped reporting.
+func (p *Planner) expireReports(now time.Time) {
 	for id, r := range p.reports {
-		if now.Sub(r.at) > reportLife {
+		if now.Sub(r.at) > reportTTL {
 			p.loads.subtract(r.loads)
 			delete(p.reports, id)
 		}
 	}
 }
 
-// Exchange takes in one instance's report and answers with what the others see.
+// Exchange records the report of one instance and returns what the other instances reported.
 func (p *Planner) Exchange(ctx context.Context, r Report) (News, error) {
-	var news News
+	var update News
 	err := ErrNotPlanner
 	doErr := p.loop.Do(ctx, func() {
 		if p.lease.Hosts() {
-			news, err = p.answer(r), nil
+			update, err = p.handleReport(r), nil
 		}
 	})
 	if doErr != nil {
 		return News{}, doErr
 	}
-	return news, err
+	return update, err
 }
 
-func (p *Planner) answer(r Report) News {
+func (p *Planner) handleReport(r Report) News {
 	now := p.clock.Now()
 	p.loads.subtract(p.reports[r.Instance].loads)
-	p.reports[r.Instance] = report{r.Loads, now}
-	p.noteAbsent(now, r.Absent)
-	p.noteLimits(now, r.Limits)
+	p.reports[r.Instance] = instanceReport{r.Loads, now}
+	p.markDown(now, r.Absent)
+	p.recordLimits(now, r.Limits)
 	for name, work := range r.Demands {
-		for _, s := range p.sites {
-			s.asked(now, name, work)
+		for _, s := range p.services {
+			s.recordDemand(now, name, work)
 		}
 	}
 	for _, d := range r.Poisons {
-		p.poisons = append(p.poisons, poisonAt{d, r.Instance, now})
+		p.poisonRequests = append(p.poisonRequests, poisonReport{d, r.Instance, now})
 	}
 	p.decideOwners(now)
-	news := News{Lapsed: !p.lease.Holds(), Standing: p.lender.Heard(now, r.Instance, r.Passed), Loads: p.loads.keyed()}
+	update := News{Lapsed: !p.lease.Holds(), Standing: p.lender.Heard(now, r.Instance, r.Passed), Loads: p.loads.byKey()}
 	p.loads.add(r.Loads)
-	news.Limits, news.Index = p.currentLimits(now), p.index(r.Instance)
-	p.addOwners(r, &news)
+	update.Limits, update.Index = p.currentLimits(now), p.fleetIndex(r.Instance)
+	p.addOwners(r, &update)
 	for _, a := range r.Asks {
-		if p.owned {
+		if p.hasOwners {
 			break
 		}
 		if n := p.lender.Lend(now, a); n > 0 {
-			news.Loans = append(news.Loans, quota.Ask{Organisation: a.Organisation, Amount: n})
+			update.Loans = append(update.Loans, quota.Ask{Organisation: a.Organisation, Amount: n})
 		}
 	}
-	p.expireNews(now)
-	news.Newest = p.newest
-	if r.Seen > p.newest {
-		// it was told by a process before this one
+	p.expireChanges(now)
+	update.Newest = p.lastChange
+	if r.Seen > p.lastChange {
+		// the number is from a previous process at this address
 		r.Seen = 0
 	}
-	for _, c := range p.news {
-		if c.number <= r.Seen {
+	for _, c := range p.changes {
+		if c.sequence <= r.Seen {
 			continue
 		}
-		if c.dropped {
-			news.Dropped = append(news.Dropped, c.Placement)
+		if c.removed {
+			update.Dropped = append(update.Dropped, c.Placement)
 		} else {
-			news.Placed = append(news.Placed, c.Placement)
+			update.Placed = append(update.Placed, c.Placement)
 		}
 	}
-	for _, c := range p.poisons {
+	for _, c := range p.poisonRequests {
 		if c.from != r.Instance {
-			news.Poisons = append(news.Poisons, c.digest)
+			update.Poisons = append(update.Poisons, c.digest)
 		}
 	}
-	return news
+	return update
 }
 
-// Borrow lends what one request lacks.
+// Borrow lends the quota that a single request lacks.
 func (p *Planner) Borrow(ctx context.Context, a quota.Ask) (float64, error) {
 	var n float64
 	err := ErrNotPlanner
 	doErr := p.loop.Do(ctx, func() {
-		if p.lease.Hosts() && !p.owned {
+		if p.lease.Hosts() && !p.hasOwners {
 			n, err = p.lender.LendAll(p.clock.Now(), a), nil
 		}
 	})
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -16,61 +16,61 @@
 	"galenastair/ratelimit"
 )
 
-// Demand moves, a third of all orders get no answer, half of those act seconds later,
-// registrations come late, engines start anew, and the lease goes to and fro. No engine
-// may ever be ordered to hold more than it can.
-func TestNoEngineIsOrderedToHoldMoreThanItCan(t *testing.T) {
+// Engines are never ordered to hold more than they can, although demand shifts, a third of the
+// orders get no answer, half of those take effect seconds later, registrations arrive late,
+// engines restart, and the lease changes hands.
+func TestOrdersNeverExceedEngineCapacity(t *testing.T) {
 	for seed := range uint64(12) {
-		b := newBed(t, seed, 4)
-		w := b.world
-		w.lossy = 0.33
+		h := newHarness(t, seed, 4)
+		f := h.fleet
+		f.lossRate = 0.33
 		hot := 0
 		for n := range 400 {
 			if n%40 == 0 {
-				hot = w.rng.IntN(10)
+				hot = f.rng.IntN(10)
 			}
 			name := galenastair.ModelName(fmt.Sprintf("m%d", hot))
-			demands := map[galenastair.ModelName]time.Duration{name: tokens(8000), galenastair.ModelName(fmt.Sprintf("m%d", w.rng.IntN(10))): tokens(900)}
+			demands := map[galenastair.ModelName]time.Duration{name: tokens(8000), galenastair.ModelName(fmt.Sprintf("m%d", f.rng.IntN(10))): tokens(900)}
 			demands[name+"/a1"] = tokens(2000)
-			b.ask(demands)
-			for _, s := range w.sims {
+			h.ask(demands)
+			for _, e := range f.fakes {
 				if n%6 == 0 {
-					w.reports = append(w.reports, delayed{w.clock.now.Add(time.Duration(w.rng.IntN(9000)) * time.Millisecond), s.registration()})
+					f.registrations = append(f.registrations, delayedRegistration{f.clock.now.Add(time.Duration(f.rng.IntN(9000)) * time.Millisecond), e.registration()})
 				}
-				if w.rng.IntN(400) == 0 {
-					*s = sim{id: s.id, born: s.born + 1, models: map[galenastair.ModelName][]string{}}
-					w.reports = append(w.reports, delayed{w.clock.now.Add(300 * time.Millisecond), s.registration()})
+				if f.rng.IntN(400) == 0 {
+					*e = fakeEngine{id: e.id, born: e.born + 1, models: map[galenastair.ModelName][]string{}}
+					f.registrations = append(f.registrations, delayedRegistration{f.clock.now.Add(300 * time.Millisecond), e.registration()})
 				}
 			}
-			if w.rng.IntN(60) == 0 {
-				b.lease.holds = !b.lease.holds
-				b.lease.fence++
+			if f.rng.IntN(60) == 0 {
+				h.lease.holds = !h.lease.holds
+				h.lease.fence++
 			}
-			b.step(200 * time.Millisecond)
-			for _, s := range w.sims {
-				if s.overfull != "" {
-					t.Fatalf("seed %d, step %d: %s", seed, n, s.overfull)
+			h.step(200 * time.Millisecond)
+			for _, e := range f.fakes {
+				if e.violation != "" {
+					t.Fatalf("seed %d, step %d: %s", seed, n, e.violation)
 				}
 			}
 		}
 	}
 }
 
-// Callers ask for one model far beyond what its engine does: it gets further copies
-// within some seconds, and every model that is asked for keeps one.
+// A model with much more demand than one engine can serve gets further copies within seconds, and
+// every other model in demand keeps one.
 func TestBusyModelGetsCopies(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t, 1, 4)
+	h := newHarness(t, 1, 4)
 	for range 60 {
-		b.ask(map[galenastair.ModelName]time.Duration{"m0": tokens(12000), "m4": tokens(300), "m7": tokens(300)})
-		b.step(200 * time.Millisecond)
-		for _, s := range b.world.sims {
-			is.NoErr(b.planner.SetServer(t.Context(), s.registration()))
+		h.ask(map[galenastair.ModelName]time.Duration{"m0": tokens(12000), "m4": tokens(300), "m7": tokens(300)})
+		h.step(200 * time.Millisecond)
+		for _, e := range h.fleet.fakes {
+			is.NoErr(h.planner.SetServer(t.Context(), e.registration()))
 		}
 	}
 	copies := map[galenastair.ModelName]int{}
-	for _, s := range b.world.sims {
-		for name := range s.models {
+	for _, e := range h.fleet.fakes {
+		for name := range e.models {
 			copies[name]++
 		}
 	}
@@ -79,255 +79,254 @@
 	is.True(copies["m7"] >= 1)
 }
 
-// An engine's process crashes, and with it goes the only copy of a model. Its registration
-// stays for seconds. An instance whose request found nobody at its address says so, and the
-// model is loaded elsewhere well before the registration ends. When nobody says so any more
-// the engine counts again. Seen failing with noteAbsent left out: no copy elsewhere.
-func TestAbsentEngineIsReplacedAtOnce(t *testing.T) {
+// An engine with the only copy of a model crashes, and its registration stays for some seconds.
+// When an instance reports that the engine refuses connections, the model is loaded elsewhere
+// before the registration expires. Once no instance reports it any more, the engine is used again.
+func TestCopiesOfADownEngineAreReplaced(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t, 1, 4)
-	b.step(time.Second)
+	h := newHarness(t, 1, 4)
+	h.step(time.Second)
 	const only = "m3"
-	before := b.holdersOfM3()
+	before := h.enginesWithM3()
 	is.Equal(len(before), 1)
 	for range 10 {
-		_, err := b.planner.Exchange(t.Context(), Report{
+		_, err := h.planner.Exchange(t.Context(), Report{
 			Instance: "i", Demands: map[galenastair.ModelName]time.Duration{only: tokens(500)}, Absent: before,
 		})
 		is.NoErr(err)
-		b.step(200 * time.Millisecond)
+		h.step(200 * time.Millisecond)
 	}
-	is.True(len(b.holdersOfM3()) > 1)
-	b.do(func() { is.True(!b.planner.sites["writer"].stays(before[0])) })
-	b.step(absentFor)
-	b.do(func() { is.True(b.planner.sites["writer"].stays(before[0])) })
+	is.True(len(h.enginesWithM3()) > 1)
+	h.do(func() { is.True(!h.planner.services["writer"].up(before[0])) })
+	h.step(downTTL)
+	h.do(func() { is.True(h.planner.services["writer"].up(before[0])) })
 }
 
-// The only copy of a model is on an engine that names a limit: callers of the model are refused
-// until another engine has it.
+// A rate-limited engine has the only copy of a model. Callers are refused until another engine
+// holds it.
 func TestModelOfALimitedEngineIsLoadedElsewhere(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t, 1, 4)
-	b.step(time.Second)
+	h := newHarness(t, 1, 4)
+	h.step(time.Second)
 	const only = "m3"
-	before := b.holdersOfM3()
+	before := h.enginesWithM3()
 	is.Equal(len(before), 1)
 	report := Report{
 		Instance: "i", Demands: map[galenastair.ModelName]time.Duration{only: tokens(500)},
 		Limits: []ratelimit.Limit{{Server: before[0], PerSecond: 1}},
 	}
 	for range 10 {
-		news, err := b.planner.Exchange(t.Context(), report)
+		update, err := h.planner.Exchange(t.Context(), report)
 		is.NoErr(err)
-		is.Equal(len(news.Limits), 1)
-		b.step(200 * time.Millisecond)
+		is.Equal(len(update.Limits), 1)
+		h.step(200 * time.Millisecond)
 	}
-	is.True(len(b.holdersOfM3()) > 1)
+	is.True(len(h.enginesWithM3()) > 1)
 	preferred := func() (is bool) {
-		b.do(func() {
-			s := b.planner.sites["writer"]
+		h.do(func() {
+			s := h.planner.services["writer"]
 			is = s.preferred(s.engines[before[0]])
 		})
 		return is
 	}
 	is.True(!preferred())
 	report.Limits[0].PerSecond = 0
-	_, err := b.planner.Exchange(t.Context(), report)
+	_, err := h.planner.Exchange(t.Context(), report)
 	is.NoErr(err)
 	is.True(preferred())
 }
 
-// An engine names a limit and is asked for nothing any more, so that no answer ends the limit:
-// nothing is loaded there for good.
-func TestLimitIsForgottenWithoutAnswers(t *testing.T) {
+// A rate-limited engine receives no more requests, so no answer can clear its limit. Without
+// expiry, no model would be loaded there again.
+func TestLimitExpiresWithoutAnswers(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t, 1, 4)
-	b.step(time.Second)
-	id := b.holdersOfM3()[0]
+	h := newHarness(t, 1, 4)
+	h.step(time.Second)
+	id := h.enginesWithM3()[0]
 	report := func(age time.Duration) bool {
-		_, err := b.planner.Exchange(t.Context(), Report{Instance: "i", Limits: []ratelimit.Limit{{Server: id, PerSecond: 1, Age: age}}})
+		_, err := h.planner.Exchange(t.Context(), Report{Instance: "i", Limits: []ratelimit.Limit{{Server: id, PerSecond: 1, Age: age}}})
 		is.NoErr(err)
 		preferred := false
-		b.do(func() {
-			s := b.planner.sites["writer"]
+		h.do(func() {
+			s := h.planner.services["writer"]
 			preferred = s.preferred(s.engines[id])
 		})
 		return preferred
 	}
 	is.True(!report(0))
-	b.step(limitLife / 2)
-	is.True(!report(limitLife / 2))
-	b.step(limitLife)
-	is.True(report(3 * limitLife / 2))
+	h.step(limitTTL / 2)
+	is.True(!report(limitTTL / 2))
+	h.step(limitTTL)
+	is.True(report(3 * limitTTL / 2))
 }
 
-// holdersOfM3 returns the engines that hold the last model, which one engine has at first.
-func (b *bed) holdersOfM3() (ids []galenastair.BackendServerID) {
-	for _, s := range b.world.sims {
-		if _, ok := s.models["m3"]; ok {
-			ids = append(ids, s.id)
+// enginesWithM3 returns the engines that hold model m3, which is on one engine at first.
+func (h *harness) enginesWithM3() (ids []galenastair.BackendServerID) {
+	for _, e := range h.fleet.fakes {
+		if _, ok := e.models["m3"]; ok {
+			ids = append(ids, e.id)
 		}
 	}
 	return ids
 }
 
-func (s *site) stays(id galenastair.BackendServerID) bool { return !s.engines[id].server.Leaving }
+func (s *service) up(id galenastair.BackendServerID) bool { return !s.engines[id].server.Leaving }
 
-// A request needs an adapter that no engine holds: it is promised where it will be, and
-// the engine has it by then.
-func TestNeedFetchesAnAdapter(t *testing.T) {
+// For an adapter that no engine holds, Need returns an engine that has it by the time given.
+func TestNeedLoadsAnAdapter(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t, 1, 2)
-	b.step(time.Second)
-	b.step(time.Second)
-	promise, err := b.planner.Need(t.Context(), "m3/a2")
+	h := newHarness(t, 1, 2)
+	h.step(time.Second)
+	h.step(time.Second)
+	where, err := h.planner.Need(t.Context(), "m3/a2")
 	is.NoErr(err)
-	b.settle()
-	is.True(promise.Server != "")
-	is.True(slices.Contains(b.world.sims[string(promise.Server)].models["m3"], "a2"))
-	none, err := b.planner.Need(t.Context(), "m3/a99")
+	h.settle()
+	is.True(where.Server != "")
+	is.True(slices.Contains(h.fleet.fakes[string(where.Server)].models["m3"], "a2"))
+	none, err := h.planner.Need(t.Context(), "m3/a99")
 	is.NoErr(err)
 	is.Equal(none.Server, galenastair.BackendServerID(""))
 }
 
-// An engine registers anew in the moment in which an order to it is sent. The order's own
-// goroutine read the registration's address while the control loop wrote it: the order may
-// have gone to half of an address. Seen once, under the race detector beside load.
+// A registration arrives while an order is being sent. If the sending goroutine read the address
+// from the registration, it would race with the control loop that writes it. The race detector
+// finds this failure.
 func TestRegistrationWhileAnOrderIsSent(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t, 1, 2)
-	b.step(time.Second)
-	b.step(time.Second)
+	h := newHarness(t, 1, 2)
+	h.step(time.Second)
+	h.step(time.Second)
 	var models [2][]galenastair.EngineModel
 	for i := range models {
-		models[i] = b.world.sims[fmt.Sprintf("e%d", i)].list()
+		models[i] = h.fleet.fakes[fmt.Sprintf("e%d", i)].listModels()
 	}
 	beat := int64(1000)
 	registrations := func() {
 		for i := range models {
 			id := fmt.Sprintf("e%d", i)
 			beat++
-			is.NoErr(b.planner.SetServer(t.Context(), pool.Server{
+			is.NoErr(h.planner.SetServer(t.Context(), pool.Server{
 				ID: galenastair.BackendServerID(id), Service: "writer", Address: id, Slots: 64, Born: 1, Beat: beat, Models: models[i],
 			}))
 		}
 	}
 	for range 10 {
-		b.do(func() {
-			site := b.planner.sites["writer"]
-			for _, e := range site.engines {
-				e.add(b.planner.clock.Now(), task{kind: galenastair.UnloadModel, model: "other"})
-				b.planner.startEngine(b.planner.clock.Now(), site, e)
+		h.do(func() {
+			svc := h.planner.services["writer"]
+			for _, e := range svc.engines {
+				e.enqueue(h.planner.clock.Now(), queuedOrder{kind: galenastair.UnloadModel, model: "other"})
+				h.planner.sendNextOrder(h.planner.clock.Now(), svc, e)
 			}
 		})
 		registrations()
-		b.settle()
+		h.settle()
 	}
 }
 
-// A model is known, but no engine is there to load it: it may be there after a load, and
-// that is when its callers are to come back.
-func TestNeedForetellsALoad(t *testing.T) {
+// For a model without an engine to load it, Need returns the time of a load, after which callers
+// retry.
+func TestNeedEstimatesModelLoad(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t, 1, 2)
-	b.do(func() { clear(b.planner.sites["writer"].engines) })
-	promise, err := b.planner.Need(t.Context(), "m3")
+	h := newHarness(t, 1, 2)
+	h.do(func() { clear(h.planner.services["writer"].engines) })
+	where, err := h.planner.Need(t.Context(), "m3")
 	is.NoErr(err)
-	is.Equal(promise.Server, galenastair.BackendServerID(""))
-	is.Equal(promise.Ready, makingRoom+time.Second)
+	is.Equal(where.Server, galenastair.BackendServerID(""))
+	is.Equal(where.Ready, evictionTime+time.Second)
 }
 
-// Nobody but the holder of the lease answers for all.
-func TestOnlyTheHolderAnswers(t *testing.T) {
+// An instance without the lease answers with ErrNotPlanner.
+func TestOnlyTheLeaseHolderAnswers(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t, 1, 2)
-	b.lease.holds = false
-	_, err := b.planner.Exchange(t.Context(), Report{Instance: "i"})
+	h := newHarness(t, 1, 2)
+	h.lease.holds = false
+	_, err := h.planner.Exchange(t.Context(), Report{Instance: "i"})
 	is.True(errors.Is(err, ErrNotPlanner))
-	_, err = b.planner.Need(t.Context(), "m0")
+	_, err = h.planner.Need(t.Context(), "m0")
 	is.True(errors.Is(err, ErrNotPlanner))
-	_, err = b.planner.Borrow(t.Context(), quota.Ask{Organisation: "o", Amount: 1})
+	_, err = h.planner.Borrow(t.Context(), quota.Ask{Organisation: "o", Amount: 1})
 	is.True(errors.Is(err, ErrNotPlanner))
 }
 
-// Callers of one adapter come at once, through two instances: the second was refused as if no
-// copy were coming, since only an engine without the adapter was looked for.
+// Two instances ask for the same adapter at the same time. The second must wait for the load that
+// the first has started, rather than be refused because no engine without the adapter is left.
 func TestNeedWaitsForALoadUnderWay(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t, 1, 2)
-	b.step(time.Second)
-	b.step(time.Second)
-	b.do(func() {
-		for id, e := range b.planner.sites["writer"].engines {
+	h := newHarness(t, 1, 2)
+	h.step(time.Second)
+	h.step(time.Second)
+	h.do(func() {
+		for id, e := range h.planner.services["writer"].engines {
 			clear(e.adapters)
-			sim := b.world.sims[string(id)]
-			for m := range sim.models {
-				sim.models[m] = nil
+			fake := h.fleet.fakes[string(id)]
+			for m := range fake.models {
+				fake.models[m] = nil
 			}
 		}
 	})
-	var promises [3]Promise
+	var where [3]Promise
 	var waits [3]<-chan bool
-	b.do(func() {
-		for i := range promises {
-			promises[i], waits[i] = b.planner.need("m3/a2")
+	h.do(func() {
+		for i := range where {
+			where[i], waits[i] = h.planner.locate("m3/a2")
 		}
 	})
-	b.settle()
-	for i := range promises {
-		is.True(promises[i].Server != "")
-		is.Equal(promises[i].Server, promises[0].Server)
+	h.settle()
+	for i := range where {
+		is.True(where[i].Server != "")
+		is.Equal(where[i].Server, where[0].Server)
 		is.True(<-waits[i])
 	}
 }
 
-// lapsed is the lease of a leader that can't renew it for a moment.
-type lapsed struct{ holder }
+// unrenewableLease is the lease of a leader that temporarily cannot renew it.
+type unrenewableLease struct{ fakeLease }
 
-func (*lapsed) Order() (galenastair.Fence, bool) { return 0, false }
-func (*lapsed) Holds() bool                      { return false }
-func (*lapsed) Hosts() bool                      { return true }
+func (*unrenewableLease) Order() (galenastair.Fence, bool) { return 0, false }
+func (*unrenewableLease) Holds() bool                      { return false }
+func (*unrenewableLease) Hosts() bool                      { return true }
 
-// The store is slow for a second: callers were refused a model that an engine holds, by
-// instances that had not heard of it yet, since the leader did not say where it is.
+// While the store is slow and the lease cannot be renewed, the leader still answers where a model
+// is. Otherwise instances that do not know of the copy yet would refuse their callers.
 func TestNeedIsAnsweredWhileTheLeaseCannotBeRenewed(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t, 1, 2)
-	b.step(time.Second)
-	b.step(time.Second)
-	b.do(func() { b.planner.lease = &lapsed{} })
-	promise, err := b.planner.Need(t.Context(), "m3")
+	h := newHarness(t, 1, 2)
+	h.step(time.Second)
+	h.step(time.Second)
+	h.do(func() { h.planner.lease = &unrenewableLease{} })
+	where, err := h.planner.Need(t.Context(), "m3")
 	is.NoErr(err)
-	is.Equal(promise.Server, galenastair.BackendServerID("e1"))
-	// nothing new is ordered meanwhile
-	b.do(func() { clear(b.planner.sites["writer"].engines["e1"].adapters) })
-	promise, err = b.planner.Need(t.Context(), "m3/a2")
+	is.Equal(where.Server, galenastair.BackendServerID("e1"))
+	// no order is sent meanwhile
+	h.do(func() { clear(h.planner.services["writer"].engines["e1"].adapters) })
+	where, err = h.planner.Need(t.Context(), "m3/a2")
 	is.NoErr(err)
-	is.Equal(promise.Server, galenastair.BackendServerID(""))
+	is.Equal(where.Server, galenastair.BackendServerID(""))
 }
 
-// A configuration that comes within a term: a load of its service that takes long was taken for
-// gone at the next registration, and its room given to another.
-func TestServiceThatComesWithinATermKeepsOrderedLoads(t *testing.T) {
+// A service is added during a term, and one of its loads takes long. If the new service did not
+// know that this instance leads, the next registration would remove the load, and its memory would
+// be allocated twice.
+func TestServiceAddedDuringATermKeepsOrderedLoads(t *testing.T) {
 	is := is.New(t)
-	b := newBed(t, 1, 1)
-	b.step(time.Second)
-	is.NoErr(b.planner.SetCatalog(t.Context(), catalog.New(2, catalog.Limits{}, nil, []*catalog.Service{{Name: "reader", Engine: &catalog.Engine{
+	h := newHarness(t, 1, 1)
+	h.step(time.Second)
+	is.NoErr(h.planner.SetCatalog(t.Context(), catalog.New(2, catalog.Limits{}, nil, []*catalog.Service{{Name: "reader", Engine: &catalog.Engine{
 		Slots: 64, Memory: 230 * gigabyte, LoadsPerSecond: 3, Models: []catalog.Model{{Name: "m", Memory: 70 * gigabyte, Load: 6 * time.Second}},
 	}}}, nil)))
 	empty := pool.Server{ID: "r0", Service: "reader", Address: "r0", Slots: 64, Born: 1, Beat: 1}
-	is.NoErr(b.planner.SetServer(t.Context(), empty))
-	load := task{kind: galenastair.LoadModel, model: "m"}
+	is.NoErr(h.planner.SetServer(t.Context(), empty))
+	load := queuedOrder{kind: galenastair.LoadModel, model: "m"}
 	var e *engine
-	b.do(func() {
-		e = b.planner.sites["reader"].engines["r0"]
-		e.count(b.world.clock.now, load)
-		e.accepted(b.world.clock.now, load)
+	h.do(func() {
+		e = h.planner.services["reader"].engines["r0"]
+		e.reserve(h.fleet.clock.now, load)
+		e.accepted(h.fleet.clock.now, load)
 	})
-	b.world.clock.now = b.world.clock.now.Add(unseen + time.Second)
+	h.fleet.clock.now = h.fleet.clock.now.Add(confirmTimeout + time.Second)
 	empty.Beat++
-	is.NoErr(b.planner.SetServer(t.Context(), empty))
+	is.NoErr(h.planner.SetServer(t.Context(), empty))
 	counted := false
-	b.do(func() { counted = e.models["m"] != nil })
+	h.do(func() { counted = e.models["m"] != nil })
 	is.True(counted)
 }
--- a/planner/site.go
+++ b/planner/site.go
@@ -11,59 +11,61 @@
 )
 
 const (
-	// demandMemory is over what the demand for models is smoothed: loads take two
-	// seconds and demand moves every five to ten.
-	demandMemory = 2500 * time.Millisecond
-	// busyShare is the part of an engine's work below which no copy is made for load.
-	// Prompts come in bursts; from a third on, callers begin to wait for each other.
-	busyShare = 0.3
-	// mostUneven is how many times the load of an engine on the whole one may have before
-	// a copy is made for it, where loads take long: engines that share the work alike differ
-	// so much for moments. quickLoad is a load that takes no longer than such a moment.
-	mostUneven = 2
-	quickLoad  = 3 * time.Second
-	// leastGain is the part of the busiest engine's load that a move must take off it.
-	leastGain = 0.12
-	// calm and stay keep demand that swings from moving the same copies to and fro;
-	// a load takes 2 to 3 s.
-	calm = 1200 * time.Millisecond
-	stay = 5 * time.Second
-	// dropUnasked: from here on more is asked of an engine than it can do.
-	dropUnasked = 1.2
-	// askedWork is the part of an engine's time that one request in some ten seconds takes.
-	askedWork = 0.01
-	// reliefsARound: demand that moves takes several copies at once.
-	reliefsARound = 3
+	// demandSmoothing is the time constant of the demand forecast. A load takes 2 s, and demand
+	// shifts every 5 to 10 s.
+	demandSmoothing = 2500 * time.Millisecond
+	// minBusyLoad is the utilisation of an engine below which no copy is added to relieve it.
+	// Prompts arrive in bursts; from about a third on, callers start to wait for each other.
+	minBusyLoad = 0.3
+	// maxImbalance is the ratio of an engine's load to the mean load from which a copy is added to
+	// relieve it. Engines that share work evenly differ this much for moments. Where loads are
+	// short, the ratio is the load time divided by shortLoadTime, the length of such a moment,
+	// since a copy that is ready that soon helps at once.
+	maxImbalance  = 2
+	shortLoadTime = 3 * time.Second
+	// minGain is the fraction of the busiest engine's load that a move must take off it.
+	minGain = 0.12
+	// moveCooldown and minCopyAge keep oscillating demand from moving the same copies back and
+	// forth. A load takes 2 to 3 s.
+	moveCooldown = 1200 * time.Millisecond
+	minCopyAge   = 5 * time.Second
+	// evictIdleLoad is the utilisation of an engine from which the only copy of an idle model may
+	// be unloaded. Above 1, demand exceeds what the engine can serve.
+	evictIdleLoad = 1.2
+	// minDemand is the utilisation that one request every ten seconds or so causes.
+	minDemand = 0.01
+	// maxReliefsPerRound is greater than 1 because a shift in demand needs several copies at once.
+	maxReliefsPerRound = 3
 )
 
-// site is the engines of one service and the plan for them.
-type site struct {
-	contents *contents
+// service holds the engines of one service and their placement plan.
+type service struct {
+	modelSet *modelSet
 	engines  map[galenastair.BackendServerID]*engine
-	plan     *place.Planner
+	placer   *place.Planner
 	forecast *forecast.Forecast
 	loads    loads
-	// limits are those that engines have named.
-	limits map[galenastair.BackendServerID]namedLimit
-	// strict says that this instance orders.
-	strict bool
-	// index is what engines hold, for the time of one round; nil otherwise.
-	index *index
+	// limits holds the rate limits that engines have reported.
+	limits map[galenastair.BackendServerID]reportedLimit
+	// leading is set while this instance sends the orders.
+	leading bool
+	// index is set only during a planning round.
+	index *engineIndex
 }
 
-func newSite(s *catalog.Service) *site {
-	return &site{
-		contents: newContents(s),
+func newService(s *catalog.Service) *service {
+	return &service{
+		modelSet: newModelSet(s),
 		engines:  map[galenastair.BackendServerID]*engine{},
-		plan:     newPlan(s.Engine),
-		forecast: forecast.New(forecast.WithMemory(demandMemory)),
+		placer:   newPlacer(s.Engine),
+		forecast: forecast.New(forecast.WithMemory(demandSmoothing)),
 		loads:    loads{},
 	}
 }
 
-// newPlan takes the pace of loads from the configuration. As many are on their way
-// together as begin in the time that one takes: more would only slow each other.
-func newPlan(e *catalog.Engine) *place.Planner {
+// newPlacer takes the rate of model loads from the configuration. The number of concurrent loads
+// is what that rate starts during one load; more would only slow each other down.
+func newPlacer(e *catalog.Engine) *place.Planner {
 	var longest time.Duration
 	for _, m := range e.Models {
 		longest = max(longest, m.Load)
@@ -72,63 +74,63 @@
 		LoadsPerSecond: e.LoadsPerSecond,
 		LoadsInFlight:  max(1, int(e.LoadsPerSecond*longest.Seconds())),
 		ServerWork:     1,
-		Busy:           busyShare,
-		Uneven:         min(mostUneven, longest.Seconds()/quickLoad.Seconds()),
-		Gain:           leastGain,
-		Calm:           calm,
-		Stay:           stay,
-		ReliefsARound:  reliefsARound,
-		AskedWork:      askedWork,
-		DropUnasked:    dropUnasked,
+		Busy:           minBusyLoad,
+		Uneven:         min(maxImbalance, longest.Seconds()/shortLoadTime.Seconds()),
+		Gain:           minGain,
+		Calm:           moveCooldown,
+		Stay:           minCopyAge,
+		ReliefsARound:  maxReliefsPerRound,
+		AskedWork:      minDemand,
+		DropUnasked:    evictIdleLoad,
 	})
 }
 
-// round plans the models and queues the orders.
-func (s *site) round(now time.Time) {
-	in := place.Input{Now: now, Catalogue: s.contents.weights, Work: s.work}
+// planRound plans placements and queues the orders.
+func (s *service) planRound(now time.Time) {
+	in := place.Input{Now: now, Catalogue: s.modelSet.weights, Work: s.work}
 	for id, e := range s.engines {
 		in.Servers = append(in.Servers, s.input(id, e))
 	}
-	for _, step := range s.plan.Plan(in) {
+	for _, step := range s.placer.Plan(in) {
 		if e := s.engines[step.Server]; e != nil {
-			e.add(now, task{kind: step.Kind, model: step.Weight.Name, reason: step.Reason})
+			e.enqueue(now, queuedOrder{kind: step.Kind, model: step.Weight.Name, reason: step.Reason})
 		}
 	}
-	s.index = s.newIndex()
-	s.spreadAdapters(now)
+	s.index = s.newEngineIndex()
+	s.replicateAdapters(now)
 	s.preloadAdapters(now)
 	s.index = nil
 }
 
-func (s *site) input(id galenastair.BackendServerID, e *engine) place.Server {
+func (s *service) input(id galenastair.BackendServerID, e *engine) place.Server {
 	in := place.Server{
 		ID:               id,
 		AvailabilityZone: e.server.AvailabilityZone,
 		Leaving:          e.server.Leaving,
-		Limited:          s.limited(e),
-		Free:             e.free(s.contents),
+		Limited:          s.isLimited(e),
+		Free:             e.freeMemory(s.modelSet),
 	}
 	in.AtHand = make(map[galenastair.ModelName]bool, len(e.server.AtHand))
 	for _, name := range e.server.AtHand {
 		in.AtHand[name] = true
 	}
-	for name, it := range e.models {
-		w := galenastair.Weight{Name: name, Memory: s.contents.memory(name)}
-		in.Copies = append(in.Copies, place.Copy{Weight: w, State: it.state})
+	for name, c := range e.models {
+		w := galenastair.Weight{Name: name, Memory: s.modelSet.memory(name)}
+		in.Copies = append(in.Copies, place.Copy{Weight: w, State: c.state})
 	}
 	return in
 }
 
-// work is the demand for a model with its adapters: they run where it is.
-func (s *site) work(name galenastair.ModelName) float64 {
-	m := s.contents.models[name]
+// work returns the demand for a model including its adapters, which run where the model is.
+func (s *service) work(name galenastair.ModelName) float64 {
+	m := s.modelSet.models[name]
 	if m == nil {
 		return 0
 	}
 	return s.workOf(m)
 }
 
-func (s *site) workOf(m *catalog.Model) float64 {
+func (s *service) workOf(m *catalog.Model) float64 {
 	sum := s.forecast.Work(m.Name)
 	for _, w := range s.adapterWork(m) {
 		sum += w
@@ -136,10 +138,10 @@
 	return sum
 }
 
-// adapterWork returns the demand for those adapters of a model that have any.
-func (s *site) adapterWork(m *catalog.Model) map[galenastair.ModelName]float64 {
+// adapterWork returns the demand for each adapter of a model that has any.
+func (s *service) adapterWork(m *catalog.Model) map[galenastair.ModelName]float64 {
 	out := map[galenastair.ModelName]float64{}
-	for _, name := range s.contents.adapters[m.Name] {
+	for _, name := range s.modelSet.adapters[m.Name] {
 		if w := s.forecast.Work(name); w > 0 {
 			out[name] = w
 		}
@@ -147,7 +149,7 @@
 	return out
 }
 
-func (s *site) modelCopies(m galenastair.ModelName) int {
+func (s *service) modelCopies(m galenastair.ModelName) int {
 	if s.index != nil {
 		return len(s.index.ready[m])
 	}
@@ -160,16 +162,17 @@
 	return n
 }
 
-// load is the prompt tokens that wait at an engine, over all instances.
-func (s *site) load(e *engine) float64 {
+// load returns the prompt tokens pending at an engine over all instances, with 100 more for each
+// request in flight.
+func (s *service) load(e *engine) float64 {
 	l := s.loads[e.server.ID]
 	return l.Unread + 100*l.Flights
 }
 
-// asked takes in demand for a model or adapter, and marks adapters as used.
-func (s *site) asked(now time.Time, name galenastair.ModelName, work time.Duration) {
+// recordDemand records demand for a model or adapter, and marks adapters as used.
+func (s *service) recordDemand(now time.Time, name galenastair.ModelName, work time.Duration) {
 	model, adapter := splitName(name)
-	if !s.contents.knows(model, adapter) {
+	if !s.modelSet.knows(model, adapter) {
 		return
 	}
 	s.forecast.Observe(name, work.Seconds())
@@ -177,28 +180,28 @@
 		return
 	}
 	for _, e := range s.engines {
-		if it := e.adapters[name]; it != nil {
-			it.used = now
+		if c := e.adapters[name]; c != nil {
+			c.lastUsed = now
 		}
 	}
 }
 
-// set adds an engine or takes in its registration.
-func (s *site) set(now time.Time, srv pool.Server) {
+// setEngine adds an engine or applies its new registration.
+func (s *service) setEngine(now time.Time, srv pool.Server) {
 	e := s.engines[srv.ID]
 	if e != nil && srv.Born < e.server.Born {
 		return
 	}
 	if e == nil || e.server.Born != srv.Born {
 		fresh := newEngine(srv)
-		fresh.strict = s.strict
+		fresh.leading = s.leading
 		if e != nil && now.Before(e.lostUntil) {
-			// an order without an answer would act once those of the new start have
-			// brought the count to the one that it presumes
-			fresh.rest, fresh.lost, fresh.lostUntil = e.lostUntil, e.lost, e.lostUntil
+			// an unanswered order to the previous process could take effect on this one, once its
+			// sequence number reaches the one in that order
+			fresh.retryAt, fresh.lostSequence, fresh.lostUntil = e.lostUntil, e.lostSequence, e.lostUntil
 		}
 		s.engines[srv.ID] = fresh
 		return
 	}
-	e.registered(now, srv)
+	e.applyRegistration(now, srv)
 }
--- a/planner/site_test.go
+++ b/planner/site_test.go
@@ -11,10 +11,10 @@
 	"galenastair/place"
 )
 
-// copies plays two engines of which one has somewhat more to do than the other, and counts
-// the copies that are made for it.
-func copies(load time.Duration) int {
-	plan := newPlan(&catalog.Engine{LoadsPerSecond: 5, Models: []catalog.Model{{Name: "m", Load: load}}})
+// reliefCopies plans for two engines, one of which is somewhat busier, and returns the number of
+// copies that are added to relieve it.
+func reliefCopies(load time.Duration) int {
+	plan := newPlacer(&catalog.Engine{LoadsPerSecond: 5, Models: []catalog.Model{{Name: "m", Load: load}}})
 	in := place.Input{
 		Now:       time.Unix(1000, 0),
 		Catalogue: []galenastair.Weight{{Name: "m", Memory: 10}, {Name: "n", Memory: 10}},
@@ -37,11 +37,11 @@
 	return n
 }
 
-// One engine is somewhat busier than another for a moment. Where a load takes two seconds a
-// copy helps its callers at once; where it takes six, the moment is over when it is there, and
-// it has cost a place and a turn at the weight store.
-func TestCopiesAreMadeSoonerWhereLoadsAreQuick(t *testing.T) {
+// One engine is somewhat busier than another for a moment. If a load takes 2 s, a copy helps its
+// callers at once. If it takes 6 s, the moment has passed when the copy is ready, and the copy has
+// cost memory and weight store capacity.
+func TestShortLoadsAllowEarlierRelief(t *testing.T) {
 	is := is.New(t)
-	is.Equal(copies(2*time.Second), 1)
-	is.Equal(copies(6*time.Second), 0)
+	is.Equal(reliefCopies(2*time.Second), 1)
+	is.Equal(reliefCopies(6*time.Second), 0)
 }
--- a/planner/waiters.go
+++ b/planner/waiters.go
@@ -1,19 +1,19 @@
 package planner
 
-// waiters are the requests that wait for an order to be taken or given up.
-type waiters struct{ all []chan bool }
+// waiters holds the requests that wait until an order is accepted or given up.
+type waiters struct{ channels []chan bool }
 
-// add returns what tells one more of them whether the order was taken.
+// add returns a channel that receives whether the order was accepted.
 func (w *waiters) add() <-chan bool {
 	c := make(chan bool, 1)
-	w.all = append(w.all, c)
+	w.channels = append(w.channels, c)
 	return c
 }
 
-// notify tells all of them, once.
+// notify notifies all waiters and removes them.
 func (w *waiters) notify(taken bool) {
-	for _, c := range w.all {
+	for _, c := range w.channels {
 		c <- taken
 	}
-	w.all = nil
+	w.channels = nil
 }
