--- a/pool/cache.go
+++ b/pool/cache.go
@@ -8,21 +8,21 @@
 	"galenastair"
 )
 
-// mostParts bounds the prompt parts remembered of one server. Its memory holds some
-// sixty requests; shared parts are few and used again at once.
-const mostParts = 256
+// maxCachedParts bounds the prompt parts remembered per server. A server's cache holds some sixty
+// requests; shared parts are few and are used again soon.
+const maxCachedParts = 256
 
-// cache guesses which prompt parts a server keeps: those sent there last.
+// cache estimates which prompt parts a server has cached: those sent there most recently.
 type cache struct {
-	order *list.List
-	at    map[uint64]*list.Element
+	order   *list.List
+	entries map[uint64]*list.Element
 }
 
-func newCache() *cache { return &cache{order: list.New(), at: map[uint64]*list.Element{}} }
+func newCache() *cache { return &cache{order: list.New(), entries: map[uint64]*list.Element{}} }
 
-// partKeys chains the parts of a prompt: a part is only kept with all before it, and
-// only for the same model and adapter.
-func partKeys(h galenastair.Hints) []uint64 {
+// prefixKeys returns a key for each prefix of the prompt's parts. A part is cached only together
+// with all parts before it, and only for the same model and adapter.
+func prefixKeys(h galenastair.Hints) []uint64 {
 	keys := make([]uint64, len(h.Parts))
 	d := xxhash.New()
 	_, _ = d.WriteString(string(h.Model))
@@ -33,11 +33,11 @@
 	return keys
 }
 
-// match returns the leading tokens of the prompt that are probably kept.
+// match returns the number of leading prompt tokens that are probably cached.
 func (c *cache) match(keys []uint64, parts []galenastair.PromptPart) galenastair.Tokens {
 	var sum galenastair.Tokens
 	for i, k := range keys {
-		if _, ok := c.at[k]; !ok {
+		if _, ok := c.entries[k]; !ok {
 			break
 		}
 		sum += parts[i].Tokens
@@ -47,14 +47,14 @@
 
 func (c *cache) add(keys []uint64) {
 	for _, k := range keys {
-		if e, ok := c.at[k]; ok {
+		if e, ok := c.entries[k]; ok {
 			c.order.MoveToFront(e)
 			continue
 		}
-		c.at[k] = c.order.PushFront(k)
+		c.entries[k] = c.order.PushFront(k)
 	}
-	for c.order.Len() > mostParts {
+	for c.order.Len() > maxCachedParts {
 		last := c.order.Back()
-		delete(c.at, c.order.Remove(last).(uint64))
+		delete(c.entries, c.order.Remove(last).(uint64))
 	}
 }
--- a/pool/choose.go
+++ b/pool/choose.go
@@ -9,60 +9,61 @@
 )
 
 const (
-	// zoneShare is the part of the aim that a caller may wait longer for a server of
-	// its own availability zone: bytes between zones cost, time within the aim doesn't.
-	zoneShare = 0.2
-	// failCost is how many aims a certain failure counts as; for a request that can't
-	// be repeated a failure is final.
-	failCost     = 2
-	failCostOnce = 6
-	// jitter keeps instances with the same figures from choosing the same server.
+	// crossZonePenalty is the fraction of the target latency that a request may wait longer to
+	// stay in its own availability zone. Traffic between zones costs money, while latency within
+	// the target costs nothing.
+	crossZonePenalty = 0.2
+	// failurePenalty is the cost of a certain failure, in multiples of the target latency. For a
+	// request that cannot be repeated, a failure is final and costs more.
+	failurePenalty        = 2
+	failurePenaltyNoRetry = 6
+	// jitter keeps instances with the same data from choosing the same server.
 	jitter = 0.05
-	// defaultAim is used where a route gives none.
-	defaultAim = time.Second
+	// defaultTargetLatency applies to routes without a target latency.
+	defaultTargetLatency = time.Second
 )
 
-// Choice is the chosen server and what decided.
+// Choice is the chosen server and the reason for it.
 type Choice struct {
 	Server
-	// Foretold is the expected time to the answer or its first event.
+	// PredictedLatency is the expected time to the answer or its first event.
 	Foretold time.Duration
-	// Cached is the prompt tokens that it probably keeps.
+	// CachedTokens is the number of prompt tokens that the server probably has cached.
 	Cached galenastair.Tokens
-	// Candidates counts the servers that were compared.
+	// Candidates is the number of servers that were considered.
 	Candidates int
-	// Limit is what the server has named; PerSecond is 0 if nothing.
+	// Limit is the rate limit that the server has reported; its PerSecond is 0 if there is none.
 	Limit ratelimit.Limit
-	// Wait is when a server takes requests again where all are deferred.
+	// RetryAfter is the time until a server accepts requests again, if all are throttled.
 	Wait   time.Duration
 	Reason string
 }
 
-// The reasons for a choice or for none.
+// Reasons for choosing a server, or for choosing none.
 const (
 	ReasonSoonest  = "soonest"
-	ReasonProbe    = "tries one that was out"
-	ReasonAllOut   = "all are out"
-	ReasonLastCopy = "the last copy leaves"
-	ReasonNoServer = "no server of the service"
+	ReasonProbe    = "probe of an ejected server"
+	ReasonAllOut   = "all servers are ejected"
+	ReasonLastCopy = "last copy, on a leaving server"
+	ReasonNoServer = "no server for the service"
 	ReasonNoModel  = "no server holds the model"
 	ReasonExcluded = "all were tried"
 	ReasonDeferred = "all are at their limits"
 )
 
-// Choose picks a server; the reason says why there is none.
+// Choose picks a server for a request. If there is none, the reason says why.
 func (p *Pool) Choose(now time.Time, q Query) (Choice, bool) {
-	q.keys = partKeys(q.Hints)
+	q.keys = prefixKeys(q.Hints)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	candidates := p.candidates(now, &q)
-	ready := slices.DeleteFunc(slices.Clone(candidates), func(m *member) bool { return now.Before(m.deferred) })
-	if wait, deferred := deferral(now, candidates); deferred && len(ready) == 0 {
+	ready := slices.DeleteFunc(slices.Clone(candidates), func(b *backend) bool { return now.Before(b.throttledUntil) })
+	if wait, throttled := minThrottleLeft(now, candidates); throttled && len(ready) == 0 {
 		return Choice{Wait: wait, Reason: ReasonDeferred}, false
 	}
 	candidates = ready
 	if len(candidates) == 0 {
-		return Choice{Reason: p.none(now, &q)}, false
+		return Choice{Reason: p.noneReason(now, &q)}, false
 	}
 	best, reason := p.best(now, &q, candidates)
 	if best == nil {
@@ -70,7 +71,7 @@
 	}
 	return Choice{
 		Server:     best.Server,
-		Foretold:   p.foretell(now, best, &q),
+		Foretold:   p.predictLatency(now, best, &q),
 		Cached:     best.cache.match(q.keys, q.Parts),
 		Candidates: len(candidates),
 		Limit:      best.limit.withAge(now, best.ID),
@@ -78,144 +79,144 @@
 	}, true
 }
 
-func (p *Pool) candidates(now time.Time, q *Query) []*member {
+func (p *Pool) candidates(now time.Time, q *Query) []*backend {
 	list := p.byService[q.Service]
 	if q.engine() {
 		list = p.byModel[q.Model]
 	}
-	var out []*member
-	for _, m := range list {
-		if m.Service != q.Service || slices.Contains(q.Exclude, m.ID) {
+	var out []*backend
+	for _, b := range list {
+		if b.Service != q.Service || slices.Contains(q.Exclude, b.ID) {
 			continue
 		}
-		if q.engine() && m.isAbsent(now) {
+		if q.engine() && b.isDown(now) {
 			continue
 		}
-		out = append(out, m)
+		out = append(out, b)
 	}
 	return out
 }
 
-func (p *Pool) none(now time.Time, q *Query) string {
-	there := func(m *member) bool { return m.Service == q.Service && !m.isAbsent(now) }
+func (p *Pool) noneReason(now time.Time, q *Query) string {
+	available := func(b *backend) bool { return b.Service == q.Service && !b.isDown(now) }
 	switch {
 	case len(p.byService[q.Service]) == 0:
 		return ReasonNoServer
-	case q.engine() && !slices.ContainsFunc(p.byModel[q.Model], there):
+	case q.engine() && !slices.ContainsFunc(p.byModel[q.Model], available):
 		return ReasonNoModel
 	default:
 		return ReasonExcluded
 	}
 }
 
-// best compares the candidates. It is made for one slow, failing or dark server among
-// sound ones, which must lose its load at once, and for a whole fleet that is slow, of
-// which nothing may be taken out.
-func (p *Pool) best(now time.Time, q *Query, candidates []*member) (*member, string) {
-	var best, out, leaving *member
-	var least, leastOut time.Duration
+// best compares the candidates. A single server that is slow, failing or unresponsive among
+// healthy ones must lose its load at once. If all servers are slow, none must be removed.
+func (p *Pool) best(now time.Time, q *Query, candidates []*backend) (*backend, string) {
+	var best, ejected, leaving *backend
+	var bestScore, ejectedScore time.Duration
 	candidates = p.sample(now, candidates)
-	for _, m := range candidates {
-		if m.Leaving {
-			if leaving == nil || m.leaves.After(leaving.leaves) {
-				leaving = m
+	for _, b := range candidates {
+		if b.Leaving {
+			if leaving == nil || b.leaveStart.After(leaving.leaveStart) {
+				leaving = b
 			}
 			continue
 		}
-		if m.health.mayProbe(now) && !q.Once {
-			return m, ReasonProbe
+		if b.health.mayProbe(now) && !q.Once {
+			return b, ReasonProbe
 		}
-		score := p.score(now, m, q)
-		if m.health.isOut(now) || !m.health.out.IsZero() && q.Once {
-			if out == nil || score < leastOut {
-				out, leastOut = m, score
+		score := p.score(now, b, q)
+		if b.health.isEjected(now) || !b.health.ejectedUntil.IsZero() && q.Once {
+			if ejected == nil || score < ejectedScore {
+				ejected, ejectedScore = b, score
 			}
 			continue
 		}
-		if best == nil || score < least {
-			best, least = m, score
+		if best == nil || score < bestScore {
+			best, bestScore = b, score
 		}
 	}
 	switch {
 	case best != nil:
 		return best, ReasonSoonest
-	case out != nil:
-		return out, ReasonAllOut
-	case leaving != nil && now.Sub(leaving.leaves) < p.leaveGrace:
+	case ejected != nil:
+		return ejected, ReasonAllOut
+	case leaving != nil && now.Sub(leaving.leaveStart) < p.leaveGrace:
 		return leaving, ReasonLastCopy
 	}
 	return nil, ReasonExcluded
 }
 
 const (
-	// crowdFrom is from how many instances on a choice is made among a sample.
-	crowdFrom = 16
-	// sampled is how many servers of the own availability zone are compared, and how many of
-	// the others.
-	sampled = 2
+	// minFleetToSample is the number of instances from which only a sample of the candidates is
+	// compared.
+	minFleetToSample = 16
+	// sampleSize is the number of servers sampled in the local availability zone, and in all
+	// others together.
+	sampleSize = 2
 )
 
-// sample takes some sound candidates by chance where many instances choose. By what each
-// knows of the others' requests, some hundred milliseconds old, all would choose the same
-// server. Those that are out or leave stay in.
-func (p *Pool) sample(now time.Time, candidates []*member) []*member {
-	if p.fleet() < crowdFrom || len(candidates) <= sampled {
+// sample keeps a random sample of the healthy candidates in a large fleet. Instances know the load
+// of their peers only with a delay of some hundred milliseconds, so without sampling they would
+// all choose the same server. Servers that are ejected or leaving are kept.
+func (p *Pool) sample(now time.Time, candidates []*backend) []*backend {
+	if p.fleetSize() < minFleetToSample || len(candidates) <= sampleSize {
 		return candidates
 	}
 	p.rng.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
-	near, far := 0, 0
-	return slices.DeleteFunc(candidates, func(m *member) bool {
-		if m.Leaving || m.health.isOut(now) || !m.health.out.IsZero() {
+	local, remote := 0, 0
+	return slices.DeleteFunc(candidates, func(b *backend) bool {
+		if b.Leaving || b.health.isEjected(now) || !b.health.ejectedUntil.IsZero() {
 			return false
 		}
-		count := &far
-		if m.AvailabilityZone == p.zone {
-			count = &near
+		count := &remote
+		if b.AvailabilityZone == p.zone {
+			count = &local
 		}
 		*count++
-		return *count > sampled
+		return *count > sampleSize
 	})
 }
 
-// score is the foretold time with what a failure and the way there would cost.
-func (p *Pool) score(now time.Time, m *member, q *Query) time.Duration {
-	aim := q.Aim
-	if aim <= 0 {
-		aim = defaultAim
+// score returns the predicted latency plus penalties for failures, limits and crossing zones.
+func (p *Pool) score(now time.Time, b *backend, q *Query) time.Duration {
+	target := q.Aim
+	if target <= 0 {
+		target = defaultTargetLatency
 	}
-	t := p.foretell(now, m, q)
-	if m.AvailabilityZone != p.zone {
-		t += time.Duration(zoneShare * float64(aim))
+	t := p.predictLatency(now, b, q)
+	if b.AvailabilityZone != p.zone {
+		t += time.Duration(crossZonePenalty * float64(target))
 	}
-	cost := failCost
+	cost := failurePenalty
 	if q.Once {
-		cost = failCostOnce
+		cost = failurePenaltyNoRetry
 	}
-	t += time.Duration(m.health.share * float64(cost) * float64(aim))
-	if m.health.stalled(now, t) {
-		t += 4 * aim
+	t += time.Duration(b.health.failureRate * float64(cost) * float64(target))
+	if b.health.stalled(now, t) {
+		t += 4 * target
 	}
-	if now.Before(m.full[q.Model]) {
-		t += 2 * aim
+	if now.Before(b.fullUntil[q.Model]) {
+		t += 2 * target
 	}
-	if m.limit.perSecond > 0 && now.Sub(m.limit.at) < limitProbe {
-		t += 2 * aim
+	if b.limit.perSecond > 0 && now.Sub(b.limit.at) < limitProbeAge {
+		t += 2 * target
 	}
-	return t + time.Duration(p.rng.Float64()*jitter*float64(aim))
+	return t + time.Duration(p.rng.Float64()*jitter*float64(target))
 }
 
-func (p *Pool) foretell(now time.Time, m *member, q *Query) time.Duration {
-	return time.Duration(float64(m.nominal(now, q)) * m.pace.value(now) * p.paceOf(q).value(now))
+func (p *Pool) predictLatency(now time.Time, b *backend, q *Query) time.Duration {
+	return time.Duration(float64(b.nominal(now, q)) * b.ratio.value(now) * p.modelRatio(q).value(now))
 }
 
-// paceOf returns the pace of a model, or of a plain service.
-func (p *Pool) paceOf(q *Query) *pace {
+// modelRatio returns the latency ratio of a model, or of a service without models.
+func (p *Pool) modelRatio(q *Query) *latencyRatio {
 	name := q.Model
 	if !q.engine() {
 		name = galenastair.ModelName(q.Service)
 	}
-	if p.paces[name] == nil {
-		p.paces[name] = &pace{}
+	if p.modelRatios[name] == nil {
+		p.modelRatios[name] = &latencyRatio{}
 	}
-	return p.paces[name]
+	return p.modelRatios[name]
 }
--- a/pool/cost.go
+++ b/pool/cost.go
@@ -7,99 +7,99 @@
 	"galenastair"
 )
 
-// cost is what a model's requests take of an engine, as this instance has observed.
+// cost is the engine time that requests for a model take, as observed by this instance.
 type cost struct {
-	// read is the seconds until the first event for each token of the prompt, with what
-	// engines keep of prompts taken in.
-	read mean
-	// run is the seconds from the first event to the last for each token of output that
-	// a request may take.
-	run mean
+	// prefill is the time to the first event in seconds per prompt token, including the effect of
+	// prefix caching.
+	prefill mean
+	// decode is the time from the first event to the last in seconds per token of the requested
+	// output limit.
+	decode mean
 }
 
-// mean follows a figure that is observed again and again.
+// mean is a running mean of observations.
 type mean struct {
 	value   float64
 	samples int
 }
 
 const (
-	// meanSamples is over how many observations a mean looks back.
-	meanSamples = 20
-	// oddSample is how many times the mean a single observation counts at most: an
-	// engine that stands still, or queues of others, say nothing of the model.
-	oddSample = 3
-	// firstRun is a guess of a token's time in a batch, until an answer has come; that of
-	// its reading is readPerSecond.
-	firstRun = 2 * time.Millisecond
+	// meanWindow is the number of observations that a mean covers.
+	meanWindow = 20
+	// maxSampleFactor caps an observation at this multiple of the mean. A stalled engine or
+	// another request's queue says nothing about the model.
+	maxSampleFactor = 3
+	// initialDecodeTime is the assumed time per output token until an answer is observed. The
+	// assumed prefill speed is prefillTokensPerSecond.
+	initialDecodeTime = 2 * time.Millisecond
 )
 
-func (m *mean) learn(v float64) {
-	m.samples = min(m.samples+1, meanSamples)
-	m.value += (min(v, oddSample*m.value) - m.value) / float64(m.samples)
+func (m *mean) observe(v float64) {
+	m.samples = min(m.samples+1, meanWindow)
+	m.value += (min(v, maxSampleFactor*m.value) - m.value) / float64(m.samples)
 }
 
-// firstCost is a guess, until the first answer of any model.
-func firstCost() cost {
-	return cost{read: mean{value: 1.0 / readPerSecond}, run: mean{value: firstRun.Seconds()}}
+// initialCost is the cost that is assumed until an answer of any model is observed.
+func initialCost() cost {
+	return cost{prefill: mean{value: 1.0 / prefillTokensPerSecond}, decode: mean{value: initialDecodeTime.Seconds()}}
 }
 
-// baseOf is the model that an adapter runs on, or the model itself.
-func baseOf(name galenastair.ModelName) galenastair.ModelName {
+// baseModel returns the model that an adapter runs on, or the model itself.
+func baseModel(name galenastair.ModelName) galenastair.ModelName {
 	base, _, _ := strings.Cut(string(name), "/")
 	return galenastair.ModelName(base)
 }
 
-// costOf returns a model's cost; one of which no answer has come takes what models take
-// here on the whole.
+// costOf returns the cost of a model. A model without observations starts with the mean over all
+// models.
 func (p *Pool) costOf(q *Query) *cost {
-	base := baseOf(q.Model)
+	base := baseModel(q.Model)
 	if p.costs[base] == nil {
-		p.costs[base] = &cost{read: mean{value: p.usual.read.value}, run: mean{value: p.usual.run.value}}
+		p.costs[base] = &cost{prefill: mean{value: p.overall.prefill.value}, decode: mean{value: p.overall.decode.value}}
 	}
 	return p.costs[base]
 }
 
-// learnRead takes in a first event. Only that of a request for which nothing else waited to
-// be read counts: else the time is that of others' prompts too.
-func (f *Flight) learnRead(now time.Time) {
-	if !f.first || f.query.Prompt <= 0 {
+// observePrefill records the time to the first event. It counts only if no other prompt was
+// pending when the request was sent, as the time would otherwise include those prompts.
+func (a *Flight) observePrefill(now time.Time) {
+	if !a.unqueued || a.query.Prompt <= 0 {
 		return
 	}
-	took := now.Sub(f.begun).Seconds() / float64(f.query.Prompt)
-	f.pool.costOf(&f.query).read.learn(took)
-	f.pool.usual.read.learn(took)
+	seconds := now.Sub(a.beganAt).Seconds() / float64(a.query.Prompt)
+	a.pool.costOf(&a.query).prefill.observe(seconds)
+	a.pool.overall.prefill.observe(seconds)
 }
 
-// learnRun takes in the end of an answer.
-func (f *Flight) learnRun(now time.Time) {
-	if !f.query.engine() || f.query.Output <= 0 {
+// observeDecode records the time from the first event to the end of an answer.
+func (a *Flight) observeDecode(now time.Time) {
+	if !a.query.engine() || a.query.Output <= 0 {
 		return
 	}
-	took := now.Sub(f.startedAt).Seconds() / float64(f.query.Output)
-	f.pool.costOf(&f.query).run.learn(took)
-	f.pool.usual.run.learn(took)
+	seconds := now.Sub(a.startedAt).Seconds() / float64(a.query.Output)
+	a.pool.costOf(&a.query).decode.observe(seconds)
+	a.pool.overall.decode.observe(seconds)
 }
 
-// EngineTime foretells for how long a request keeps one engine busy: the time in which it
-// reads the prompt, and a slot's part of the time in which it makes the answer. Speeds are
-// observed: by a fixed one idle engines may count as overloaded, and copies are moved in vain.
+// EngineTime predicts how long a request occupies one engine: the prefill time plus the decode
+// time divided by the number of slots. Speeds are observed, since with fixed ones an idle engine
+// could count as overloaded, and copies would be moved needlessly.
 func (p *Pool) EngineTime(q Query) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := p.costOf(&q)
-	seconds := float64(q.Prompt) * c.read.value
+	seconds := float64(q.Prompt) * c.prefill.value
 	if slots := p.slotsOf(q.Service); slots > 0 {
-		seconds += float64(q.Output) * c.run.value / float64(slots)
+		seconds += float64(q.Output) * c.decode.value / float64(slots)
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// slotsOf is how many requests a server of a service runs together.
+// slotsOf returns how many requests a server of the service runs concurrently.
 func (p *Pool) slotsOf(s galenastair.ServiceName) int {
-	for _, m := range p.byService[s] {
-		if m.Slots > 0 {
-			return m.Slots
+	for _, b := range p.byService[s] {
+		if b.Slots > 0 {
+			return b.Slots
 		}
 	}
 	return 0
--- a/pool/doc.go
+++ b/pool/doc.go
@@ -1,9 +1,9 @@
-// Package pool chooses the backend server of a request: one that holds its model and
-// adapter, will probably answer soonest, and is in the caller's availability zone
-// where that costs no time that anybody would miss.
+// Package pool chooses the backend server for each request: one that holds the model and adapter
+// and is likely to answer first, in the caller's availability zone as long as that does not miss
+// the target latency.
 //
-// It opens no socket and starts no goroutine; a lock guards it for single decisions.
-// Work per decision grows with the copies of the one model, not with the fleet.
-// Memory: about 1 KB a backend server and 40 bytes for each remembered prompt part,
-// 256 at most a server.
+// A Pool opens no connections and starts no goroutines; a mutex guards it during each call. The
+// work per choice grows with the number of copies of the requested model, not with the fleet.
+// Memory: about 1 KB per backend server, and 40 bytes for each remembered prompt part, of which
+// there are at most 256 per server.
 package pool
--- a/pool/flight.go
+++ b/pool/flight.go
@@ -6,112 +6,112 @@
 	"galenastair"
 )
 
-// Flight is one request on its way at a backend server.
+// Attempt is a request that has been sent to a backend server.
 type Flight struct {
 	pool    *Pool
-	member  *member
+	backend *backend
 	query   Query
-	begun   time.Time
+	beganAt time.Time
 	nominal time.Duration
 	started bool
 	ended   bool
-	// first says that nothing else waited to be read when it was sent.
-	first     bool
+	// unqueued reports that no other prompt was pending at the server when the request was sent.
+	unqueued  bool
 	startedAt time.Time
 }
 
-// Result says how a flight ended, as far as the server is to blame or to praise.
+// Result is the outcome of an attempt, as far as it says something about the server.
 type Result int
 
-// The results of a flight.
+// Results of an attempt.
 const (
-	// Succeeded is a whole answer, also one that is a failure of the request's own.
+	// Succeeded is a complete answer, including an error that the request itself caused.
 	Succeeded Result = iota
-	// Failed is an answer that was cut, wrong or an error of the server.
+	// Failed is an answer that was cut off or invalid, or an attempt without an answer.
 	Failed
-	// Absent is a server at whose address nothing listens: its process has ended.
+	// Down means that the server refuses connections, so its process has ended.
 	Absent
-	// Erred is a whole answer that says that the server failed.
+	// ServerError is a complete answer that reports a failure of the server.
 	Erred
-	// Full is a server that declined for lack of room.
+	// Full means that the server declined the request because it has no capacity.
 	Full
-	// Neutral says nothing about the server: the caller left, or the request was wrong.
+	// Neutral says nothing about the server: the caller disconnected, or the request was invalid.
 	Neutral
 )
 
-// Begin counts a request that is about to be sent to a server.
+// Begin records a request that is about to be sent to a server.
 func (p *Pool) Begin(now time.Time, id galenastair.BackendServerID, q Query) *Flight {
-	q.keys = partKeys(q.Hints)
+	q.keys = prefixKeys(q.Hints)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	f := &Flight{pool: p, query: q, begun: now}
-	m := p.members[id]
-	if m == nil {
-		f.ended = true
-		return f
+	a := &Flight{pool: p, query: q, beganAt: now}
+	b := p.backends[id]
+	if b == nil {
+		a.ended = true
+		return a
 	}
-	f.member = m
-	f.nominal = m.nominal(now, &q)
-	f.first = q.engine() && m.unread == 0 && m.othersUnread(now) < 1
-	m.flights++
-	m.unread += q.Prompt
-	if !q.Once && m.health.mayProbe(now) {
-		m.health.probing = true
+	a.backend = b
+	a.nominal = b.nominal(now, &q)
+	a.unqueued = q.engine() && b.pendingTokens == 0 && b.peerPendingTokens(now) < 1
+	b.inFlight++
+	b.pendingTokens += q.Prompt
+	if !q.Once && b.health.mayProbe(now) {
+		b.health.probing = true
 	}
-	m.health.sent(now)
-	m.cache.add(q.keys)
-	return f
+	b.health.sent(now)
+	b.cache.add(q.keys)
+	return a
 }
 
-// Started notes the first event of the answer, or its head where it is no stream.
-func (f *Flight) Started(now time.Time) {
-	f.pool.mu.Lock()
-	defer f.pool.mu.Unlock()
-	if f.ended || f.started {
+// Started records the first event of a streamed answer, or the header of any other.
+func (a *Flight) Started(now time.Time) {
+	a.pool.mu.Lock()
+	defer a.pool.mu.Unlock()
+	if a.ended || a.started {
 		return
 	}
-	f.started, f.startedAt = true, now
-	f.member.unread -= f.query.Prompt
-	f.member.health.started(now)
-	f.learnRead(now)
-	ratio := float64(now.Sub(f.begun)) / float64(f.nominal)
-	model := f.pool.paceOf(&f.query)
-	f.member.pace.learn(now, ratio/(f.member.pace.value(now)*model.value(now)), fastLearning)
-	model.learn(now, ratio/(f.member.pace.value(now)*model.value(now)), slowLearning)
+	a.started, a.startedAt = true, now
+	a.backend.pendingTokens -= a.query.Prompt
+	a.backend.health.started(now)
+	a.observePrefill(now)
+	ratio := float64(now.Sub(a.beganAt)) / float64(a.nominal)
+	modelRatio := a.pool.modelRatio(&a.query)
+	a.backend.ratio.observe(now, ratio/(a.backend.ratio.value(now)*modelRatio.value(now)), serverLearningRate)
+	modelRatio.observe(now, ratio/(a.backend.ratio.value(now)*modelRatio.value(now)), modelLearningRate)
 }
 
-// End takes the request off its server.
-func (f *Flight) End(now time.Time, r Result) {
-	f.pool.mu.Lock()
-	defer f.pool.mu.Unlock()
-	if f.ended {
+// End records the result and removes the attempt from its server.
+func (a *Flight) End(now time.Time, r Result) {
+	a.pool.mu.Lock()
+	defer a.pool.mu.Unlock()
+	if a.ended {
 		return
 	}
-	f.ended = true
-	m := f.member
-	m.flights--
-	if !f.started {
-		m.unread -= f.query.Prompt
-		m.health.unstarted = max(0, m.health.unstarted-1)
+	a.ended = true
+	b := a.backend
+	b.inFlight--
+	if !a.started {
+		b.pendingTokens -= a.query.Prompt
+		b.health.awaitingFirstEvent = max(0, b.health.awaitingFirstEvent-1)
 	}
 	switch r {
 	case Succeeded:
-		if f.started {
-			f.learnRun(now)
+		if a.started {
+			a.observeDecode(now)
 		}
-		m.health.succeeded()
-		m.absent = time.Time{}
+		b.health.succeeded()
+		b.downAt = time.Time{}
 	case Failed:
-		m.health.failed(now)
+		b.health.failed(now)
 	case Absent:
-		m.health.failed(now)
-		m.absent = now
+		b.health.failed(now)
+		b.downAt = now
 	case Erred:
-		m.health.erred(now)
+		b.health.serverError(now)
 	case Full:
-		m.full[f.query.Model] = now.Add(fullFor)
-		m.health.probing = false
+		b.fullUntil[a.query.Model] = now.Add(fullBackoff)
+		b.health.probing = false
 	case Neutral:
-		m.health.probing = false
+		b.health.probing = false
 	}
 }
--- a/pool/forecast.go
+++ b/pool/forecast.go
@@ -8,106 +8,108 @@
 )
 
 const (
-	// readPerSecond is a guess of the prompt tokens that an engine reads in a second, until
-	// answers have come. Only proportions matter: pace corrects what a server really does.
-	readPerSecond = 20400
-	// step is such a guess of one round of an engine's batch.
-	step = 10100 * time.Microsecond
-	// perFlight is what each running request adds to every round of the batch.
-	perFlight = 400 * time.Microsecond
-	// slowLearning and fastLearning are the weights of one new answer in the pace of
-	// a model (the same on all servers) and of a server.
-	slowLearning = 0.05
-	fastLearning = 0.25
-	// leastPace and mostPace bound what one odd answer can make of a server.
-	leastPace = 0.2
-	mostPace  = 30
-	// paceMemory is how fast a long pace is forgotten: some times the life of a queue.
-	paceMemory = 3 * time.Second
-	// plainWork is the first guess of what a plain service takes.
-	plainWork = 20 * time.Millisecond
-	// othersMemory is how fast a figure told by other instances loses its worth:
-	// about the time that a prompt waits and is read.
-	othersMemory = time.Second
+	// prefillTokensPerSecond is the assumed prefill speed of an engine until answers are observed.
+	// Only the proportions of these assumptions matter, since latencyRatio corrects for the actual
+	// speed of a server.
+	prefillTokensPerSecond = 20400
+	// decodeStep is the assumed time of one step of an engine's batch.
+	decodeStep = 10100 * time.Microsecond
+	// decodeStepPerRequest is the time that each running request adds to a step.
+	decodeStepPerRequest = 400 * time.Microsecond
+	// modelLearningRate and serverLearningRate are the weights of a new answer in the latency
+	// ratio of a model, which applies to all servers, and in that of a server.
+	modelLearningRate  = 0.05
+	serverLearningRate = 0.25
+	// minRatio and maxRatio bound the effect of a single unusual answer.
+	minRatio = 0.2
+	maxRatio = 30
+	// ratioDecay is the time constant with which a ratio above 1 decays. It is a few times as long
+	// as a queue lasts.
+	ratioDecay = 3 * time.Second
+	// plainServiceTime is the assumed response time of a service without models.
+	plainServiceTime = 20 * time.Millisecond
+	// peerLoadHalfTime is the age at which a load reported by other instances counts half. It is
+	// about the time that a prompt waits and is processed.
+	peerLoadHalfTime = time.Second
 )
 
-// pace is how many times longer than foretold answers take. A long one is forgotten: the queue
-// that it came of may be gone, and an instance that sends elsewhere for it never learns so.
-type pace struct {
+// latencyRatio is the ratio of observed to predicted latency. A ratio above 1 decays, as the queue
+// that caused it may be gone, and an instance that avoids the server would not observe that.
+type latencyRatio struct {
 	ratio float64
 	at    time.Time
 }
 
-func (p *pace) value(now time.Time) float64 {
-	if p == nil || p.ratio == 0 {
+func (r *latencyRatio) value(now time.Time) float64 {
+	if r == nil || r.ratio == 0 {
 		return 1
 	}
-	if p.ratio <= 1 {
-		return p.ratio
+	if r.ratio <= 1 {
+		return r.ratio
 	}
-	return 1 + (p.ratio-1)*math.Exp(-max(0, now.Sub(p.at).Seconds())/paceMemory.Seconds())
+	return 1 + (r.ratio-1)*math.Exp(-max(0, now.Sub(r.at).Seconds())/ratioDecay.Seconds())
 }
 
-func (p *pace) learn(now time.Time, ratio, weight float64) {
-	v := p.value(now)
-	p.ratio, p.at = min(mostPace, max(leastPace, v*(1-weight)+v*ratio*weight)), now
+func (r *latencyRatio) observe(now time.Time, ratio, weight float64) {
+	v := r.value(now)
+	r.ratio, r.at = min(maxRatio, max(minRatio, v*(1-weight)+v*ratio*weight)), now
 }
 
-// nominal is the time to the first event that a server of usual pace needs.
-func (m *member) nominal(now time.Time, q *Query) time.Duration {
+// nominal predicts the time to the first event at a latency ratio of 1.
+func (b *backend) nominal(now time.Time, q *Query) time.Duration {
 	if !q.engine() {
-		return m.nominalPlain(now)
+		return b.nominalPlain(now)
 	}
-	tokens := float64(m.unread) + m.othersUnread(now) + float64(q.Prompt-m.cache.match(q.keys, q.Parts))
-	read := time.Duration(tokens / readPerSecond * float64(time.Second))
-	flights := float64(m.flights) + m.othersFlights(now)
-	rounds := 2 * (step + time.Duration(flights*float64(perFlight)))
-	return read + rounds + m.fullWait(flights)
+	tokens := float64(b.pendingTokens) + b.peerPendingTokens(now) + float64(q.Prompt-b.cache.match(q.keys, q.Parts))
+	prefill := time.Duration(tokens / prefillTokensPerSecond * float64(time.Second))
+	inFlight := float64(b.inFlight) + b.peerInFlight(now)
+	decode := 2 * (decodeStep + time.Duration(inFlight*float64(decodeStepPerRequest)))
+	return prefill + decode + b.slotWait(inFlight)
 }
 
-// fullWait is the wait for a slot when all are taken: the running requests leave
-// one after the other, each after some hundred rounds shared by all slots.
-func (m *member) fullWait(flights float64) time.Duration {
-	over := flights - float64(m.Slots)
-	if over < 0 || m.Slots == 0 {
+// slotWait is the wait for a slot if all are in use. Running requests finish one after the other,
+// each after some hundred steps that all slots share.
+func (b *backend) slotWait(inFlight float64) time.Duration {
+	excess := inFlight - float64(b.Slots)
+	if excess < 0 || b.Slots == 0 {
 		return 0
 	}
-	return time.Duration((over + 1) / float64(m.Slots) * float64(time.Second))
+	return time.Duration((excess + 1) / float64(b.Slots) * float64(time.Second))
 }
 
-func (m *member) nominalPlain(now time.Time) time.Duration {
-	flights := float64(m.flights) + m.othersFlights(now)
-	queued := max(0, flights+1-float64(m.Slots))
-	return plainWork + time.Duration(queued/float64(max(1, m.Slots))*float64(plainWork))
+func (b *backend) nominalPlain(now time.Time) time.Duration {
+	inFlight := float64(b.inFlight) + b.peerInFlight(now)
+	queued := max(0, inFlight+1-float64(b.Slots))
+	return plainServiceTime + time.Duration(queued/float64(max(1, b.Slots))*float64(plainServiceTime))
 }
 
-func (m *member) othersUnread(now time.Time) float64 {
-	return m.others.Unread * decay(now.Sub(m.othersAt))
+func (b *backend) peerPendingTokens(now time.Time) float64 {
+	return b.peerLoad.Unread * peerLoadWeight(now.Sub(b.peerLoadAt))
 }
 
-func (m *member) othersFlights(now time.Time) float64 {
-	return m.others.Flights * decay(now.Sub(m.othersAt))
+func (b *backend) peerInFlight(now time.Time) float64 {
+	return b.peerLoad.Flights * peerLoadWeight(now.Sub(b.peerLoadAt))
 }
 
-// decay is linear: what others told is worth nothing twice the memory later.
-func decay(age time.Duration) float64 {
-	return max(0, 1-float64(age)/float64(2*othersMemory))
+// peerLoadWeight decreases linearly from 1 to 0 at twice peerLoadHalfTime.
+func peerLoadWeight(age time.Duration) float64 {
+	return max(0, 1-float64(age)/float64(2*peerLoadHalfTime))
 }
 
-// Load is what the requests of one or more instances put on a backend server.
+// Load is the load that the requests of one or more instances put on a backend server.
 type Load struct {
 	Flights float64
-	// Unread is prompt tokens of requests that have no first event yet.
+	// PendingTokens is the number of prompt tokens of requests without a first event.
 	Unread float64
 }
 
-// Query is what a choice depends on.
+// Query describes the request to choose a server for.
 type Query struct {
 	Service galenastair.ServiceName
 	galenastair.Hints
-	// Aim is the time to the first event that is still on time.
+	// TargetLatency is the time within which the first event should arrive.
 	Aim time.Duration
-	// Once says that the request may not be repeated.
+	// NoRetry is set if the request must not be sent twice.
 	Once    bool
 	Exclude []galenastair.BackendServerID
 
--- a/pool/health.go
+++ b/pool/health.go
@@ -3,98 +3,98 @@
 import "time"
 
 const (
-	// failuresOut in a row take a server out; one request that crashes what runs it
-	// and its one repetition make two.
-	failuresOut = 3
-	// failWeight is the weight of one result in the share of failures.
-	failWeight = 0.2
-	// failShareOut is the share of failures that takes a server out: callers of a
-	// request that may not be repeated lose every second one there.
-	failShareOut = 0.45
-	// leastSamples is how many results a share needs.
-	leastSamples = 4
-	// firstRest and longestRest bound how long a server stays out before one request
-	// tries it; a crashed one is back after some seconds.
-	firstRest   = time.Second
-	longestRest = 8 * time.Second
-	// silence is how long a server with unanswered requests may show no progress at
-	// all before it counts as dark, beside what it was foretold to take.
-	silence = 900 * time.Millisecond
-	// fullFor is how long an answer "full" keeps requests for the same model away, if
-	// others hold it: the server has no room, or is about to give the model up.
-	fullFor = 400 * time.Millisecond
+	// ejectAfterFailures is the number of consecutive failures that ejects a server. A request
+	// that crashes its server and the one retry of it cause two.
+	ejectAfterFailures = 3
+	// failureRateWeight is the minimum weight of one result in the failure rate.
+	failureRateWeight = 0.2
+	// maxFailureRate is the failure rate that ejects a server. There, callers whose requests
+	// cannot be repeated lose almost every second one.
+	maxFailureRate = 0.45
+	// minSamples is the number of results that a failure rate needs to count.
+	minSamples = 4
+	// baseEjectionTime and maxEjectionTime bound how long a server stays ejected before one
+	// request probes it. A crashed server is back after some seconds.
+	baseEjectionTime = time.Second
+	maxEjectionTime  = 8 * time.Second
+	// stallTimeout is how long a server with unanswered requests may make no progress, in addition
+	// to the predicted latency, before it counts as stalled.
+	stallTimeout = 900 * time.Millisecond
+	// fullBackoff is how long requests for a model avoid a server that declined one as full, if
+	// others hold the model. The server has no capacity or is about to unload the model.
+	fullBackoff = 400 * time.Millisecond
 )
 
-// health is how a server has answered this instance.
+// health tracks how a server has answered this instance.
 type health struct {
-	failures  int
-	share     float64
-	samples   int
-	out       time.Time
-	rest      time.Duration
-	probing   bool
-	progress  time.Time
-	unstarted int
+	consecutiveFailures int
+	failureRate         float64
+	samples             int
+	ejectedUntil        time.Time
+	ejectionTime        time.Duration
+	probing             bool
+	lastProgress        time.Time
+	awaitingFirstEvent  int
 }
 
 func (h *health) sent(now time.Time) {
-	if h.unstarted == 0 {
-		h.progress = now
+	if h.awaitingFirstEvent == 0 {
+		h.lastProgress = now
 	}
-	h.unstarted++
+	h.awaitingFirstEvent++
 }
 
 func (h *health) started(now time.Time) {
-	h.unstarted = max(0, h.unstarted-1)
-	h.progress = now
+	h.awaitingFirstEvent = max(0, h.awaitingFirstEvent-1)
+	h.lastProgress = now
 }
 
 func (h *health) succeeded() {
-	h.failures, h.rest, h.probing = 0, 0, false
-	h.out = time.Time{}
-	h.note(0)
+	h.consecutiveFailures, h.ejectionTime, h.probing = 0, 0, false
+	h.ejectedUntil = time.Time{}
+	h.observe(0)
 }
 
 func (h *health) failed(now time.Time) {
-	h.failures++
-	h.note(1)
-	if h.failures >= failuresOut || h.samples >= leastSamples && h.share > failShareOut || h.probing {
-		h.takeOut(now)
+	h.consecutiveFailures++
+	h.observe(1)
+	if h.consecutiveFailures >= ejectAfterFailures || h.samples >= minSamples && h.failureRate > maxFailureRate || h.probing {
+		h.eject(now)
 	}
 }
 
-// erred counts an error that the server itself answered with. Requests of some kinds
-// fail everywhere, so only their share tells of the server.
-func (h *health) erred(now time.Time) {
-	h.failures = 0
-	h.note(1)
-	if h.samples >= leastSamples && h.share > failShareOut || h.probing {
-		h.takeOut(now)
+// serverError records an error that the server itself returned. Some requests fail on every
+// server, so only the failure rate counts, not consecutive failures.
+func (h *health) serverError(now time.Time) {
+	h.consecutiveFailures = 0
+	h.observe(1)
+	if h.samples >= minSamples && h.failureRate > maxFailureRate || h.probing {
+		h.eject(now)
 	}
 }
 
-func (h *health) note(failure float64) {
+func (h *health) observe(failure float64) {
 	h.samples++
-	h.share += max(failWeight, 1/float64(h.samples)) * (failure - h.share)
+	h.failureRate += max(failureRateWeight, 1/float64(h.samples)) * (failure - h.failureRate)
 }
 
-func (h *health) takeOut(now time.Time) {
-	h.rest = min(longestRest, max(firstRest, 2*h.rest))
-	h.out = now.Add(h.rest)
+func (h *health) eject(now time.Time) {
+	h.ejectionTime = min(maxEjectionTime, max(baseEjectionTime, 2*h.ejectionTime))
+	h.ejectedUntil = now.Add(h.ejectionTime)
 	h.probing = false
-	h.failures = 0
+	h.consecutiveFailures = 0
 }
 
-// isOut says whether only a try-out or nothing else may go there.
-func (h *health) isOut(now time.Time) bool { return now.Before(h.out) || h.probing }
+// isEjected reports whether the server is ejected or being probed.
+func (h *health) isEjected(now time.Time) bool { return now.Before(h.ejectedUntil) || h.probing }
 
-// mayProbe says whether its rest is over and nothing tries it yet.
+// mayProbe reports whether the ejection time is over and no request is probing the server yet.
 func (h *health) mayProbe(now time.Time) bool {
-	return !h.out.IsZero() && !now.Before(h.out) && !h.probing
+	return !h.ejectedUntil.IsZero() && !now.Before(h.ejectedUntil) && !h.probing
 }
 
-// stalled says whether it has shown no progress for longer than foretold. A frozen or
-// dead server sends nothing at all, and its connections stay open.
-func (h *health) stalled(now time.Time, foretold time.Duration) bool {
-	return h.unstarted > 0 && now.Sub(h.progress) > silence+foretold
+// stalled reports whether the server has made no progress for longer than predicted. A frozen or
+// dead server sends nothing, and its connections stay open.
+func (h *health) stalled(now time.Time, predicted time.Duration) bool {
+	return h.awaitingFirstEvent > 0 && now.Sub(h.lastProgress) > stallTimeout+predicted
 }
--- a/pool/limit.go
+++ b/pool/limit.go
@@ -8,50 +8,51 @@
 )
 
 const (
-	// limitProbe is how old the word of a limit may be before a request may find out whether
-	// it still holds, although other servers would answer sooner.
-	limitProbe = 2 * time.Second
-	// limitEnded is how long the end of a limit is told: a few exchanges.
-	limitEnded = 5 * time.Second
-	// exchangeSkew is the most that an age told by another instance may be off.
-	exchangeSkew = 100 * time.Millisecond
-	// leastDeferral keeps a request that was turned away from asking again at once.
-	leastDeferral = 20 * time.Millisecond
+	// limitProbeAge is the age of a reported rate limit from which a request may go to the server
+	// to find out whether the limit still applies, although other servers would answer sooner.
+	limitProbeAge = 2 * time.Second
+	// clearedLimitTTL is how long other instances are told that a limit has been cleared. It spans
+	// several exchanges.
+	clearedLimitTTL = 5 * time.Second
+	// peerAgeSkew bounds the error of an age reported by another instance.
+	peerAgeSkew = 100 * time.Millisecond
+	// minThrottle keeps a request that was turned away from asking again at once.
+	minThrottle = 20 * time.Millisecond
 )
 
-// limit is the rate that a server has named last.
+// limit is the latest rate limit that a server reported.
 type limit struct {
 	perSecond float64
-	// at is when it was named, or when an answer named none any more; zero if none ever did.
+	// at is when the limit was reported or cleared; zero if there has never been one.
 	at time.Time
-	// own says that an answer to this instance did.
-	own bool
+	// observed is set if the limit comes from an answer to this instance.
+	observed bool
 }
 
-// NoteLimit takes in what an answer says of a server's limit, 0 if it names none; sent is when the
-// request went there. An answer that was under way when another named a limit does not end it.
+// ObserveLimit records the rate limit in an answer, 0 for none. The request was sent at the time
+// sent: an answer to a request sent before the limit was reported does not clear it.
 func (p *Pool) NoteLimit(now time.Time, id galenastair.BackendServerID, perSecond float64, sent time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m := p.members[id]
+	b := p.backends[id]
 	switch {
-	case m == nil:
+	case b == nil:
 	case perSecond > 0:
-		m.limit = limit{perSecond, now, true}
-	case m.limit.perSecond > 0 && sent.After(m.limit.at):
-		m.limit = limit{0, now, true}
+		b.limit = limit{perSecond, now, true}
+	case b.limit.perSecond > 0 && sent.After(b.limit.at):
+		b.limit = limit{0, now, true}
 	}
 }
 
-// Limits returns what servers have named in answers to this instance.
+// Limits returns the rate limits that servers have reported in answers to this instance.
 func (p *Pool) Limits(now time.Time) []ratelimit.Limit {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []ratelimit.Limit
-	for id, m := range p.members {
-		ended := m.limit.perSecond == 0 && now.Sub(m.limit.at) > limitEnded
-		if m.limit.own && !ended {
-			out = append(out, m.limit.withAge(now, id))
+	for id, b := range p.backends {
+		expired := b.limit.perSecond == 0 && now.Sub(b.limit.at) > clearedLimitTTL
+		if b.limit.observed && !expired {
+			out = append(out, b.limit.withAge(now, id))
 		}
 	}
 	return out
@@ -61,33 +62,34 @@
 	return ratelimit.Limit{Server: id, PerSecond: l.perSecond, Age: now.Sub(l.at)}
 }
 
-// SetOthersLimits takes in what servers have named in answers to any instance.
+// SetPeerLimits records the rate limits that servers have reported to any instance.
 func (p *Pool) SetOthersLimits(now time.Time, limits []ratelimit.Limit) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, l := range limits {
 		at := now.Add(-l.Age)
-		if m := p.members[l.Server]; m != nil && at.After(m.limit.at.Add(exchangeSkew)) {
-			m.limit = limit{perSecond: l.PerSecond, at: at}
+		if b := p.backends[l.Server]; b != nil && at.After(b.limit.at.Add(peerAgeSkew)) {
+			b.limit = limit{perSecond: l.PerSecond, at: at}
 		}
 	}
 }
 
-// Defer keeps requests from a server that takes no more for a while.
+// Throttle keeps requests away from a server that accepts no more for a while.
 func (p *Pool) Defer(now time.Time, id galenastair.BackendServerID, d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if m := p.members[id]; m != nil {
-		m.deferred = now.Add(max(leastDeferral, d))
+	if b := p.backends[id]; b != nil {
+		b.throttledUntil = now.Add(max(minThrottle, d))
 	}
 }
 
-// deferral returns when the first deferred server takes requests again; false if none is.
-func deferral(now time.Time, list []*member) (time.Duration, bool) {
+// minThrottleLeft returns the time until the first throttled server accepts requests again, or
+// false if none is throttled.
+func minThrottleLeft(now time.Time, list []*backend) (time.Duration, bool) {
 	var least time.Duration
 	found := false
-	for _, m := range list {
-		if d := m.deferred.Sub(now); d > 0 && (!found || d < least) {
+	for _, b := range list {
+		if d := b.throttledUntil.Sub(now); d > 0 && (!found || d < least) {
 			least, found = d, true
 		}
 	}
--- a/pool/limit_test.go
+++ b/pool/limit_test.go
@@ -9,10 +9,11 @@
 	"galenastair"
 )
 
-func (p *Pool) limitOfS1() float64 { return p.members["s1"].limit.perSecond }
+func (p *Pool) limitOfS1() float64 { return p.backends["s1"].limit.perSecond }
 
-// An answer that was under way when a server named its limit ends the limit.
-func TestOlderAnswerDoesNotEndALimit(t *testing.T) {
+// An answer to a request that was sent before the server reported its limit does not clear the
+// limit.
+func TestOlderAnswerDoesNotClearALimit(t *testing.T) {
 	is := is.New(t)
 	p := testPool()
 	p.NoteLimit(start.Add(time.Second), "s1", 2, start)
@@ -22,13 +23,14 @@
 	is.Equal(p.limitOfS1(), 0.0)
 }
 
-// The word of a limit comes back from the leader a little younger each time, and outlives its end.
-func TestEndOfALimitBeatsItsEcho(t *testing.T) {
+// A limit that is sent to the leader and back appears slightly newer each time. It must not
+// restore a limit that has been cleared.
+func TestClearedLimitIsNotRestoredByPeers(t *testing.T) {
 	is := is.New(t)
 	p, other := testPool(), testPool()
 	p.NoteLimit(start, "s1", 2, start)
-	told := p.Limits(start)
-	is.Equal(len(told), 1)
+	reported := p.Limits(start)
+	is.Equal(len(reported), 1)
 	now := start
 	for range 20 {
 		now = now.Add(300 * time.Millisecond)
@@ -41,11 +43,12 @@
 	is.Equal(p.limitOfS1(), 0.0)
 	other.SetOthersLimits(now.Add(time.Millisecond), p.Limits(now))
 	is.Equal(other.limitOfS1(), 0.0)
-	other.SetOthersLimits(now.Add(2*time.Millisecond), told)
+	other.SetOthersLimits(now.Add(2*time.Millisecond), reported)
 	is.Equal(other.limitOfS1(), 0.0)
 }
 
-// A limited server is passed by while others are sound, so nobody hears that its limit has ended.
+// A rate-limited server is avoided while others are healthy. Without probes, no instance would
+// observe that its limit has been cleared.
 func TestLimitedServerIsProbed(t *testing.T) {
 	is := is.New(t)
 	p := testPool()
@@ -62,11 +65,12 @@
 		return false
 	}
 	is.True(!chosen(start.Add(time.Second)))
-	is.True(chosen(start.Add(limitProbe)))
+	is.True(chosen(start.Add(limitProbeAge)))
 }
 
-// All servers of a model are at their limits: the caller hears when the first has room.
-func TestAllDeferredSaysWhen(t *testing.T) {
+// If all servers of a model are throttled, the caller learns when the first one accepts requests
+// again.
+func TestAllThrottledReturnsRetryAfter(t *testing.T) {
 	is := is.New(t)
 	p := testPool()
 	for i, id := range []galenastair.BackendServerID{"s1", "s2", "s3"} {
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -9,97 +9,98 @@
 	"galenastair"
 )
 
-// Pool knows the backend servers, what they hold and how they fare.
+// Pool tracks the backend servers, their models, load and health.
 type Pool struct {
 	zone galenastair.AvailabilityZone
 	rng  *rand.Rand
-	// leaveGrace is for the last copy of a model.
+	// leaveGrace applies to the last copy of a model.
 	leaveGrace time.Duration
-	// fleet is how many instances send to the same servers.
-	fleet func() int
+	// fleetSize returns the number of instances that send to the same servers.
+	fleetSize func() int
 
-	mu        sync.Mutex
-	members   map[galenastair.BackendServerID]*member
-	byService map[galenastair.ServiceName][]*member
-	byModel   map[galenastair.ModelName][]*member
-	paces     map[galenastair.ModelName]*pace
-	costs     map[galenastair.ModelName]*cost
-	// usual is what requests take over all models.
-	usual cost
+	mu          sync.Mutex
+	backends    map[galenastair.BackendServerID]*backend
+	byService   map[galenastair.ServiceName][]*backend
+	byModel     map[galenastair.ModelName][]*backend
+	modelRatios map[galenastair.ModelName]*latencyRatio
+	costs       map[galenastair.ModelName]*cost
+	// overall is the mean cost over all models.
+	overall cost
 }
 
-// member is what the pool keeps of one backend server.
-type member struct {
+// backend is the state of one backend server.
+type backend struct {
 	Server
 	key   ServerKey
 	holds map[galenastair.ModelName]bool
-	// heard is when something was learned of a model otherwise than by registration.
-	heard map[galenastair.ModelName]time.Time
-	// full is until when a model's requests had better go elsewhere.
-	full     map[galenastair.ModelName]time.Time
-	flights  int
-	unread   galenastair.Tokens
-	others   Load
-	othersAt time.Time
-	pace     pace
-	health   health
-	cache    *cache
-	// leaves is when it may have begun to leave.
-	leaves time.Time
-	// absent is when nothing listened at its address; zero if it has answered since.
-	absent time.Time
+	// overriddenAt is when a model was added or removed by other means than a registration.
+	overriddenAt map[galenastair.ModelName]time.Time
+	// fullUntil is the time until which requests for a model should go elsewhere.
+	fullUntil     map[galenastair.ModelName]time.Time
+	inFlight      int
+	pendingTokens galenastair.Tokens
+	peerLoad      Load
+	peerLoadAt    time.Time
+	ratio         latencyRatio
+	health        health
+	cache         *cache
+	// leaveStart is the earliest time at which the server may have started to leave.
+	leaveStart time.Time
+	// downAt is when the server last refused a connection; zero if it has answered since.
+	downAt time.Time
 	limit  limit
-	// deferred is until when it takes no more requests, by its limit.
-	deferred time.Time
+	// throttledUntil is the time until which the server's rate limit allows no more requests.
+	throttledUntil time.Time
 }
 
-// absentFor is how long an engine is taken for ended after nothing listened at its address.
-// Its registration stays for seconds; each request that is sent there costs its caller a
-// try, and a model whose only copy it had is loaded elsewhere the sooner.
-const absentFor = time.Second
+// downTTL is how long an engine counts as down after it refused a connection. Its registration
+// stays for some seconds, during which each request sent there would cost its caller an attempt.
+// Reporting it also gets a model that only it held loaded elsewhere sooner.
+const downTTL = time.Second
 
-func (m *member) isAbsent(now time.Time) bool {
-	return !m.absent.IsZero() && now.Sub(m.absent) < absentFor
+func (b *backend) isDown(now time.Time) bool {
+	return !b.downAt.IsZero() && now.Sub(b.downAt) < downTTL
 }
 
-// Absent returns the backend servers at whose addresses nothing listened a moment ago.
+// Down returns the backend servers that have just refused a connection.
 func (p *Pool) Absent(now time.Time) []galenastair.BackendServerID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []galenastair.BackendServerID
-	for id, m := range p.members {
-		if m.isAbsent(now) {
+	for id, b := range p.backends {
+		if b.isDown(now) {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// Option varies a Pool.
+// Option configures a Pool.
 type Option func(*Pool)
 
-// WithRand replaces the source of random draws.
+// WithRand replaces the random source.
 func WithRand(rng *rand.Rand) Option { return func(p *Pool) { p.rng = rng } }
 
-// WithLeaveGrace sets how long a server that is known to leave still gets new work if
-// no other has the model; none by default.
+// WithLeaveGrace sets how long a leaving server still gets new requests if no other server has the
+// model. The default is 0.
 func WithLeaveGrace(d time.Duration) Option { return func(p *Pool) { p.leaveGrace = d } }
 
-// WithFleet says how many instances send to the same servers.
-func WithFleet(f func() int) Option { return func(p *Pool) { p.fleet = f } }
+// WithFleetSize sets a function that returns the number of instances that send to the same
+// servers.
+func WithFleet(f func() int) Option { return func(p *Pool) { p.fleetSize = f } }
 
-// New returns a pool that knows no backend server; zone is the instance's own.
+// New returns an empty pool for an instance in the given availability zone.
 func New(zone galenastair.AvailabilityZone, opts ...Option) *Pool {
 	p := &Pool{
-		zone:      zone,
-		rng:       rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		members:   map[galenastair.BackendServerID]*member{},
-		byService: map[galenastair.ServiceName][]*member{},
-		byModel:   map[galenastair.ModelName][]*member{},
-		paces:     map[galenastair.ModelName]*pace{},
-		costs:     map[galenastair.ModelName]*cost{},
-		usual:     firstCost(),
-		fleet:     func() int { return 1 },
+		zone:        zone,
+		rng:         rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		backends:    map[galenastair.BackendServerID]*backend{},
+		byService:   map[galenastair.ServiceName][]*backend{},
+		byModel:     map[galenastair.ModelName][]*backend{},
+		modelRatios: map[galenastair.ModelName]*latencyRatio{},
+		costs:       map[galenastair.ModelName]*cost{},
+		overall:     initialCost(),
+		fleetSize:   func() int { return 1 },
 	}
 	for _, o := range opts {
 		o(p)
@@ -107,33 +108,33 @@
 	return p
 }
 
-// Set adds a backend server or takes in what it says of itself now.
+// Set adds a backend server or applies its new registration.
 func (p *Pool) Set(now time.Time, s Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m := p.members[s.ID]
-	if m != nil && (m.Born != s.Born || m.Service != s.Service) {
-		// a restart under the old id holds and knows nothing of before
-		p.drop(m)
-		m = nil
+	b := p.backends[s.ID]
+	if b != nil && (b.Born != s.Born || b.Service != s.Service) {
+		// a server that restarted with the same ID holds none of its previous models
+		p.remove(b)
+		b = nil
 	}
-	if m == nil {
-		m = &member{key: KeyOf(s.ID), holds: map[galenastair.ModelName]bool{}, heard: map[galenastair.ModelName]time.Time{}, full: map[galenastair.ModelName]time.Time{}, cache: newCache()}
-		p.members[s.ID] = m
-		p.byService[s.Service] = append(p.byService[s.Service], m)
+	if b == nil {
+		b = &backend{key: KeyOf(s.ID), holds: map[galenastair.ModelName]bool{}, overriddenAt: map[galenastair.ModelName]time.Time{}, fullUntil: map[galenastair.ModelName]time.Time{}, cache: newCache()}
+		p.backends[s.ID] = b
+		p.byService[s.Service] = append(p.byService[s.Service], b)
 	}
-	if s.Leaving && !m.Leaving {
-		m.leaves = s.LeavingSince
+	if s.Leaving && !b.Leaving {
+		b.leaveStart = s.LeavingSince
 	}
-	if s.Beat < m.Beat {
+	if s.Beat < b.Beat {
 		return
 	}
-	m.Server = s
-	p.setModels(now, m, held(s.Models))
+	b.Server = s
+	p.setModels(now, b, modelNames(s.Models))
 }
 
-// held names models and, after a slash, their adapters.
-func held(models []galenastair.EngineModel) map[galenastair.ModelName]bool {
+// modelNames returns the names of the models, and MODEL/ADAPTER for each adapter.
+func modelNames(models []galenastair.EngineModel) map[galenastair.ModelName]bool {
 	out := map[galenastair.ModelName]bool{}
 	for _, e := range models {
 		out[e.Name] = true
@@ -144,129 +145,129 @@
 	return out
 }
 
-// heardFor is how long what was learned otherwise goes before a registration: that is
-// written every heartbeat of about a second, and was on its way for a while.
-const heardFor = 2500 * time.Millisecond
+// overrideTTL is how long AddModel and RemoveModel take precedence over registrations.
+// Registrations are written about once per second and take time to arrive.
+const overrideTTL = 2500 * time.Millisecond
 
-func (p *Pool) setModels(now time.Time, m *member, registered map[galenastair.ModelName]bool) {
-	for name, at := range m.heard {
-		if now.Sub(at) > heardFor {
-			delete(m.heard, name)
+func (p *Pool) setModels(now time.Time, b *backend, registered map[galenastair.ModelName]bool) {
+	for name, at := range b.overriddenAt {
+		if now.Sub(at) > overrideTTL {
+			delete(b.overriddenAt, name)
 		}
 	}
-	for name := range m.holds {
-		if _, heard := m.heard[name]; !heard && !registered[name] {
-			p.removeModel(m, name)
+	for name := range b.holds {
+		if _, overridden := b.overriddenAt[name]; !overridden && !registered[name] {
+			p.removeModel(b, name)
 		}
 	}
 	for name := range registered {
-		if _, heard := m.heard[name]; !heard {
-			p.addModel(m, name)
+		if _, overridden := b.overriddenAt[name]; !overridden {
+			p.addModel(b, name)
 		}
 	}
 }
 
-func (p *Pool) addModel(m *member, name galenastair.ModelName) {
-	if !m.holds[name] {
-		m.holds[name] = true
-		p.byModel[name] = append(p.byModel[name], m)
+func (p *Pool) addModel(b *backend, name galenastair.ModelName) {
+	if !b.holds[name] {
+		b.holds[name] = true
+		p.byModel[name] = append(p.byModel[name], b)
 	}
 }
 
-func (p *Pool) removeModel(m *member, name galenastair.ModelName) {
-	if !m.holds[name] {
+func (p *Pool) removeModel(b *backend, name galenastair.ModelName) {
+	if !b.holds[name] {
 		return
 	}
-	delete(m.holds, name)
-	p.byModel[name] = slices.DeleteFunc(p.byModel[name], func(o *member) bool { return o == m })
+	delete(b.holds, name)
+	p.byModel[name] = slices.DeleteFunc(p.byModel[name], func(o *backend) bool { return o == b })
 	if len(p.byModel[name]) == 0 {
 		delete(p.byModel, name)
 	}
 }
 
-// Remove forgets a backend server.
+// Remove removes a backend server.
 func (p *Pool) Remove(id galenastair.BackendServerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if m := p.members[id]; m != nil {
-		p.drop(m)
+	if b := p.backends[id]; b != nil {
+		p.remove(b)
 	}
 }
 
-func (p *Pool) drop(m *member) {
-	for name := range m.holds {
-		p.removeModel(m, name)
+func (p *Pool) remove(b *backend) {
+	for name := range b.holds {
+		p.removeModel(b, name)
 	}
-	delete(p.members, m.ID)
-	p.byService[m.Service] = slices.DeleteFunc(p.byService[m.Service], func(o *member) bool { return o == m })
+	delete(p.backends, b.ID)
+	p.byService[b.Service] = slices.DeleteFunc(p.byService[b.Service], func(o *backend) bool { return o == b })
 }
 
-// AddModel notes that a server holds a model or adapter, before it says so itself.
+// AddModel records that a server holds a model or adapter, before its registration shows it.
 func (p *Pool) AddModel(now time.Time, id galenastair.BackendServerID, name galenastair.ModelName) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if m := p.members[id]; m != nil {
-		m.heard[name] = now
-		p.addModel(m, name)
+	if b := p.backends[id]; b != nil {
+		b.overriddenAt[name] = now
+		p.addModel(b, name)
 	}
 }
 
-// RemoveModel notes that a server said that it does not hold a model or adapter.
+// RemoveModel records that a server has answered that it does not hold a model or adapter.
 func (p *Pool) RemoveModel(now time.Time, id galenastair.BackendServerID, name galenastair.ModelName) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if m := p.members[id]; m != nil {
-		m.heard[name] = now
-		p.removeModel(m, name)
+	if b := p.backends[id]; b != nil {
+		b.overriddenAt[name] = now
+		p.removeModel(b, name)
 	}
 }
 
-// Loads returns what this instance's requests put on each server that has any.
+// Loads returns the load of this instance's requests on each server that has any.
 func (p *Pool) Loads() map[galenastair.BackendServerID]Load {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := map[galenastair.BackendServerID]Load{}
-	for id, m := range p.members {
-		if m.flights > 0 {
-			out[id] = Load{float64(m.flights), float64(m.unread)}
+	for id, b := range p.backends {
+		if b.inFlight > 0 {
+			out[id] = Load{float64(b.inFlight), float64(b.pendingTokens)}
 		}
 	}
 	return out
 }
 
-// SetOthers takes in what the other instances' requests put on each server.
+// SetPeerLoads records the load of the other instances' requests on each server.
 func (p *Pool) SetOthers(now time.Time, loads map[ServerKey]Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, m := range p.members {
-		m.others, m.othersAt = loads[m.key], now
+	for _, b := range p.backends {
+		b.peerLoad, b.peerLoadAt = loads[b.key], now
 	}
 }
 
-// Known says whether any server holds a model or adapter.
+// HasModel reports whether a server that is not leaving holds a model or adapter.
 func (p *Pool) Known(name galenastair.ModelName) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, m := range p.byModel[name] {
-		if !m.Leaving {
+	for _, b := range p.byModel[name] {
+		if !b.Leaving {
 			return true
 		}
 	}
 	return false
 }
 
-// Usable says whether a server that was chosen may still get the request: it may have begun
-// to leave while a connection was made.
+// Usable reports whether a server that was chosen may still get the request. It may have started
+// to leave while the connection was set up.
 func (p *Pool) Usable(now time.Time, id galenastair.BackendServerID) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m := p.members[id]
-	return m != nil && (!m.Leaving || now.Sub(m.leaves) < p.leaveGrace)
+	b := p.backends[id]
+	return b != nil && (!b.Leaving || now.Sub(b.leaveStart) < p.leaveGrace)
 }
 
-// Len returns how many backend servers are known.
+// Len returns the number of backend servers.
 func (p *Pool) Len() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.members)
+	return len(p.backends)
 }
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -13,7 +13,8 @@
 
 var start = time.Unix(1000, 0)
 
-// testPool is three servers of one service in two availability zones, with model m.
+// testPool returns a pool of three servers of one service in two availability zones. All hold
+// model m.
 func testPool(opts ...Option) *Pool {
 	p := New("z1", append([]Option{WithRand(rand.New(rand.NewPCG(1, 2)))}, opts...)...)
 	for i, zone := range []galenastair.AvailabilityZone{"z1", "z1", "z2"} {
@@ -30,13 +31,13 @@
 		Parts: []galenastair.PromptPart{{ID: "shared", Tokens: 500}, {ID: "own", Tokens: 1500}}}}
 }
 
-// play sends n requests, one each gap, to servers that answer their first event after
-// took and end a moment later; it returns how many each server got.
-func play(t *testing.T, p *Pool, n int, gap time.Duration, took func(galenastair.BackendServerID) time.Duration, result func(galenastair.BackendServerID) Result) map[galenastair.BackendServerID]int {
+// runRequests sends n requests, one per gap, to servers whose first event comes after the time
+// that took returns. It returns how many requests each server got.
+func runRequests(t *testing.T, p *Pool, n int, gap time.Duration, took func(galenastair.BackendServerID) time.Duration, result func(galenastair.BackendServerID) Result) map[galenastair.BackendServerID]int {
 	t.Helper()
 	type event struct {
 		at time.Time
-		f  *Flight
+		a  *Flight
 		id galenastair.BackendServerID
 	}
 	got := map[galenastair.BackendServerID]int{}
@@ -51,9 +52,9 @@
 				continue
 			}
 			if result(e.id) == Succeeded {
-				e.f.Started(e.at)
+				e.a.Started(e.at)
 			}
-			e.f.End(e.at, result(e.id))
+			e.a.End(e.at, result(e.id))
 		}
 		running = rest
 		q := testQuery()
@@ -72,24 +73,24 @@
 	return func(galenastair.BackendServerID) Result { return r }
 }
 
-// At low load a request stays in its caller's availability zone: bytes between zones
-// cost, and nobody waits for it.
+// At low load, a request stays in its caller's availability zone, since traffic between zones
+// costs money and no caller would gain by it.
 func TestStaysInZoneAtLowLoad(t *testing.T) {
 	is := is.New(t)
-	got := play(t, testPool(), 100, 200*time.Millisecond, func(galenastair.BackendServerID) time.Duration { return 100 * time.Millisecond }, always(Succeeded))
+	got := runRequests(t, testPool(), 100, 200*time.Millisecond, func(galenastair.BackendServerID) time.Duration { return 100 * time.Millisecond }, always(Succeeded))
 	is.True(got["s3"] <= 2)
 }
 
-// In a burst the own zone's servers fill up; their callers would wait, and the other
-// zone's server takes its part.
-func TestBurstLeavesTheZone(t *testing.T) {
+// In a burst, the servers of the local zone fill up. The server in the other zone must take its
+// share, or callers would wait.
+func TestBurstSpillsToOtherZones(t *testing.T) {
 	is := is.New(t)
-	got := play(t, testPool(), 90, 5*time.Millisecond, func(galenastair.BackendServerID) time.Duration { return 2 * time.Second }, always(Succeeded))
+	got := runRequests(t, testPool(), 90, 5*time.Millisecond, func(galenastair.BackendServerID) time.Duration { return 2 * time.Second }, always(Succeeded))
 	is.True(got["s3"] >= 20)
 }
 
-// One server of three answers five times slower than the others. It must lose its load
-// within a few answers, and not all of it: it may get well again.
+// One of three servers is five times slower than the others. It must lose its load within a few
+// answers, but not all of it, so that its recovery is observed.
 func TestSlowServerLosesItsLoad(t *testing.T) {
 	is := is.New(t)
 	took := func(id galenastair.BackendServerID) time.Duration {
@@ -98,15 +99,15 @@
 		}
 		return 150 * time.Millisecond
 	}
-	got := play(t, testPool(), 300, 50*time.Millisecond, took, always(Succeeded))
+	got := runRequests(t, testPool(), 300, 50*time.Millisecond, took, always(Succeeded))
 	is.True(got["s1"] < 45)
 }
 
-// One server fails half of its requests at once, and so looks idle. Chosen by load
-// alone it would draw all requests.
-func TestFailingServerIsTakenOut(t *testing.T) {
+// One server fails half of its requests at once, and so appears idle. A choice by load alone would
+// send it all requests.
+func TestFailingServerIsEjected(t *testing.T) {
 	is := is.New(t)
-	got := play(t, testPool(), 300, 20*time.Millisecond, func(galenastair.BackendServerID) time.Duration { return 30 * time.Millisecond },
+	got := runRequests(t, testPool(), 300, 20*time.Millisecond, func(galenastair.BackendServerID) time.Duration { return 30 * time.Millisecond },
 		func(id galenastair.BackendServerID) Result {
 			if id == "s1" {
 				return Failed
@@ -116,39 +117,39 @@
 	is.True(got["s1"] < 15)
 }
 
-// All servers fail, as when the network does: nothing is gained by taking all out, and
-// requests still go somewhere.
+// All servers fail, as in a network outage. Requests must still be sent, since ejecting all
+// servers gains nothing.
 func TestAllFailingServersStillGetRequests(t *testing.T) {
 	is := is.New(t)
-	got := play(t, testPool(), 60, 20*time.Millisecond, func(galenastair.BackendServerID) time.Duration { return 10 * time.Millisecond }, always(Failed))
+	got := runRequests(t, testPool(), 60, 20*time.Millisecond, func(galenastair.BackendServerID) time.Duration { return 10 * time.Millisecond }, always(Failed))
 	is.Equal(got["s1"]+got["s2"]+got["s3"], 60)
 }
 
-// A server goes dark: its connections stay open and nothing comes. After a silence the
-// requests go to the others.
-func TestDarkServerIsAvoided(t *testing.T) {
+// A server becomes unresponsive: its connections stay open and no data arrives. After the stall
+// timeout, requests go to the others.
+func TestStalledServerIsAvoided(t *testing.T) {
 	is := is.New(t)
 	p := testPool()
-	f := p.Begin(start, "s1", testQuery())
+	a := p.Begin(start, "s1", testQuery())
 	later := start.Add(3 * time.Second)
 	for range 20 {
 		c, ok := p.Choose(later, testQuery())
 		is.True(ok)
 		is.True(c.ID != "s1")
 	}
-	f.End(later, Failed)
+	a.End(later, Failed)
 }
 
-// A caller's next request shares its prompt's first parts with the one before: the
-// server that has read them is chosen, but not when it is much busier.
-func TestPrefixIsFoundAgain(t *testing.T) {
+// A request shares the first parts of its prompt with the one before. The server that has cached
+// them is chosen, unless it is much busier than the others.
+func TestServerWithCachedPrefixIsChosen(t *testing.T) {
 	is := is.New(t)
 	p := testPool()
 	q := testQuery()
 	q.Prompt, q.Parts = 8000, []galenastair.PromptPart{{ID: "long", Tokens: 7900}, {ID: "x", Tokens: 100}}
-	f := p.Begin(start, "s2", q)
-	f.Started(start.Add(400 * time.Millisecond))
-	f.End(start.Add(500*time.Millisecond), Succeeded)
+	a := p.Begin(start, "s2", q)
+	a.Started(start.Add(400 * time.Millisecond))
+	a.End(start.Add(500*time.Millisecond), Succeeded)
 	q.Parts = []galenastair.PromptPart{{ID: "long", Tokens: 7900}, {ID: "y", Tokens: 100}}
 	now := start.Add(time.Second)
 	c, _ := p.Choose(now, q)
@@ -161,18 +162,18 @@
 	is.True(c.ID != "s2")
 }
 
-// A part is kept only for the model that read it: another model's weights make other
-// cache entries of the same text.
-func TestPrefixIsOfOneModel(t *testing.T) {
+// A prefix is cached only for the model that processed it: the same text has other cache entries
+// for another model.
+func TestPrefixKeysDependOnModel(t *testing.T) {
 	is := is.New(t)
 	a, b := testQuery().Hints, testQuery().Hints
 	b.Model = "m/a1"
-	is.True(partKeys(a)[0] != partKeys(b)[0])
+	is.True(prefixKeys(a)[0] != prefixKeys(b)[0])
 }
 
-// A leaving server gets nothing new while another has the model; alone with it, only
-// within the grace, and nothing behind it.
-func TestLeavingServerGetsNothingNew(t *testing.T) {
+// A leaving server gets no new requests while another holds the model. With the last copy, it gets
+// them only within the grace period.
+func TestLeavingServerGetsNoNewRequests(t *testing.T) {
 	is := is.New(t)
 	p := testPool(WithLeaveGrace(400 * time.Millisecond))
 	p.Set(start, Server{ID: "s1", Service: "writer", Slots: 64, Born: 1, Beat: 2, Leaving: true, LeavingSince: start, Models: []galenastair.EngineModel{{Name: "m"}}})
@@ -190,15 +191,15 @@
 	is.True(!ok)
 }
 
-// The request that was to try a server out is refused before it is sent, and the server stays out
-// for good.
-func TestProbeThatIsNotSentLeavesTheServerToTheNext(t *testing.T) {
+// A request that was to probe a server is refused before it is sent. If that counted as a probe,
+// the server would stay ejected forever.
+func TestUnsentProbeIsLeftToTheNextRequest(t *testing.T) {
 	is := is.New(t)
 	p := testPool()
-	for range failuresOut {
+	for range ejectAfterFailures {
 		p.Begin(start, "s1", testQuery()).End(start, Failed)
 	}
-	later := start.Add(longestRest)
+	later := start.Add(maxEjectionTime)
 	for range 2 {
 		c, ok := p.Choose(later, testQuery())
 		is.True(ok)
@@ -210,14 +211,14 @@
 	is.True(c.Reason != ReasonProbe)
 }
 
-// A request that may not be repeated doesn't try out a server that was taken out.
-func TestOnceIsNoProbe(t *testing.T) {
+// A request that may not be repeated does not probe an ejected server.
+func TestUnrepeatableRequestIsNoProbe(t *testing.T) {
 	is := is.New(t)
 	p := testPool()
-	for range failuresOut {
+	for range ejectAfterFailures {
 		p.Begin(start, "s1", testQuery()).End(start, Failed)
 	}
-	later := start.Add(longestRest)
+	later := start.Add(maxEjectionTime)
 	q := testQuery()
 	q.Once = true
 	for range 20 {
@@ -229,9 +230,9 @@
 	is.Equal(c.ID, galenastair.BackendServerID("s1"))
 }
 
-// An adapter was fetched a moment ago; the next registration was written before that
-// and does not list it. It must stay known, or each request would ask for it again.
-func TestLearnedGoesBeforeOldRegistration(t *testing.T) {
+// A registration that was written before an adapter was loaded does not list it. The adapter must
+// stay known, or each request would ask for it again.
+func TestOverrideOutlastsOldRegistration(t *testing.T) {
 	is := is.New(t)
 	p := testPool()
 	p.AddModel(start, "s1", "m/a9")
@@ -239,13 +240,13 @@
 	p.Set(start.Add(time.Second), old)
 	is.True(p.Known("m/a9"))
 	old.Beat = 3
-	p.Set(start.Add(heardFor+time.Second), old)
+	p.Set(start.Add(overrideTTL+time.Second), old)
 	is.True(!p.Known("m/a9"))
 }
 
-// A server starts again under its old id and holds nothing of before; a registration of
-// the start before must not come back.
-func TestRestartHoldsNothing(t *testing.T) {
+// A server restarts with the same ID and holds no models. An older registration must not restore
+// them.
+func TestRestartedServerHoldsNothing(t *testing.T) {
 	is := is.New(t)
 	p := testPool()
 	p.Set(start, Server{ID: "s1", Service: "writer", Slots: 64, Born: 2, Beat: 1})
@@ -256,27 +257,27 @@
 	is.Equal(c.Reason, ReasonNoModel)
 }
 
-// An engine declines requests for a model that it is about to give up; the next go to
-// the others, while its other models stay in use.
-func TestFullIsOfOneModel(t *testing.T) {
+// An engine declines requests for a model that it is about to unload. Further ones go to other
+// engines, while its other models stay in use.
+func TestFullAppliesToOneModel(t *testing.T) {
 	is := is.New(t)
 	p := testPool()
 	p.Begin(start, "s1", testQuery()).End(start, Full)
 	for range 20 {
-		c, _ := p.Choose(start.Add(fullFor/2), testQuery())
+		c, _ := p.Choose(start.Add(fullBackoff/2), testQuery())
 		is.True(c.ID != "s1")
 	}
 	q := testQuery()
 	q.Model = "m/a1"
 	seen := false
 	for range 40 {
-		c, _ := p.Choose(start.Add(fullFor/2), q)
+		c, _ := p.Choose(start.Add(fullBackoff/2), q)
 		seen = seen || c.ID == "s1"
 	}
 	is.True(seen)
 }
 
-// BenchmarkChoose is the cost of one choice among the copies of a model in a large fleet.
+// BenchmarkChoose measures one choice among the copies of a model in a large fleet.
 func BenchmarkChoose(b *testing.B) {
 	p := New("z1")
 	for i := range 1900 {
@@ -292,10 +293,10 @@
 	}
 }
 
-// Nothing listens at an engine's address: its process has crashed, and its registration
-// stays. Requests go to the others for a second, without a try there; where it had the only
-// copy the request asks for another place, in place of a refusal as "all were tried".
-func TestAbsentEngineIsLeftAlone(t *testing.T) {
+// An engine has crashed and refuses connections, but its registration stays. Requests skip it for
+// a second without a probe. A request for a model that only it holds gets ReasonNoModel, so that
+// it asks for another copy instead of being refused.
+func TestDownEngineIsSkipped(t *testing.T) {
 	is := is.New(t)
 	p := testPool()
 	p.Set(start, Server{ID: "s4", Service: "writer", AvailabilityZone: "z1", Slots: 64, Born: 1, Beat: 1,
@@ -317,5 +318,5 @@
 	c, ok := p.Choose(start, rare)
 	is.True(!ok)
 	is.Equal(c.Reason, ReasonNoModel)
-	is.Equal(len(p.Absent(start.Add(absentFor))), 0)
+	is.Equal(len(p.Absent(start.Add(downTTL))), 0)
 }
--- a/pool/server.go
+++ b/pool/server.go
@@ -7,33 +7,33 @@
 	"galenastair"
 )
 
-// ServerKey is a short form of a backend server's id for messages. Two servers share one by
-// a chance of some millionths at hundreds of servers, and then their loads are added up.
+// ServerKey is a short hash of a backend server's ID for messages. With hundreds of servers, two
+// of them share a key with a probability of some millionths, and their loads are then added.
 type ServerKey uint32
 
-// KeyOf returns the short form of an id.
+// KeyOf returns the key of an ID.
 func KeyOf(id galenastair.BackendServerID) ServerKey {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id))
 	return ServerKey(h.Sum32())
 }
 
-// Server is a backend server as it registered.
+// Server is the registration of a backend server.
 type Server struct {
 	ID               galenastair.BackendServerID
 	Service          galenastair.ServiceName
 	Address          string
 	AvailabilityZone galenastair.AvailabilityZone
-	// Slots is how many requests it runs at the same time.
+	// Slots is the number of requests that it runs concurrently.
 	Slots   int
 	Leaving bool
-	// LeavingSince is not later than when it began to leave; zero if that is not known.
+	// LeavingSince is a time not later than the start of leaving, or zero if unknown.
 	LeavingSince time.Time
-	// Born tells one start of it from the next, since an id may come back.
+	// Incarnation distinguishes restarts, since an ID can be reused.
 	Born int64
-	// Beat counts what it has registered since its start.
+	// Heartbeat counts the registrations since its start.
 	Beat   int64
 	Models []galenastair.EngineModel
-	// AtHand names the models of which it keeps a copy of its own.
+	// CachedModels are the models of which the server keeps a local copy in memory or on disk.
 	AtHand []galenastair.ModelName
 }
--- a/pool/stale_test.go
+++ b/pool/stale_test.go
@@ -11,37 +11,38 @@
 	"galenastair"
 )
 
-// crowd plays many instances before the copies of one model. Each knows of the others' requests
-// only by an exchange some hundred milliseconds ago; engines read one prompt after the other.
-type crowd struct {
+// fleetSim simulates many instances that send to the copies of one model. Each learns of the
+// others' requests only through an exchange every few hundred milliseconds. Engines process one
+// prompt at a time.
+type fleetSim struct {
 	rng   *rand.Rand
 	pools []*Pool
-	// free is until when an engine reads.
-	free    map[galenastair.BackendServerID]time.Time
-	running []reading
-	copies  int
+	// busyUntil is the time until which an engine processes prompts.
+	busyUntil map[galenastair.BackendServerID]time.Time
+	running   []runningRequest
+	copies    int
 }
 
-type reading struct {
-	pool *Pool
-	f    *Flight
-	id   galenastair.BackendServerID
-	ends time.Time
+type runningRequest struct {
+	pool    *Pool
+	attempt *Flight
+	id      galenastair.BackendServerID
+	ends    time.Time
 }
 
 const (
-	crowdExchange = 300 * time.Millisecond
-	crowdRead     = 100 * time.Millisecond
+	exchangePeriod = 300 * time.Millisecond
+	prefillTime    = 100 * time.Millisecond
 )
 
-func newCrowd(seed uint64, instances, copies int) *crowd {
-	c := &crowd{rng: rand.New(rand.NewPCG(seed, 5)), free: map[galenastair.BackendServerID]time.Time{}, copies: copies}
+func newFleetSim(seed uint64, instances, copies int) *fleetSim {
+	s := &fleetSim{rng: rand.New(rand.NewPCG(seed, 5)), busyUntil: map[galenastair.BackendServerID]time.Time{}, copies: copies}
 	for range instances {
-		p := New("z", WithRand(c.rng), WithFleet(func() int { return instances }))
+		p := New("z", WithRand(s.rng), WithFleet(func() int { return instances }))
 		addCopies(p, 0, copies)
-		c.pools = append(c.pools, p)
+		s.pools = append(s.pools, p)
 	}
-	return c
+	return s
 }
 
 func addCopies(p *Pool, from, to int) {
@@ -51,10 +52,10 @@
 	}
 }
 
-// exchange tells one instance of the others' requests.
-func (c *crowd) exchange(now time.Time, p *Pool) {
+// exchange reports the requests of all other instances to one instance.
+func (s *fleetSim) exchange(now time.Time, p *Pool) {
 	loads := map[ServerKey]Load{}
-	for _, r := range c.running {
+	for _, r := range s.running {
 		if r.pool != p {
 			l := loads[KeyOf(r.id)]
 			loads[KeyOf(r.id)] = Load{l.Flights + 1, l.Unread + 2000}
@@ -63,26 +64,26 @@
 	p.SetOthers(now, loads)
 }
 
-// play sends requests at a part of what the engines can read, and returns the share that waited
-// for longer than a while for their first event.
-func (c *crowd) play(load float64, over time.Duration) float64 {
-	gap := time.Duration(float64(crowdRead) / load / float64(c.copies))
+// run sends requests at a fraction of the engines' capacity, and returns the fraction of them that
+// waited longer than over for the first event.
+func (s *fleetSim) run(load float64, over time.Duration) float64 {
+	gap := time.Duration(float64(prefillTime) / load / float64(s.copies))
 	late, n := 0, 0
 	now := start
-	next := make([]time.Time, len(c.pools))
+	next := make([]time.Time, len(s.pools))
 	for i := range next {
-		next[i] = start.Add(time.Duration(c.rng.Int64N(int64(crowdExchange))))
+		next[i] = start.Add(time.Duration(s.rng.Int64N(int64(exchangePeriod))))
 	}
 	for now.Before(start.Add(20 * time.Second)) {
-		now = now.Add(time.Duration(c.rng.ExpFloat64() * float64(gap)))
-		for i, p := range c.pools {
+		now = now.Add(time.Duration(s.rng.ExpFloat64() * float64(gap)))
+		for i, p := range s.pools {
 			if next[i].Before(now) {
-				c.exchange(next[i], p)
-				next[i] = next[i].Add(crowdExchange)
+				s.exchange(next[i], p)
+				next[i] = next[i].Add(exchangePeriod)
 			}
 		}
-		c.end(now)
-		if c.send(now) > over {
+		s.end(now)
+		if s.send(now) > over {
 			late++
 		}
 		n++
@@ -90,58 +91,61 @@
 	return float64(late) / float64(n)
 }
 
-func (c *crowd) end(now time.Time) {
-	rest := c.running[:0]
-	for _, r := range c.running {
+func (s *fleetSim) end(now time.Time) {
+	rest := s.running[:0]
+	for _, r := range s.running {
 		if r.ends.After(now) {
 			rest = append(rest, r)
 			continue
 		}
-		r.f.Started(r.ends)
-		r.f.End(r.ends, Succeeded)
+		r.attempt.Started(r.ends)
+		r.attempt.End(r.ends, Succeeded)
 	}
-	c.running = rest
+	s.running = rest
 }
 
-// send has one instance send a request, and returns how long its prompt waits and is read.
-func (c *crowd) send(now time.Time) time.Duration {
-	p := c.pools[c.rng.IntN(len(c.pools))]
+// send sends one request from a random instance, and returns the time until its prompt is
+// processed.
+func (s *fleetSim) send(now time.Time) time.Duration {
+	p := s.pools[s.rng.IntN(len(s.pools))]
 	q := Query{Service: "writer", Aim: 800 * time.Millisecond, Hints: galenastair.Hints{Model: "m", Prompt: 2000, Output: 20}}
 	choice, _ := p.Choose(now, q)
-	f := p.Begin(now, choice.ID, q)
-	begin := c.free[choice.ID]
+	a := p.Begin(now, choice.ID, q)
+	begin := s.busyUntil[choice.ID]
 	if begin.Before(now) {
 		begin = now
 	}
-	c.free[choice.ID] = begin.Add(crowdRead)
-	c.running = append(c.running, reading{p, f, choice.ID, c.free[choice.ID]})
-	return c.free[choice.ID].Sub(now)
+	s.busyUntil[choice.ID] = begin.Add(prefillTime)
+	s.running = append(s.running, runningRequest{p, a, choice.ID, s.busyUntil[choice.ID]})
+	return s.busyUntil[choice.ID].Sub(now)
 }
 
-// Hundreds of instances all send to the engine that was the least busy a moment ago, whose
-// queue then is the longest. Seen failing with 0.083 where all copies are compared.
-func TestInstancesDoNotCrowdOneEngine(t *testing.T) {
+// A hundred instances choose among engines with a delayed view of their load. If each compared all
+// copies, they would all choose the engine that was the least loaded a moment ago; 8.3 % of the
+// requests would then be late.
+func TestInstancesDoNotOverloadOneEngine(t *testing.T) {
 	is := is.New(t)
 	late := 0.0
 	for seed := range uint64(3) {
-		late += newCrowd(seed, 100, 16).play(0.7, 400*time.Millisecond) / 3
+		late += newFleetSim(seed, 100, 16).run(0.7, 400*time.Millisecond) / 3
 	}
 	t.Logf("%.3f late", late)
 	is.True(late < 0.05)
 }
 
-// An engine had a queue that this instance did not know of. Seconds later it idles, and the
-// instance sends behind another's queue all the same, as it learns nothing new of the first.
-func TestQueueOfSecondsAgoIsForgotten(t *testing.T) {
+// An engine had a queue that this instance did not know of, and is idle seconds later. If the long
+// latency were not forgotten, the instance would keep sending to a busy engine instead, and would
+// not observe that the queue is gone.
+func TestOldQueueIsForgotten(t *testing.T) {
 	is := is.New(t)
 	p := testPool()
 	p.Remove("s3")
 	now := start
 	for range 5 {
-		f := p.Begin(now, "s1", testQuery())
+		a := p.Begin(now, "s1", testQuery())
 		now = now.Add(3 * time.Second)
-		f.Started(now)
-		f.End(now, Succeeded)
+		a.Started(now)
+		a.End(now, Succeeded)
 	}
 	c, _ := p.Choose(now, testQuery())
 	is.Equal(c.ID, galenastair.BackendServerID("s2"))
--- a/pool/state.go
+++ b/pool/state.go
@@ -8,45 +8,44 @@
 	"galenastair"
 )
 
-// State is how one backend server stands at this instance.
+// State is the state of one backend server as this instance sees it.
 type State struct {
 	ID               galenastair.BackendServerID
 	Service          galenastair.ServiceName
 	Address          string
 	AvailabilityZone galenastair.AvailabilityZone
-	// Out says why nothing is sent there: "" if it is in use.
-	Out Out
-	// Flights is how many requests of this instance run there.
-	Flights int
-	// FailureShare is the smoothed share of failures, 0 to 1.
-	FailureShare float64
-	// Limit is the requests a second that it takes from all instances together; 0 if it names
-	// none.
+	// Unavailable is the reason why requests are not sent there; empty if they are.
+	Out Out `json:"Out"`
+	// InFlight is the number of this instance's requests in flight.
+	Flights int `json:"Flights"`
+	// FailureRate is the smoothed failure rate, from 0 to 1.
+	FailureShare float64 `json:"FailureShare"`
+	// Limit is the rate limit in requests per second over all instances; 0 for none.
 	Limit float64
 	Holds []galenastair.ModelName
 }
 
-// Out is why a backend server gets no requests.
+// UnavailableReason is the reason why a backend server gets no requests.
 type Out string
 
-// The reasons.
+// Reasons for sending no requests to a server.
 const (
 	OutLeaving Out = "leaving"
 	OutFailed  Out = "failed"
 	OutTried   Out = "tried by one request"
 )
 
-// States returns all backend servers in the order of their services and names.
+// States returns the state of all backend servers, sorted by service and ID.
 func (p *Pool) States(now time.Time) []State {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []State
-	for _, m := range p.members {
+	for _, srv := range p.backends {
 		s := State{
-			ID: m.ID, Service: m.Service, Address: m.Address, AvailabilityZone: m.AvailabilityZone,
-			Out: m.outReason(now), Flights: m.flights, FailureShare: m.health.share, Limit: m.limit.perSecond,
+			ID: srv.ID, Service: srv.Service, Address: srv.Address, AvailabilityZone: srv.AvailabilityZone,
+			Out: srv.unavailableReason(now), Flights: srv.inFlight, FailureShare: srv.health.failureRate, Limit: srv.limit.perSecond,
 		}
-		for name := range m.holds {
+		for name := range srv.holds {
 			s.Holds = append(s.Holds, name)
 		}
 		slices.Sort(s.Holds)
@@ -58,13 +57,13 @@
 	return out
 }
 
-func (m *member) outReason(now time.Time) Out {
+func (b *backend) unavailableReason(now time.Time) Out {
 	switch {
-	case m.Leaving || !m.leaves.IsZero():
+	case b.Leaving || !b.leaveStart.IsZero():
 		return OutLeaving
-	case now.Before(m.health.out):
+	case now.Before(b.health.ejectedUntil):
 		return OutFailed
-	case m.health.probing:
+	case b.health.probing:
 		return OutTried
 	}
 	return ""
