--- a/lease/campaign.go
+++ b/lease/campaign.go
@@ -11,83 +11,87 @@
 )
 
 const (
-	// answeredFor is how long a leader counts as there after it answered; instances exchange
-	// with it each 0.6 s at least.
-	answeredFor = time.Second
-	// firstWait is the longest that one of a few instances waits before it asks the store;
-	// more instances wait longer, so that as few come at once.
-	firstWait  = 250 * time.Millisecond
-	fewMembers = 8
-	mostWait   = time.Second
-	// inspectors is how many instances look at the lease when the leader does not answer.
-	inspectors = 8
-	// startJitter spreads the first reads of instances that start together, so that most of
-	// them find the leader that the first ones elect.
+	// answerValidity is how long a leader counts as alive after an answer. Instances exchange with
+	// it at least every 0.6 s.
+	answerValidity = time.Second
+	// baseElectionJitter is the longest random wait before an instance of a small fleet asks the
+	// store. Larger fleets wait up to maxElectionJitter, so that few instances ask at the same
+	// time.
+	baseElectionJitter = 250 * time.Millisecond
+	smallFleet         = 8
+	maxElectionJitter  = time.Second
+	// leaseCheckers is how many instances read the lease, on average, when the leader does not
+	// answer.
+	leaseCheckers = 8
+	// startJitter spreads the first reads of instances that start together, so that most of them
+	// find the leader that the first ones elect.
 	startJitter = 100 * time.Millisecond
-	// firstBackoff and mostBackoff space the calls to a store that refuses or is away.
-	firstBackoff = 100 * time.Millisecond
-	mostBackoff  = time.Second
-	// slowestLink and linkWait are for an instance whose link carries little: it comes a
-	// second behind the others, and so much less as its link carries more.
-	slowestLink = 10
-	linkWait    = time.Second
-	// memberMbps is what the exchanges of one instance take of the leader's link, and fullWait
-	// how long one is behind whose link they would fill.
-	memberMbps = 0.08
-	fullWait   = 2 * time.Second
-	mostFull   = 1.5
+	// minBackoff and maxBackoff bound the interval between calls to a store that fails.
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = time.Second
+	// An instance whose link has slowLinkMbps or less campaigns slowLinkDelay later than the
+	// others; a faster link reduces the delay in proportion.
+	slowLinkMbps  = 10
+	slowLinkDelay = time.Second
+	// exchangeMbps is what the exchanges of one instance take of the leader's link, and
+	// fullLinkDelay the delay of an instance whose link they would fill. The load counts up to
+	// maxLinkLoad.
+	exchangeMbps  = 0.08
+	fullLinkDelay = 2 * time.Second
+	maxLinkLoad   = 1.5
 )
 
-// WithLink says what this instance's link carries, in Mbit a second; 0 is not known.
-func WithLink(mbps float64) Option { return func(e *Elector) { e.mbps = mbps } }
+// WithLinkMbps sets the bandwidth of this instance's link in Mbit/s; 0 means unknown.
+func WithLink(mbps float64) Option { return func(e *Elector) { e.linkMbps = mbps } }
 
-// linkDelay is how long this instance leaves the lease to others, so that the exchanges of a
-// large fleet do not fill a small link.
+// linkDelay returns how long this instance leaves the lease to others, so that the exchanges of a
+// large fleet do not fill a slow link.
 func (e *Elector) linkDelay() time.Duration {
-	if e.mbps <= 0 {
+	if e.linkMbps <= 0 {
 		return 0
 	}
-	own := min(1, slowestLink/e.mbps) * float64(linkWait)
-	full := min(mostFull, memberMbps*float64(e.Fleet())/e.mbps) * float64(fullWait)
+	own := min(1, slowLinkMbps/e.linkMbps) * float64(slowLinkDelay)
+	full := min(maxLinkLoad, exchangeMbps*float64(e.Fleet())/e.linkMbps) * float64(fullLinkDelay)
 	return time.Duration(own + full)
 }
 
 // follow waits until the lease seems to have ended, and then tries to take it.
 func (e *Elector) follow(ctx context.Context) {
-	if e.inspects() {
-		e.load(ctx)
+	if e.shouldCheckLease() {
+		e.loadRecord(ctx)
 		return
 	}
-	if left := e.leased(); left > 0 {
+	if left := e.leaseRemaining(); left > 0 {
 		e.sleep(ctx, left)
 		return
 	}
-	if e.Leader() == e.member && e.asked() {
-		// the process before this one led
+	if e.Leader() == e.member && e.hasRecord() {
+		// the previous process of this instance was the leader
 		e.campaign(ctx)
 		return
 	}
-	if !timer.Wait(ctx, e.jitter()) || e.leased() > 0 {
+	if !timer.Wait(ctx, e.electionJitter()) || e.leaseRemaining() > 0 {
 		return
 	}
-	if !e.load(ctx) {
+	if !e.loadRecord(ctx) {
 		e.pause(ctx)
 		return
 	}
 	e.backoff = 0
-	if e.leased() <= 0 && timer.Wait(ctx, e.linkDelay()) && e.leased() <= 0 {
+	if e.leaseRemaining() <= 0 && timer.Wait(ctx, e.linkDelay()) && e.leaseRemaining() <= 0 {
 		e.campaign(ctx)
 	}
 }
 
-// Suspect says that the leader did not answer. It may have renewed the lease since it last did,
-// and the ttl counts from when that was seen: so a few instances look at once.
+// ReportUnreachable records that the leader did not answer. It may have renewed the lease after
+// its last answer, and the TTL counts from when that renewal is seen. So a few instances read the
+// lease at once.
 func (e *Elector) Suspect() {
 	e.mu.Lock()
-	first := !e.suspected
-	e.suspected, e.inspect = true, e.inspect || first
+	firstReport := !e.leaderUnreachable
+	e.leaderUnreachable, e.checkLease = true, e.checkLease || firstReport
 	e.mu.Unlock()
-	if !first {
+	if !firstReport {
 		return
 	}
 	select {
@@ -96,40 +100,41 @@
 	}
 }
 
-// inspects says whether this instance is one of those that look.
-func (e *Elector) inspects() bool {
+// shouldCheckLease reports whether this instance is one of the few that read the lease after
+// ReportUnreachable.
+func (e *Elector) shouldCheckLease() bool {
 	e.mu.Lock()
-	inspect := e.inspect
-	e.inspect = false
+	check := e.checkLease
+	e.checkLease = false
 	e.mu.Unlock()
-	return inspect && rand.IntN(max(1, e.Fleet())) < inspectors
+	return check && rand.IntN(max(1, e.Fleet())) < leaseCheckers
 }
 
-// asked says whether the store has answered what the record is.
-func (e *Elector) asked() bool {
+// hasRecord reports whether the record has been read from the store.
+func (e *Elector) hasRecord() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.read
+	return e.loaded
 }
 
-// leased is for how long the lease may still be another's.
-func (e *Elector) leased() time.Duration {
+// leaseRemaining returns how long another instance may still hold the lease.
+func (e *Elector) leaseRemaining() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.clock()
-	if !e.read || e.denied || e.known.Leader == "" || e.known.Leader == e.member {
+	if !e.loaded || e.leaderSteppedDown || e.record.Leader == "" || e.record.Leader == e.member {
 		return 0
 	}
-	return max(e.expires.Sub(now), e.answered.Add(answeredFor).Sub(now))
+	return max(e.expires.Sub(now), e.answeredAt.Add(answerValidity).Sub(now))
 }
 
-// jitter spreads the instances that miss a leader at the same moment.
-func (e *Elector) jitter() time.Duration {
+// electionJitter returns a random wait for instances that lose a leader at the same moment.
+func (e *Elector) electionJitter() time.Duration {
 	fleet := e.Fleet()
 	if fleet == 0 {
-		return rand.N(firstWait)
+		return rand.N(baseElectionJitter)
 	}
-	return rand.N(min(mostWait, firstWait*time.Duration(max(1, fleet/fewMembers))))
+	return rand.N(min(maxElectionJitter, baseElectionJitter*time.Duration(max(1, fleet/smallFleet))))
 }
 
 func (e *Elector) sleep(ctx context.Context, d time.Duration) {
@@ -142,20 +147,20 @@
 	}
 }
 
-// pause waits longer after each call that has brought nothing.
+// pause waits with exponential backoff after a failed call.
 func (e *Elector) pause(ctx context.Context) {
-	e.backoff = min(mostBackoff, max(firstBackoff, 2*e.backoff))
+	e.backoff = min(maxBackoff, max(minBackoff, 2*e.backoff))
 	timer.Wait(ctx, rand.N(e.backoff)+e.backoff/2)
 }
 
 // campaign tries to take the lease.
 func (e *Elector) campaign(ctx context.Context) {
 	e.mu.Lock()
-	r := Record{Offset: e.known.Offset + 1, Leader: e.member, Fleet: e.known.Fleet}
+	r := Record{Offset: e.record.Offset + 1, Leader: e.member, Fleet: e.record.Fleet}
 	e.mu.Unlock()
-	before := Lapsed
+	predecessor := PredecessorLapsed
 	if r.Offset == 0 {
-		before = Nobody
+		predecessor = NoPredecessor
 	}
 	r.Fence = galenastair.Fence(r.Offset) + 1
 	sent := e.clock()
@@ -163,9 +168,9 @@
 	switch {
 	case err == nil:
 		e.held = true
-		e.accepted(ctx, sent, r, before)
+		e.renewalAccepted(ctx, sent, r, predecessor)
 	case errors.Is(err, galenastair.ErrConflict):
-		e.load(ctx)
+		e.loadRecord(ctx)
 	default:
 		e.logger.Log("event", "lease", "call", "take", "err", err)
 		e.pause(ctx)
--- a/lease/elector.go
+++ b/lease/elector.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// renewPeriod lets one renewal be lost and the next still keep the lease.
+	// renewPeriod allows one renewal to be lost without losing the lease.
 	renewPeriod = 450 * time.Millisecond
-	// ttl is from a renewal to when another instance may take the lease. It exceeds the time
-	// for which the leader goes by its lease by more than an answer takes to arrive.
+	// ttl is the time after a renewal until another instance may take the lease. It exceeds the
+	// time for which the leader relies on its lease by more than an answer takes to arrive.
 	ttl = 1600 * time.Millisecond
-	// leaseKey is the record's key in its topic.
+	// leaseKey is the key of the record in its topic.
 	leaseKey = "Leader"
 )
 
@@ -29,93 +29,94 @@
 type Record struct {
 	// Offset is -1 while the topic is empty.
 	Offset galenastair.Offset `json:"-"`
-	// Leader is its peer address; empty after a release.
+	// Leader is the leader's peer address; empty after a release.
 	Leader string
 	Fence  galenastair.Fence
-	// Fleet is how many instances the leader knew of.
+	// Fleet is the number of instances that the leader knew of.
 	Fleet int
 }
 
 // Renewal is the newest renewal that an instance knows of.
 type Renewal struct {
 	Offset galenastair.Offset
-	// Age is how long ago it was acknowledged at least; 0 is always safe.
+	// Age is the least time since its acknowledgement; 0 is always safe.
 	Age time.Duration
 }
 
-// Elector takes and renews the lease, and knows who leads.
+// Elector takes and renews the lease, and tracks the leader.
 type Elector struct {
-	store  galenastair.Store
-	topic  galenastair.Topic
-	lease  *Lease
-	member string
-	clock  boottime.Clock
-	logger log.Logger
-	note   Note
-	fleet  func() int
-	// elected is told of each term that begins.
-	elected func()
-	// mbps is what this instance's link carries; 0 is not known.
-	mbps float64
-	// started is closed once the store was asked for the record.
+	store        galenastair.Store
+	topic        galenastair.Topic
+	lease        *Lease
+	member       string
+	clock        boottime.Clock
+	logger       log.Logger
+	checkpointer Note
+	fleet        func() int
+	// onElected is called at the start of each term of this instance.
+	onElected func()
+	// linkMbps is the bandwidth of this instance's link; 0 means unknown.
+	linkMbps float64
+	// started is closed once the record and the checkpoint have been requested from the store.
 	started chan struct{}
 
-	mu    sync.Mutex
-	known Record
-	// read says that the store has answered what the record is.
-	read bool
-	// expires is when the lease of known ends, unless it was renewed unknown to this instance.
+	mu     sync.Mutex
+	record Record
+	// loaded reports whether the record has been read from the store.
+	loaded bool
+	// expires is when the lease in record ends, unless there is a renewal that this instance has
+	// not seen.
 	expires boottime.Time
-	// learned is when the store was last read.
-	learned boottime.Time
-	// renewed is when this instance's own last renewal was acknowledged.
-	renewed boottime.Time
-	// answered is when the leader last answered a call; denied says that it does not lead any
-	// more by its own word.
-	answered boottime.Time
-	denied   bool
-	// suspected says that the leader has not answered since, and inspect that the record is to
-	// be read for it.
-	suspected, inspect bool
-	wake               chan struct{}
+	// loadedAt is when the record was last read from the store.
+	loadedAt boottime.Time
+	// renewedAt is when this instance's own last renewal was acknowledged.
+	renewedAt boottime.Time
+	// answeredAt is when the leader last answered a call. leaderSteppedDown means that it has
+	// answered that it is no longer the leader.
+	answeredAt        boottime.Time
+	leaderSteppedDown bool
+	// leaderUnreachable means that the leader has not answered since the last failed call, and
+	// checkLease that the record should be read from the store for that reason.
+	leaderUnreachable, checkLease bool
+	wake                          chan struct{}
 
 	// owned by Run
 	held    bool
 	backoff time.Duration
-	noting  noting
+	writer  checkpointWriter
 }
 
-// Option varies an Elector.
+// Option configures an Elector.
 type Option func(*Elector)
 
-// WithLogger says where changes of the leader are logged.
+// WithLogger sets the logger for leader changes and errors.
 func WithLogger(l log.Logger) Option { return func(e *Elector) { e.logger = l } }
 
 // WithClock replaces the machine's clock.
 func WithClock(c boottime.Clock) Option { return func(e *Elector) { e.clock = c } }
 
-// WithFleet says how many instances there are; 0 is not known.
+// WithFleet sets the function that returns the number of instances; 0 means unknown.
 func WithFleet(fleet func() int) Option { return func(e *Elector) { e.fleet = fleet } }
 
-// WithElected sets what is told of each term of this instance that begins.
-func WithElected(f func()) Option { return func(e *Elector) { e.elected = f } }
+// WithOnElected sets a callback for the start of each term of this instance.
+func WithElected(f func()) Option { return func(e *Elector) { e.onElected = f } }
 
-// NewElector returns an elector for a member, which is named by its peer address so that
-// whoever reads the leader's name can call it; the topic is for the lease alone.
+// NewElector returns an elector for a member. The member is named by its peer address, so that any
+// reader of the leader's name can call it. The topic is used for the lease alone.
 func NewElector(s galenastair.Store, topic galenastair.Topic, l *Lease, member string, opts ...Option) *Elector {
 	e := &Elector{
-		store:   s,
-		topic:   topic,
-		lease:   l,
-		member:  member,
-		clock:   boottime.Now,
-		logger:  log.NewNopLogger(),
-		note:    Note{Write: func() []byte { return nil }, Written: func([]byte) {}, Read: func([]byte, bool) {}},
-		fleet:   func() int { return 1 },
-		elected: func() {},
-		started: make(chan struct{}),
-		known:   Record{Offset: -1},
-		wake:    make(chan struct{}, 1),
+		store:        s,
+		topic:        topic,
+		lease:        l,
+		member:       member,
+		clock:        boottime.Now,
+		logger:       log.NewNopLogger(),
+		checkpointer: Note{Write: func() []byte { return nil }, Written: func([]byte) {}, Read: func([]byte, bool) {}},
+		fleet:        func() int { return 1 },
+		onElected:    func() {},
+		started:      make(chan struct{}),
+		record:       Record{Offset: -1},
+		wake:         make(chan struct{}, 1),
 	}
 	for _, o := range opts {
 		o(e)
@@ -123,12 +124,12 @@
 	return e
 }
 
-// Run follows, takes and renews the lease until the context ends, then releases it.
+// Run follows, takes and renews the lease until the context ends, and then releases it.
 func (e *Elector) Run(ctx context.Context) error {
 	timer.Wait(ctx, e.linkDelay()+rand.N(startJitter))
-	e.load(ctx)
-	if known := e.Known(); known.Fleet > 0 && known.Fleet <= MostPresuming {
-		e.readNote(ctx, true)
+	e.loadRecord(ctx)
+	if known := e.Known(); known.Fleet > 0 && known.Fleet <= MaxRestoreFleet {
+		e.restoreCheckpoint(ctx, true)
 	}
 	close(e.started)
 	for ctx.Err() == nil {
@@ -145,67 +146,68 @@
 	return ctx.Err()
 }
 
-// Started is closed once this process has asked the store for the lease's record and the note.
+// Started returns a channel that is closed once this process has requested the record of the lease
+// and the checkpoint from the store.
 func (e *Elector) Started() <-chan struct{} { return e.started }
 
-// Leader returns the peer address of the instance that leads; empty if unknown.
+// Leader returns the peer address of the leader; empty if unknown.
 func (e *Elector) Leader() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.known.Leader
+	return e.record.Leader
 }
 
-// Fleet returns how many instances the leader counted when it last renewed.
+// Fleet returns the number of instances that the leader counted at its last renewal.
 func (e *Elector) Fleet() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.known.Fleet
+	return e.record.Fleet
 }
 
-// Renewal returns the newest renewal known here, for others to go by.
+// Renewal returns the newest renewal known here, for use in replies to other instances.
 func (e *Elector) Renewal() Renewal {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return Renewal{e.known.Offset, max(0, e.clock().Sub(e.renewed))}
+	return Renewal{e.record.Offset, max(0, e.clock().Sub(e.renewedAt))}
 }
 
-// Known returns the newest record known here, for others to learn from.
+// LatestRecord returns the newest record known here, to be passed to other instances.
 func (e *Elector) Known() Record {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.known
+	return e.record
 }
 
-// Learn takes in a record that another instance knows of.
+// Observe applies a record that another instance knows of.
 func (e *Elector) Learn(r Record) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if r.Offset > e.known.Offset && e.read {
-		r.Fence, r.Fleet = e.known.Fence, e.known.Fleet
-		e.learn(r, e.clock().Add(ttl))
-		e.denied = false
+	if r.Offset > e.record.Offset && e.loaded {
+		r.Fence, r.Fleet = e.record.Fence, e.record.Fleet
+		e.setRecord(r, e.clock().Add(ttl))
+		e.leaderSteppedDown = false
 	}
 }
 
-// Answered says that the leader has answered just now, and the renewal that it named.
+// ReportAnswer records that the leader has just answered, and the renewal named in its answer.
 func (e *Elector) Answered(r Renewal) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.clock()
-	e.answered, e.denied, e.suspected = now, false, false
-	if r.Offset > e.known.Offset {
-		e.known.Offset = r.Offset
+	e.answeredAt, e.leaderSteppedDown, e.leaderUnreachable = now, false, false
+	if r.Offset > e.record.Offset {
+		e.record.Offset = r.Offset
 		e.expires = now.Add(ttl - r.Age)
 	}
 }
 
-// Denied says that the leader does not lead any more by its own word.
+// ReportNotLeader records that the supposed leader has answered that it is not the leader.
 func (e *Elector) Denied() {
 	e.mu.Lock()
-	fresh := !e.denied && e.clock().Sub(e.learned) > renewPeriod
-	e.denied = e.denied || fresh
+	firstReport := !e.leaderSteppedDown && e.clock().Sub(e.loadedAt) > renewPeriod
+	e.leaderSteppedDown = e.leaderSteppedDown || firstReport
 	e.mu.Unlock()
-	if !fresh {
+	if !firstReport {
 		return
 	}
 	select {
@@ -214,8 +216,7 @@
 	}
 }
 
-// write puts a record at the end of the topic, on the condition that it ends behind the
-// newest known.
+// write appends a record to the topic if the topic still ends at the newest known offset.
 func (e *Elector) write(ctx context.Context, r Record) (Record, error) {
 	data, err := json.Marshal(r)
 	if err != nil {
@@ -226,13 +227,14 @@
 	return r, err
 }
 
-// renew writes the next renewal. One whose answer was lost may stand there: it is renewed at
-// once, as its lease counts from the one before.
+// renew writes the next renewal. A conflict can come from an earlier renewal of this instance
+// whose answer was lost. In that case it renews again at once, because its lease counts from the
+// renewal before.
 func (e *Elector) renew(ctx context.Context) {
 	err := e.renewOnce(ctx)
-	if errors.Is(err, galenastair.ErrConflict) && e.load(ctx) {
+	if errors.Is(err, galenastair.ErrConflict) && e.loadRecord(ctx) {
 		if e.Leader() != e.member {
-			e.lost("taken by another")
+			e.loseLease("taken by another instance")
 			return
 		}
 		err = e.renewOnce(ctx)
@@ -241,85 +243,85 @@
 		e.logger.Log("event", "lease", "call", "renew", "err", err)
 	}
 	if e.clock().Sub(e.lease.confirmedAt()) > ttl {
-		e.lost("expired")
+		e.loseLease("expired")
 		return
 	}
-	e.leaveNote(ctx)
+	e.storeCheckpoint(ctx)
 }
 
 func (e *Elector) renewOnce(ctx context.Context) error {
 	e.mu.Lock()
-	next := e.known
+	next := e.record
 	e.mu.Unlock()
 	next.Offset++
 	next.Fleet = e.fleet()
 	sent := e.clock()
 	next, err := e.write(ctx, next)
 	if err == nil {
-		e.accepted(ctx, sent, next, Lapsed)
+		e.renewalAccepted(ctx, sent, next, PredecessorLapsed)
 	}
 	return err
 }
 
-// accepted takes in a write that stands there.
-func (e *Elector) accepted(ctx context.Context, sent boottime.Time, r Record, before Before) {
+// renewalAccepted applies a successful write.
+func (e *Elector) renewalAccepted(ctx context.Context, sent boottime.Time, r Record, predecessor Predecessor) {
 	e.mu.Lock()
-	e.renewed = e.clock()
-	e.learn(r, e.renewed.Add(ttl))
+	e.renewedAt = e.clock()
+	e.setRecord(r, e.renewedAt.Add(ttl))
 	e.mu.Unlock()
-	if e.lease.Renewed(sent, e.clock(), true) {
-		e.beginTerm(ctx, r, before)
+	if e.lease.HandleRenewal(sent, e.clock(), true) {
+		e.beginTerm(ctx, r, predecessor)
 	}
 }
 
-// beginTerm fences the term with an offset that no earlier term had.
-func (e *Elector) beginTerm(ctx context.Context, r Record, before Before) {
+// beginTerm assigns the term a fencing token that no earlier term had.
+func (e *Elector) beginTerm(ctx context.Context, r Record, predecessor Predecessor) {
 	term := e.lease.Term()
-	e.elected()
-	if !e.readNote(ctx, false) {
+	e.onElected()
+	if !e.restoreCheckpoint(ctx, false) {
 		// the next renewal tries again
 		return
 	}
 	fence := galenastair.Fence(r.Offset) + 1
-	e.lease.SetFence(term, fence, before)
-	e.logger.Log("event", "lease", "holds", true, "fence", int64(fence), "term", term, "before", int(before))
+	e.lease.SetFence(term, fence, predecessor)
+	e.logger.Log("event", "lease", "holds", true, "fence", int64(fence), "term", term, "before", int(predecessor))
 }
 
-func (e *Elector) lost(cause string) {
+func (e *Elector) loseLease(cause string) {
 	e.held = false
-	e.lease.Renewed(0, 0, false)
+	e.lease.HandleRenewal(0, 0, false)
 	e.logger.Log("event", "lease", "holds", false, "cause", cause)
 }
 
-// release gives the lease up: no orders any more, then, while this instance still lends, as
-// much of the pause between two leaders as passes before a lease expires.
+// release gives up the lease. It first stops orders, and goes on renewing and lending for the part
+// of the takeover delay that a successor would otherwise wait while the lease expires.
 func (e *Elector) release(ctx context.Context) {
-	e.lease.Retire()
+	e.lease.StopOrders()
 	last, cancel := context.WithTimeout(ctx, ttl-renewPeriod)
 	for last.Err() == nil && e.held {
 		e.renew(last)
 		timer.Wait(last, renewPeriod)
 	}
 	cancel()
-	e.lease.Renewed(0, 0, false)
+	e.lease.HandleRenewal(0, 0, false)
 	if !e.held {
 		return
 	}
 	call, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	e.mu.Lock()
-	r := Record{Offset: e.known.Offset + 1, Fence: e.known.Fence, Fleet: e.known.Fleet}
+	r := Record{Offset: e.record.Offset + 1, Fence: e.record.Fence, Fleet: e.record.Fleet}
 	e.mu.Unlock()
 	if _, err := e.write(call, r); err != nil {
 		e.logger.Log("event", "lease", "call", "release", "err", err)
 	}
 }
 
-// releaseTimeout bounds the last call of an instance that stops.
+// releaseTimeout bounds the last call of an instance that shuts down.
 const releaseTimeout = 500 * time.Millisecond
 
-// load reads the record from the store; false if it gave no answer.
-func (e *Elector) load(ctx context.Context) bool {
+// loadRecord reads the record from the store; false if the store did not answer.
+func (e *Elector) loadRecord(ctx context.Context) bool {
 	b, err := e.store.Newest(ctx, e.topic)
 	if err != nil {
 		e.logger.Log("event", "lease", "call", "read", "err", err)
@@ -336,23 +338,23 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.read, e.denied, e.learned = true, false, e.clock()
-	e.learn(r, e.learned.Add(ttl))
+	e.loaded, e.leaderSteppedDown, e.loadedAt = true, false, e.clock()
+	e.setRecord(r, e.loadedAt.Add(ttl))
 	return true
 }
 
-// learn takes in a record that is newer than the one known; the lock is held. The answer of
-// a store that has dropped its history may be older.
-func (e *Elector) learn(r Record, expires boottime.Time) {
-	if r.Offset < e.known.Offset {
+// setRecord applies a record unless a newer one is known; a store that has lost its history may
+// return an older one. The lock must be held.
+func (e *Elector) setRecord(r Record, expires boottime.Time) {
+	if r.Offset < e.record.Offset {
 		return
 	}
-	if r.Leader != e.known.Leader {
-		e.logger.Log("event", "leader", "leader", r.Leader, "before", e.known.Leader, "offset", int64(r.Offset))
-		e.answered = e.clock()
+	if r.Leader != e.record.Leader {
+		e.logger.Log("event", "leader", "leader", r.Leader, "before", e.record.Leader, "offset", int64(r.Offset))
+		e.answeredAt = e.clock()
 	}
-	if r.Offset > e.known.Offset {
+	if r.Offset > e.record.Offset {
 		e.expires = expires
 	}
-	e.known = r
+	e.record = r
 }
--- a/lease/elector_test.go
+++ b/lease/elector_test.go
@@ -16,35 +16,36 @@
 	"galenastair/standin/metastore"
 )
 
-// instance is an elector beside an exchange with whoever leads.
+// instance is an elector that takes part in the exchanges with the leader.
 type instance struct {
 	elector *lease.Elector
 	lease   *lease.Lease
 	ended   chan error
 	cancel  context.CancelFunc
-	// kill cuts the instance off from the store for good.
-	kill func()
+	// partition separates the instance from the store for good.
+	partition func()
 }
 
-// cuttable is a store that can be cut off.
-type cuttable struct {
+// partitionableStore is a store whose writes can be made to fail.
+type partitionableStore struct {
 	galenastair.Store
-	cut atomic.Bool
+	partitioned atomic.Bool
 }
 
-func (c *cuttable) PutAt(ctx context.Context, t galenastair.Topic, key string, value []byte, at galenastair.Offset) (galenastair.Offset, error) {
-	if c.cut.Load() {
+func (c *partitionableStore) PutAt(ctx context.Context, t galenastair.Topic, key string, value []byte, at galenastair.Offset) (galenastair.Offset, error) {
+	if c.partitioned.Load() {
 		return 0, galenastair.ErrStoreUnavailable
 	}
 	return c.Store.PutAt(ctx, t, key, value, at)
 }
 
-// run starts an instance; its exchange reaches those of the fleet that are listed.
-func run(t *testing.T, address, member string, fleet map[string]*instance, opts ...lease.Option) {
+// startInstance starts an instance and adds it to the fleet; exchanges reach only instances in the
+// fleet.
+func startInstance(t *testing.T, address, member string, fleet map[string]*instance, opts ...lease.Option) {
 	t.Helper()
-	x := &instance{lease: lease.New(lease.DefaultBounds(between, true)), ended: make(chan error, 1)}
-	store := &cuttable{Store: platform.NewStore(address)}
-	x.kill = func() { store.cut.Store(true) }
+	x := &instance{lease: lease.New(lease.DefaultBounds(minOrderInterval, true)), ended: make(chan error, 1)}
+	store := &partitionableStore{Store: platform.NewStore(address)}
+	x.partition = func() { store.partitioned.Store(true) }
 	x.elector = lease.NewElector(store, platform.LeaseTopic, x.lease, member, opts...)
 	ctx, cancel := context.WithCancel(t.Context())
 	x.cancel = cancel
@@ -53,13 +54,13 @@
 	t.Cleanup(cancel)
 }
 
-// exchange is a moment of all instances' exchanges with the leader.
+// exchange runs one exchange of each instance with the leader.
 func exchange(fleet map[string]*instance) {
 	for _, x := range fleet {
 		leader := fleet[x.elector.Leader()]
 		switch {
 		case leader == nil:
-		case leader.holds():
+		case leader.isLeader():
 			x.elector.Answered(leader.elector.Renewal())
 		default:
 			x.elector.Denied()
@@ -67,27 +68,27 @@
 	}
 }
 
-// exchanges goes on for a number of them, one each 50 ms.
-func exchanges(fleet map[string]*instance, n int) {
+// runExchanges runs n exchanges of each instance, one every 50 ms.
+func runExchanges(fleet map[string]*instance, n int) {
 	for range n {
 		exchange(fleet)
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-func (x *instance) holds() bool {
+func (x *instance) isLeader() bool {
 	_, ok := x.lease.Fence()
 	return ok
 }
 
-// holder waits until one instance holds the duty, and returns its name.
-func holder(t *testing.T, fleet map[string]*instance) string {
+// waitForLeader waits until an instance is the leader, and returns its name.
+func waitForLeader(t *testing.T, fleet map[string]*instance) string {
 	t.Helper()
 	name := ""
-	until(t, "a holder", func() bool {
+	waitFor(t, "a leader", func() bool {
 		exchange(fleet)
 		for member, x := range fleet {
-			if x.holds() {
+			if x.isLeader() {
 				name = member
 			}
 		}
@@ -96,143 +97,147 @@
 	return name
 }
 
-// Instances that start one after the other take the lease from a sound leader.
+// Instances that start one after the other must not take the lease from a healthy leader.
 func TestStartingInstanceDoesNotTakeTheLease(t *testing.T) {
 	is := is.New(t)
-	_, address := newStore(t)
+	_, address := startStore(t)
 	fleet := map[string]*instance{}
-	run(t, address, "one", fleet)
-	first := holder(t, fleet)
+	startInstance(t, address, "one", fleet)
+	first := waitForLeader(t, fleet)
 	for _, member := range []string{"two", "three", "four"} {
-		run(t, address, member, fleet)
-		exchanges(fleet, 20)
-		is.Equal(holder(t, fleet), first)
+		startInstance(t, address, member, fleet)
+		runExchanges(fleet, 20)
+		is.Equal(waitForLeader(t, fleet), first)
 		is.Equal(fleet[member].elector.Leader(), first)
 	}
 }
 
-// After a planned stop of the leader nobody leads for seconds, or one after the other does.
+// After a planned stop of the leader, another instance takes over within 3 s, and the lease does
+// not move from one instance to the next after that.
 func TestLeaseIsTakenOverOnce(t *testing.T) {
 	is := is.New(t)
-	_, address := newStore(t)
+	_, address := startStore(t)
 	fleet := map[string]*instance{}
-	run(t, address, "one", fleet)
-	first := holder(t, fleet)
+	startInstance(t, address, "one", fleet)
+	first := waitForLeader(t, fleet)
 	for _, member := range []string{"two", "three", "four"} {
-		run(t, address, member, fleet)
+		startInstance(t, address, member, fleet)
 	}
-	exchanges(fleet, 20)
+	runExchanges(fleet, 20)
 	fleet[first].cancel()
 	is.True(errors.Is(<-fleet[first].ended, context.Canceled))
 	delete(fleet, first)
 	left := time.Now()
-	next := holder(t, fleet)
+	next := waitForLeader(t, fleet)
 	is.True(time.Since(left) < 3*time.Second)
-	exchanges(fleet, 30)
-	is.Equal(holder(t, fleet), next)
+	runExchanges(fleet, 30)
+	is.Equal(waitForLeader(t, fleet), next)
 }
 
-// Calls to the leader fail while exchanges go on, and each failure asks the store who leads.
+// While the leader answers, no instance asks the store who leads, as it would if each failed call
+// to the leader caused a read.
 func TestNoCallsToTheStoreWhileTheLeaderAnswers(t *testing.T) {
 	is := is.New(t)
-	store, address := newStore(t)
+	store, address := startStore(t)
 	fleet := map[string]*instance{}
-	run(t, address, "one", fleet)
-	holder(t, fleet)
-	run(t, address, "two", fleet)
-	exchanges(fleet, 20)
+	startInstance(t, address, "one", fleet)
+	waitForLeader(t, fleet)
+	startInstance(t, address, "two", fleet)
+	runExchanges(fleet, 20)
 	before := store.Calls("/v1/log-newest")
-	exchanges(fleet, 40)
+	runExchanges(fleet, 40)
 	is.Equal(store.Calls("/v1/log-newest"), before)
 }
 
-// The instance with a link of a twentieth of the other's leads, and exchanges fill its link.
+// Of two instances, the one with the faster link must lead, because exchanges would fill the slow
+// link, which has a twentieth of the bandwidth.
 func TestLargeLinksComeFirst(t *testing.T) {
 	is := is.New(t)
-	_, address := newStore(t)
+	_, address := startStore(t)
 	fleet := map[string]*instance{}
-	run(t, address, "small", fleet, lease.WithLink(10))
-	run(t, address, "large", fleet, lease.WithLink(200))
-	is.Equal(holder(t, fleet), "large")
+	startInstance(t, address, "small", fleet, lease.WithLink(10))
+	startInstance(t, address, "large", fleet, lease.WithLink(200))
+	is.Equal(waitForLeader(t, fleet), "large")
 }
 
-// All of a large fleet are started again at once; the lease goes from one to the other, and
-// each asks the store again and again.
-func TestStartOfAllElectsOnce(t *testing.T) {
+// A large fleet restarts at once. The lease must not move from one instance to the next, and the
+// instances must not ask the store again and again.
+func TestFleetStartElectsOnce(t *testing.T) {
 	const instances = 60
 	is := is.New(t)
-	store, address := newStore(t)
+	store, address := startStore(t)
 	fleet := map[string]*instance{}
 	for i := range instances {
-		run(t, address, fmt.Sprint("i", i), fleet, lease.WithLink(200))
+		startInstance(t, address, fmt.Sprint("i", i), fleet, lease.WithLink(200))
 	}
-	first := holder(t, fleet)
+	first := waitForLeader(t, fleet)
 	for range 30 {
-		is.Equal(holder(t, fleet), first)
+		is.Equal(waitForLeader(t, fleet), first)
 		time.Sleep(50 * time.Millisecond)
 	}
 	is.True(store.Calls("/v1/log-newest") <= 4*instances)
 	is.True(store.Calls("/v1/log-append") <= instances)
 }
 
-// The leader is killed, and a fleet that misses it waits longer than the ttl and a second.
+// The leader is killed. A fleet that loses it must not wait longer than the TTL plus about a
+// second.
 func TestKilledLeaderIsReplaced(t *testing.T) {
 	is := is.New(t)
-	_, address := newStore(t)
+	_, address := startStore(t)
 	fleet := map[string]*instance{}
 	for i := range 8 {
-		run(t, address, fmt.Sprint("i", i), fleet, lease.WithLink(200))
+		startInstance(t, address, fmt.Sprint("i", i), fleet, lease.WithLink(200))
 	}
-	first := holder(t, fleet)
-	exchanges(fleet, 20)
-	fleet[first].kill()
+	first := waitForLeader(t, fleet)
+	runExchanges(fleet, 20)
+	fleet[first].partition()
 	delete(fleet, first)
 	at := time.Now()
-	next := holder(t, fleet)
+	next := waitForLeader(t, fleet)
 	is.True(next != first)
 	is.True(time.Since(at) < 3*time.Second)
 }
 
-// The leader renews the lease after its last answer and then stands still; who takes the lease
-// finds the newer record only when the ttl is over, and waits for it once more.
-func TestRenewalAfterTheLastAnswer(t *testing.T) {
+// The leader renews the lease after its last answer and then stalls. If the others found that
+// renewal only after the TTL, they would wait for the TTL again.
+func TestRenewalAfterTheLastExchange(t *testing.T) {
 	is := is.New(t)
-	_, address := newStore(t)
+	_, address := startStore(t)
 	fleet := map[string]*instance{}
 	for i := range 4 {
-		run(t, address, fmt.Sprint("i", i), fleet, lease.WithLink(200))
+		startInstance(t, address, fmt.Sprint("i", i), fleet, lease.WithLink(200))
 	}
-	first := holder(t, fleet)
-	exchanges(fleet, 20)
+	first := waitForLeader(t, fleet)
+	runExchanges(fleet, 20)
 	// it renews once more, unknown to the others
 	leader := fleet[first]
 	delete(fleet, first)
 	renewed := leader.elector.Renewal().Offset
-	until(t, "a renewal", func() bool { return leader.elector.Renewal().Offset > renewed })
-	leader.kill()
+	waitFor(t, "a renewal", func() bool { return leader.elector.Renewal().Offset > renewed })
+	leader.partition()
 	silent := time.Now()
 	time.Sleep(400 * time.Millisecond)
 	for _, x := range fleet {
 		x.elector.Suspect()
 	}
-	next := holder(t, fleet)
+	next := waitForLeader(t, fleet)
 	is.True(next != first)
-	// the call that failed, the ttl, and the time in which the first comes
+	// the failed call, the TTL, and the election jitter of the first instance
 	is.True(time.Since(silent) < 2600*time.Millisecond)
 }
 
-// The answer to a renewal is lost though the write acts, and the leader takes its own record
-// for another's.
-func TestLostAnswerOfARenewal(t *testing.T) {
+// The answer to a renewal is lost although the write succeeds. The leader must not take its own
+// record for that of another instance.
+func TestLostAnswerToARenewal(t *testing.T) {
 	is := is.New(t)
-	store, address := newStore(t)
+	store, address := startStore(t)
 	fleet := map[string]*instance{}
-	run(t, address, "one", fleet)
-	is.Equal(holder(t, fleet), "one")
+	startInstance(t, address, "one", fleet)
+	is.Equal(waitForLeader(t, fleet), "one")
 	fence, _ := fleet["one"].lease.Fence()
 	store.Switch(func(sw *metastore.Switches) { sw.LoseAnswers, sw.Only = true, "/v1/log-append" })
 	appends := store.Calls("/v1/log-append")
-	until(t, "a renewal without an answer", func() bool { return store.Calls("/v1/log-append") > appends })
+	waitFor(t, "a renewal without an answer", func() bool { return store.Calls("/v1/log-append") > appends })
 	store.Switch(func(sw *metastore.Switches) { sw.LoseAnswers = false })
 	time.Sleep(time.Second)
 	now, ok := fleet["one"].lease.Fence()
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -8,178 +8,180 @@
 	"galenastair/boottime"
 )
 
-// Bounds are the times that a term keeps.
+// Timing holds the time limits of a term.
 type Bounds struct {
-	// Lease is how long after a renewal was sent its answer allows to act.
+	// Lease is how long after sending a renewal its answer allows the leader to act.
 	Lease time.Duration
-	// Quiet is how long a new leader waits before its first order where the one before
-	// may not know yet that it was replaced.
-	Quiet time.Duration
-	// QuietLapsed is the same where the lease of the one before has expired or was released.
-	QuietLapsed time.Duration
+	// TakeoverDelay is how long a new leader waits before its first order if its predecessor may
+	// not know yet that it was replaced.
+	TakeoverDelay time.Duration
+	// TakeoverDelayLapsed applies instead if the predecessor's lease has expired or was released.
+	TakeoverDelayLapsed time.Duration
 }
 
 const (
-	// lease covers two renewals and the answer of a slow store.
-	lease = 1300 * time.Millisecond
-	// hosting is as long as requests with a key are admitted without the store's word.
-	hosting = 6 * time.Second
-	// margin is for an order that was on its way when its sender stopped.
-	margin = 400 * time.Millisecond
+	// leaseDuration covers two renewals and the answer of a slow store.
+	leaseDuration = 1300 * time.Millisecond
+	// peerServiceDuration is as long as requests with an idempotency key are admitted without
+	// contact to the store.
+	peerServiceDuration = 6 * time.Second
+	// orderTransit allows for an order that was in transit when its sender stopped.
+	orderTransit = 400 * time.Millisecond
 )
 
-// DefaultBounds keeps the platform's least time between orders of two leaders. If engines
-// check fences, only a leader that reaches the store counts: it learns of its end by its
-// next renewal, and one whose lease expired was out of touch for most of the ttl. Else a
-// leader may act to the end of its lease.
-func DefaultBounds(between time.Duration, fencesChecked bool) Bounds {
-	b := Bounds{Lease: lease, Quiet: lease + between + margin, QuietLapsed: between + margin}
+// DefaultTiming keeps the platform's minimum interval between orders of two leaders. If engines
+// check fencing tokens, only a leader that reaches the store counts: it learns that it was
+// replaced at its next renewal, and one whose lease expired has had no contact for most of the
+// TTL. If they do not, a leader may act until the end of its lease.
+func DefaultBounds(minOrderInterval time.Duration, fencesChecked bool) Bounds {
+	b := Bounds{Lease: leaseDuration, TakeoverDelay: leaseDuration + minOrderInterval + orderTransit, TakeoverDelayLapsed: minOrderInterval + orderTransit}
 	if fencesChecked {
-		b.Quiet = renewPeriod + between + margin
-		b.QuietLapsed = max(0, between+margin-(ttl-renewPeriod))
+		b.TakeoverDelay = renewPeriod + minOrderInterval + orderTransit
+		b.TakeoverDelayLapsed = max(0, minOrderInterval+orderTransit-(ttl-renewPeriod))
 	}
 	return b
 }
 
-// Before says what is known of the leader before.
-type Before int
+// Predecessor is what is known of the previous leader.
+type Predecessor int
 
-// What may be known of the leader before.
+// The states of a previous leader.
 const (
-	// Unknown is one that may still act.
-	Unknown Before = iota
-	// Lapsed is one whose lease has expired or was released.
-	Lapsed
-	// Nobody says that there was none.
-	Nobody
+	// PredecessorUnknown means that the previous leader may still act.
+	PredecessorUnknown Predecessor = iota
+	// PredecessorLapsed means that its lease has expired or was released.
+	PredecessorLapsed
+	// NoPredecessor means that there was no previous leader.
+	NoPredecessor
 )
 
 // Lease is one instance's view of its own lease.
 type Lease struct {
-	bounds Bounds
+	timing Bounds
 
 	mu sync.Mutex
-	// holds says that the last renewal answered was accepted.
-	holds     bool
-	confirmed boottime.Time
-	given     boottime.Time
-	begins    boottime.Time
-	resting   bool
-	fence     galenastair.Fence
-	fenced    bool
-	term      int
+	// held means that the last answered renewal was accepted.
+	held          bool
+	lastConfirmed boottime.Time
+	termStart     boottime.Time
+	ordersFrom    boottime.Time
+	ordersStopped bool
+	fence         galenastair.Fence
+	fenceSet      bool
+	term          int
 }
 
 // New returns a lease that is not held.
-func New(b Bounds) *Lease { return &Lease{bounds: b} }
+func New(b Bounds) *Lease { return &Lease{timing: b} }
 
-// Renewed takes in the answer to a renewal, or to the write that takes the lease; mine says
-// that it was accepted. It reports whether a term begins, for which a fence is needed.
-func (l *Lease) Renewed(sent, now boottime.Time, mine bool) bool {
+// HandleRenewal applies the answer to a renewal, or to the write that takes the lease; accepted is
+// its result. It reports whether the term needs a fencing token.
+func (l *Lease) HandleRenewal(sent, now boottime.Time, accepted bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	lapsed := l.holds && now.Sub(l.confirmed) >= l.bounds.Lease
-	if !mine {
-		l.end()
+	lapsed := l.held && now.Sub(l.lastConfirmed) >= l.timing.Lease
+	if !accepted {
+		l.endTerm()
 		return false
 	}
-	// one that was suspended past its lease may have been replaced meanwhile: its term ends
-	if !l.holds || lapsed {
-		l.end()
-		l.holds = true
+	// an instance that was suspended past its lease may have been replaced meanwhile: its term
+	// ends
+	if !l.held || lapsed {
+		l.endTerm()
+		l.held = true
 		l.term++
-		l.given, l.begins = now, now.Add(l.bounds.Quiet)
+		l.termStart, l.ordersFrom = now, now.Add(l.timing.TakeoverDelay)
 	}
-	l.confirmed = sent
-	return !l.fenced
+	l.lastConfirmed = sent
+	return !l.fenceSet
 }
 
-func (l *Lease) end() {
-	l.holds, l.fenced, l.fence = false, false, 0
+func (l *Lease) endTerm() {
+	l.held, l.fenceSet, l.fence = false, false, 0
 }
 
-// Term names the present term, for the fence that is asked for it.
+// Term returns the number of the current term, to be passed to SetFence.
 func (l *Lease) Term() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.term
 }
 
-// SetFence gives the term its fence.
-func (l *Lease) SetFence(term int, f galenastair.Fence, before Before) {
+// SetFence sets the fencing token of a term, unless the term has ended.
+func (l *Lease) SetFence(term int, f galenastair.Fence, predecessor Predecessor) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if term != l.term || !l.holds {
+	if term != l.term || !l.held {
 		return
 	}
-	l.fence, l.fenced = f, true
-	switch before {
-	case Lapsed:
-		l.begins = l.given.Add(l.bounds.QuietLapsed)
-	case Nobody:
-		l.begins = l.given
+	l.fence, l.fenceSet = f, true
+	switch predecessor {
+	case PredecessorLapsed:
+		l.ordersFrom = l.termStart.Add(l.timing.TakeoverDelayLapsed)
+	case NoPredecessor:
+		l.ordersFrom = l.termStart
 	}
 }
 
-// Retire ends the orders of this instance for good; it still lends while it holds the lease.
-func (l *Lease) Retire() {
+// StopOrders ends the orders of this instance for good. It still lends while it holds the lease.
+func (l *Lease) StopOrders() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.resting = true
+	l.ordersStopped = true
 }
 
-// Refused ends the term: an engine has seen a higher fence.
+// FenceRejected ends the term, because an engine has seen a higher fencing token.
 func (l *Lease) Refused(f galenastair.Fence) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.fenced && l.fence == f {
-		l.end()
+	if l.fenceSet && l.fence == f {
+		l.endTerm()
 	}
 }
 
-// Order returns the fence for an order that is sent now; false if none may be sent.
+// OrderFence returns the fencing token for an order sent now; false if none may be sent.
 func (l *Lease) Order(now boottime.Time) (galenastair.Fence, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.leased(now) || l.resting || now < l.begins {
+	if !l.valid(now) || l.ordersStopped || now < l.ordersFrom {
 		return 0, false
 	}
 	return l.fence, true
 }
 
-// Fence returns the fence of the present term; false if none has begun.
+// Fence returns the fencing token of the current term; false if none is set.
 func (l *Lease) Fence() (galenastair.Fence, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.fence, l.fenced
+	return l.fence, l.fenceSet
 }
 
-// Holds says whether this instance has the lease: it may hear the others and lend, though
-// not yet order.
+// Holds reports whether this instance holds the lease. It may then lend and accept exchanges,
+// though possibly not send orders yet.
 func (l *Lease) Holds(now boottime.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.leased(now)
+	return l.valid(now)
 }
 
-// Hosts says whether others may exchange with this instance and borrow from it, also after
-// its lease, until the store has said that it ended. In an outage of the store nobody can
-// renew, and what is lent or told does not depend on there being one such instance.
+// ServesPeers reports whether others may exchange with this instance and borrow from it. This
+// outlasts the lease until the store reports that it has ended: in a store outage nobody can
+// renew, and lending and exchanges do not require that only one instance serves them.
 func (l *Lease) Hosts(now boottime.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.holds && l.fenced && now.Sub(l.confirmed) < hosting
+	return l.held && l.fenceSet && now.Sub(l.lastConfirmed) < peerServiceDuration
 }
 
-// confirmedAt is when the last accepted renewal was sent.
+// confirmedAt returns when the last accepted renewal was sent.
 func (l *Lease) confirmedAt() boottime.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.confirmed
+	return l.lastConfirmed
 }
 
-// leased is false before the term's fence is known: what the leader before has left is read
-// by then.
-func (l *Lease) leased(now boottime.Time) bool {
-	return l.holds && l.fenced && now.Sub(l.confirmed) < l.bounds.Lease
+// valid reports whether the lease is held and has not expired. It is false until the fencing token
+// is set, because the predecessor's checkpoint has been read by then.
+func (l *Lease) valid(now boottime.Time) bool {
+	return l.held && l.fenceSet && now.Sub(l.lastConfirmed) < l.timing.Lease
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -12,20 +12,20 @@
 	"galenastair/boottime"
 )
 
-const between = 3 * time.Second
+const minOrderInterval = 3 * time.Second
 
-// group plays the store's side of the duty: it belongs to the member that last got it
-// until that has been silent for its ttl, and may move without any reason.
-type storeGroup struct {
-	holder int
-	heard  map[int]boottime.Time
+// fakeStore simulates the store: the lease belongs to the last member that took it, until that
+// member has not renewed for the TTL. It may also move without a reason.
+type fakeStore struct {
+	holder    int
+	renewedAt map[int]boottime.Time
 }
 
-func (g *storeGroup) join(now boottime.Time, member int) bool {
-	g.heard[member] = now
-	last, ok := g.heard[g.holder]
+func (g *fakeStore) renew(now boottime.Time, member int) bool {
+	g.renewedAt[member] = now
+	last, ok := g.renewedAt[g.holder]
 	if !ok || now.Sub(last) >= ttl {
-		delete(g.heard, g.holder)
+		delete(g.renewedAt, g.holder)
 		g.holder = member
 	}
 	return g.holder == member
@@ -37,28 +37,28 @@
 	fence  galenastair.Fence
 }
 
-// member is one instance: its turn, and the answer to a join that is on its way.
+// member is one instance, with the answer to its renewal that is in flight.
 type member struct {
-	lease    *Lease
-	next     boottime.Time
-	sent     boottime.Time
-	answer   boottime.Time
-	mine     bool
-	waiting  bool
-	stillsTo boottime.Time
+	lease       *Lease
+	nextRenewal boottime.Time
+	sentAt      boottime.Time
+	answerAt    boottime.Time
+	accepted    bool
+	inFlight    bool
+	pausedUntil boottime.Time
 }
 
-// Joins are late or lost, members stand still for seconds and go on as if nothing had
-// been, and the store moves the duty without a request. Two members must never give
-// orders within the least time between holders, and a fence must never fall.
-func TestHoldersNeverTakeTurnsTooFast(t *testing.T) {
+// Renewals are late or lost, members pause for seconds and continue as if nothing had happened,
+// and the store moves the lease without a request. Two members must never send orders within the
+// minimum interval between leaders, and a fencing token must never decrease.
+func TestMinimumIntervalBetweenLeaders(t *testing.T) {
 	ordered := 0
 	for seed := range uint64(400) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		g := &storeGroup{heard: map[int]boottime.Time{}}
+		g := &fakeStore{renewedAt: map[int]boottime.Time{}}
 		members := make([]*member, 2+rng.IntN(3))
 		for i := range members {
-			members[i] = &member{lease: New(DefaultBounds(between, false))}
+			members[i] = &member{lease: New(DefaultBounds(minOrderInterval, false))}
 		}
 		var fences galenastair.Fence
 		var orders []order
@@ -67,16 +67,16 @@
 			now = now.Add(20 * time.Millisecond)
 			if rng.IntN(600) == 0 {
 				g.holder = rng.IntN(len(members))
-				g.heard[g.holder] = now
+				g.renewedAt[g.holder] = now
 			}
 			for i, m := range members {
 				if rng.IntN(2500) == 0 {
-					m.stillsTo = now.Add(time.Duration(1+rng.IntN(6)) * time.Second)
+					m.pausedUntil = now.Add(time.Duration(1+rng.IntN(6)) * time.Second)
 				}
-				if now < m.stillsTo {
+				if now < m.pausedUntil {
 					continue
 				}
-				// an order may be planned before a standstill's answer is looked at
+				// after a pause, an order may be planned before the renewal's answer is handled
 				if f, ok := m.lease.Order(now); ok {
 					orders = append(orders, order{now, i, f})
 				}
@@ -87,28 +87,28 @@
 		check(t, seed, orders)
 	}
 	if ordered < 4000 {
-		t.Fatalf("only %d orders: the test has lost its sense", ordered)
+		t.Fatalf("only %d orders: too few for the test to mean anything", ordered)
 	}
 }
 
-// step takes in an answer that has come, or sends the next join.
-func (m *member) step(rng *rand.Rand, g *storeGroup, now boottime.Time, i int, fences *galenastair.Fence) {
-	if m.waiting && now >= m.answer {
-		m.waiting = false
-		if m.lease.Renewed(m.sent, now, m.mine) {
+// step handles an answer that has arrived, or sends the next renewal.
+func (m *member) step(rng *rand.Rand, g *fakeStore, now boottime.Time, i int, fences *galenastair.Fence) {
+	if m.inFlight && now >= m.answerAt {
+		m.inFlight = false
+		if m.lease.HandleRenewal(m.sentAt, now, m.accepted) {
 			*fences++
-			m.lease.SetFence(m.lease.Term(), *fences, Unknown)
+			m.lease.SetFence(m.lease.Term(), *fences, PredecessorUnknown)
 		}
 	}
-	if m.waiting || now < m.next {
+	if m.inFlight || now < m.nextRenewal {
 		return
 	}
-	m.next = now.Add(renewPeriod)
-	m.mine = g.join(now, i)
-	m.sent, m.waiting = now, true
-	m.answer = now.Add(time.Duration(rng.IntN(1200)) * time.Millisecond)
+	m.nextRenewal = now.Add(renewPeriod)
+	m.accepted = g.renew(now, i)
+	m.sentAt, m.inFlight = now, true
+	m.answerAt = now.Add(time.Duration(rng.IntN(1200)) * time.Millisecond)
 	if rng.IntN(15) == 0 {
-		m.waiting = false
+		m.inFlight = false
 	}
 }
 
@@ -121,7 +121,7 @@
 		}
 		fence = o.fence
 		for other, at := range last {
-			if other != o.member && o.at.Sub(at) < between {
+			if other != o.member && o.at.Sub(at) < minOrderInterval {
 				t.Fatalf("seed %d: member %d ordered %s after member %d", seed, o.member, o.at.Sub(at), other)
 			}
 		}
@@ -129,48 +129,49 @@
 	}
 }
 
-// begun is when the turns of the tests begin.
-const begun = boottime.Time(time.Hour)
+// startTime is when the tests start.
+const startTime = boottime.Time(time.Hour)
 
-func held() *Lease {
-	t := New(DefaultBounds(between, true))
-	t.Renewed(begun, begun, true)
-	t.SetFence(t.Term(), 5, Nobody)
+func heldLease() *Lease {
+	t := New(DefaultBounds(minOrderInterval, true))
+	t.HandleRenewal(startTime, startTime, true)
+	t.SetFence(t.Term(), 5, NoPredecessor)
 	return t
 }
 
-// A machine is suspended while it holds the duty, and gets it again at its first join
-// after. Another may have ordered meanwhile with a higher fence: the term has ended.
-func TestSuspendedHolderBeginsAnew(t *testing.T) {
+// A machine is suspended while it holds the lease, and takes it again with its first renewal after
+// that. Another instance may have sent orders with a higher fencing token meanwhile, so the term
+// has ended.
+func TestSuspendedLeaderStartsNewTerm(t *testing.T) {
 	is := is.New(t)
-	now := begun
-	h := held()
+	now := startTime
+	h := heldLease()
 	_, ok := h.Order(now)
 	is.True(ok)
 	later := now.Add(10 * time.Second)
 	_, ok = h.Order(later)
 	is.True(!ok)
-	is.True(h.Renewed(later, later, true))
+	is.True(h.HandleRenewal(later, later, true))
 	_, ok = h.Order(later)
 	is.True(!ok)
 }
 
-// A join's answer comes late: the lease counts from before it was sent, as the store
-// may have passed the duty on right after it answered.
+// The answer to a renewal comes late. The lease counts from before the renewal was sent, as the
+// store may have given the lease to another instance right after answering.
 func TestLeaseCountsFromBeforeTheCall(t *testing.T) {
 	is := is.New(t)
-	now := begun
-	h := held()
+	now := startTime
+	h := heldLease()
 	sent := now.Add(time.Second)
-	h.Renewed(sent, sent.Add(lease), true)
-	is.True(!h.Holds(sent.Add(lease)))
+	h.HandleRenewal(sent, sent.Add(leaseDuration), true)
+	is.True(!h.Holds(sent.Add(leaseDuration)))
 }
 
-// An engine has seen a higher fence: this instance's term is over, whatever its joins say.
-func TestRefusedFenceEndsTheTerm(t *testing.T) {
+// An engine has seen a higher fencing token: the term is over, whatever the renewals return.
+func TestRejectedFenceEndsTheTerm(t *testing.T) {
 	is := is.New(t)
-	now := begun
-	h := held()
+	now := startTime
+	h := heldLease()
 	h.Refused(4)
 	is.True(h.Holds(now))
 	h.Refused(5)
@@ -178,39 +179,39 @@
 	is.True(!ok)
 }
 
-// A stopping holder orders no more, and lends until it has left.
-func TestRestingHolderLends(t *testing.T) {
+// A stopping leader sends no more orders, but keeps the lease and lends until it has left.
+func TestStoppingLeaderKeepsLease(t *testing.T) {
 	is := is.New(t)
-	now := begun
-	h := held()
-	h.Retire()
+	now := startTime
+	h := heldLease()
+	h.StopOrders()
 	_, ok := h.Order(now)
 	is.True(!ok)
 	is.True(h.Holds(now))
 }
 
-// A fence that was asked for a term that has ended meanwhile is not taken for the next.
-func TestFenceOfAnEarlierTerm(t *testing.T) {
+// A fencing token for a term that has ended meanwhile must not be used for the next one.
+func TestFenceOfAnEarlierTermIsIgnored(t *testing.T) {
 	is := is.New(t)
 	now := boottime.Time(time.Hour)
-	h := New(DefaultBounds(between, true))
-	h.Renewed(now, now, true)
+	h := New(DefaultBounds(minOrderInterval, true))
+	h.HandleRenewal(now, now, true)
 	term := h.Term()
-	h.Renewed(now, now, false)
-	h.Renewed(now, now, true)
-	h.SetFence(term, 7, Nobody)
+	h.HandleRenewal(now, now, false)
+	h.HandleRenewal(now, now, true)
+	h.SetFence(term, 7, NoPredecessor)
 	_, ok := h.Order(now.Add(time.Millisecond))
 	is.True(!ok)
 }
 
-// The pauses keep the platform's least time: a lapsed holder was out of touch for the
-// time that is left out.
+// The delays keep the platform's minimum interval. TakeoverDelayLapsed is shorter by the time that
+// a leader whose lease lapsed has had no contact to the store.
 func TestBounds(t *testing.T) {
 	is := is.New(t)
-	b := DefaultBounds(between, true)
-	is.True(b.Quiet >= between+renewPeriod)
-	is.True(b.QuietLapsed+ttl-renewPeriod >= between)
-	strict := DefaultBounds(between, false)
-	is.True(strict.Quiet >= between+lease)
-	is.True(slices.Max([]time.Duration{b.QuietLapsed, b.Quiet, strict.QuietLapsed}) <= strict.Quiet)
+	b := DefaultBounds(minOrderInterval, true)
+	is.True(b.TakeoverDelay >= minOrderInterval+renewPeriod)
+	is.True(b.TakeoverDelayLapsed+ttl-renewPeriod >= minOrderInterval)
+	strict := DefaultBounds(minOrderInterval, false)
+	is.True(strict.TakeoverDelay >= minOrderInterval+leaseDuration)
+	is.True(slices.Max([]time.Duration{b.TakeoverDelayLapsed, b.TakeoverDelay, strict.TakeoverDelayLapsed}) <= strict.TakeoverDelay)
 }
--- a/lease/note_test.go
+++ b/lease/note_test.go
@@ -15,10 +15,10 @@
 	"galenastair/standin/metastore"
 )
 
-const between = 3 * time.Second
+const minOrderInterval = 3 * time.Second
 
-// notes is what one instance writes and reads.
-type notes struct {
+// fakeCheckpointer records what one instance writes and reads.
+type fakeCheckpointer struct {
 	mu      sync.Mutex
 	next    string
 	written []string
@@ -26,19 +26,19 @@
 	first   []bool
 }
 
-func (n *notes) set(next string) {
+func (n *fakeCheckpointer) set(next string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.next = next
 }
 
-func (n *notes) look() (written, read []string, first []bool) {
+func (n *fakeCheckpointer) calls() (written, read []string, first []bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.written, n.read, n.first
 }
 
-func (n *notes) option() lease.Option {
+func (n *fakeCheckpointer) option() lease.Option {
 	return lease.WithNote(lease.Note{
 		Topic: platform.NoteTopic,
 		Write: func() []byte {
@@ -63,9 +63,9 @@
 }
 
 // startElector runs an elector until the returned function is called.
-func startElector(t *testing.T, address, member string, n *notes) func() {
+func startElector(t *testing.T, address, member string, n *fakeCheckpointer) func() {
 	t.Helper()
-	k := lease.NewElector(platform.NewStore(address), platform.LeaseTopic, lease.New(lease.DefaultBounds(between, true)), member, n.option())
+	k := lease.NewElector(platform.NewStore(address), platform.LeaseTopic, lease.New(lease.DefaultBounds(minOrderInterval, true)), member, n.option())
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- k.Run(ctx) }()
@@ -78,7 +78,7 @@
 	})
 }
 
-func newStore(t *testing.T) (*metastore.Store, string) {
+func startStore(t *testing.T) (*metastore.Store, string) {
 	t.Helper()
 	s := metastore.New()
 	server := httptest.NewServer(s.Handler())
@@ -89,7 +89,7 @@
 	return s, server.Listener.Addr().String()
 }
 
-func until(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for range 800 {
 		if ok() {
@@ -100,56 +100,56 @@
 	t.Fatal("not seen: " + what)
 }
 
-// A holder leaves a note; all instances are started again. The next process of each reads
-// the note, as the first to do so; a further one of the same instance, which was started
-// again at once, is told that it is not.
-func TestNoteIsReadOnceAsTheFirst(t *testing.T) {
+// A leader stores a checkpoint, and all instances restart. The next process of each instance reads
+// the checkpoint as its first user. A further process of the same instance, started right after,
+// is told that it is not the first.
+func TestCheckpointIsFirstOnlyOnce(t *testing.T) {
 	is := is.New(t)
-	_, address := newStore(t)
-	holder := &notes{}
-	stop := startElector(t, address, "one", holder)
-	holder.set("six instances")
-	until(t, "the note", func() bool { w, _, _ := holder.look(); return len(w) == 1 })
+	_, address := startStore(t)
+	leader := &fakeCheckpointer{}
+	stop := startElector(t, address, "one", leader)
+	leader.set("six instances")
+	waitFor(t, "the checkpoint", func() bool { w, _, _ := leader.calls(); return len(w) == 1 })
 	stop()
 	for _, want := range []bool{true, false} {
-		n := &notes{}
+		n := &fakeCheckpointer{}
 		stop := startElector(t, address, "one", n)
-		_, read, first := n.look()
+		_, read, first := n.calls()
 		stop()
 		is.True(len(read) > 0)
 		is.Equal(read[0], "six instances")
 		is.Equal(first[0], want)
 	}
-	other := &notes{}
+	other := &fakeCheckpointer{}
 	defer startElector(t, address, "two", other)()
-	_, _, first := other.look()
+	_, _, first := other.calls()
 	is.True(first[0])
 }
 
-// The answer to a write is lost, though the write acts, and then a write is refused. Each is
-// repeated under the same number, which the store takes once, and only then is a newer note
-// written. Seen failing with the number counted up before the answer: the store refuses all
-// notes from then on.
-func TestLostAnswerOfANote(t *testing.T) {
+// The answer to a write is lost although the write succeeds, and then a write is refused. Each
+// write is repeated under the same sequence number, which the store accepts once, and only then a
+// newer checkpoint is written. If the number increased before the answer, the store would refuse
+// all further checkpoints.
+func TestLostAnswerToACheckpointWrite(t *testing.T) {
 	is := is.New(t)
-	s, address := newStore(t)
-	n := &notes{}
+	s, address := startStore(t)
+	n := &fakeCheckpointer{}
 	defer startElector(t, address, "one", n)()
 	n.set("first")
-	until(t, "the first note", func() bool { w, _, _ := n.look(); return len(w) == 1 })
+	waitFor(t, "the first checkpoint", func() bool { w, _, _ := n.calls(); return len(w) == 1 })
 	appends := s.Calls("/v1/log-append?keyed.note")
 	s.Switch(func(sw *metastore.Switches) { sw.LoseAnswers, sw.Only = true, "/v1/log-append" })
 	n.set("second")
-	until(t, "a write without an answer", func() bool { return s.Calls("/v1/log-append?keyed.note") > appends })
+	waitFor(t, "a write without an answer", func() bool { return s.Calls("/v1/log-append?keyed.note") > appends })
 	n.set("third")
 	s.Switch(func(sw *metastore.Switches) { sw.LoseAnswers = false })
-	until(t, "the third note", func() bool { w, _, _ := n.look(); return len(w) == 3 })
+	waitFor(t, "the third checkpoint", func() bool { w, _, _ := n.calls(); return len(w) == 3 })
 	appends = s.Calls("/v1/log-append?keyed.note")
 	s.Switch(func(sw *metastore.Switches) { sw.Refuse = true })
 	n.set("fourth")
-	until(t, "a refused write", func() bool { return s.Calls("/v1/log-append?keyed.note") > appends })
+	waitFor(t, "a refused write", func() bool { return s.Calls("/v1/log-append?keyed.note") > appends })
 	s.Switch(func(sw *metastore.Switches) { sw.Refuse = false })
-	until(t, "the fourth note", func() bool { w, _, _ := n.look(); return len(w) == 4 })
-	w, _, _ := n.look()
+	waitFor(t, "the fourth checkpoint", func() bool { w, _, _ := n.calls(); return len(w) == 4 })
+	w, _, _ := n.calls()
 	is.Equal(w, []string{"first", "second", "third", "fourth"})
 }
