--- a/account/assigner.go
+++ b/account/assigner.go
@@ -11,40 +11,41 @@
 )
 
 const (
-	// fresh is how long an owner charges at the full rate after the leader confirmed it, and
-	// grace how long it charges at all: as long as a change of the leader may take.
-	fresh = time.Second
-	grace = 6 * time.Second
-	// missedAfter is when the leader takes a shard from an owner that it does not hear.
-	missedAfter = fresh + 200*time.Millisecond
-	// missedAtFirst is the same for the owners that a new leader has not heard yet.
-	missedAtFirst = 4 * time.Second
-	// heardLately is what a new owner must have been.
-	heardLately = 700 * time.Millisecond
+	// fullRatePeriod is how long an owner charges at the full rate after the leader confirmed it.
+	// gracePeriod is how long it charges at all, and as long as a change of leader may take.
+	fullRatePeriod = time.Second
+	gracePeriod    = 6 * time.Second
+	// ownerTimeout is when the leader takes a shard from an owner that has stopped reporting.
+	ownerTimeout = fullRatePeriod + 200*time.Millisecond
+	// initialOwnerTimeout applies to owners that have not reported to a new leader yet.
+	initialOwnerTimeout = 4 * time.Second
+	// candidateMaxAge is the greatest age of the last report of an instance that becomes an owner.
+	candidateMaxAge = 700 * time.Millisecond
 )
 
-// Grant is a shard of an instance, and for how long its owner charges at half of the rate, as
-// the one before may still charge.
+// Grant is a shard of an instance, and how long its owner charges at half the rate because the
+// previous owner may still charge.
 type Grant struct {
 	Shard Shard
 	Half  time.Duration
 }
 
-// Assigner deals shards to the instances that the leader hears. It is made for an owner that
-// is lost, cut off or stopped among hundreds, and for half of them lost at once. Its owner
-// keeps it to one goroutine.
+// Assigner assigns shards to the instances that report to the leader. It is designed for a single
+// owner among hundreds that is lost, partitioned or stopped, and for the loss of half of all
+// instances at once. It is not safe for concurrent use.
 type Assigner struct {
-	began boottime.Time
-	heard map[string]boottime.Time
-	// stopping are those that are about to end.
+	termStart  boottime.Time
+	reportedAt map[string]boottime.Time
+	// stopping holds the instances that are shutting down.
 	stopping map[string]bool
-	// current is in force and stands on the platform; next is to be left there.
+	// current is in force and stored on the platform; next is the table to be stored.
 	current, next Table
-	// before is who owned a shard until the last change, and may charge until limited.
-	before  [Shards]string
-	limited [Shards]boottime.Time
-	// knows is the version that each instance told last.
-	knows map[string]int64
+	// previous is the owner of a shard before its last change, which may charge until
+	// previousUntil.
+	previous      [ShardCount]string
+	previousUntil [ShardCount]boottime.Time
+	// knownVersion is the table version that each instance last reported.
+	knownVersion map[string]int64
 }
 
 // NewAssigner returns an assigner without a table.
@@ -54,25 +55,25 @@
 	return a
 }
 
-// Reset begins a term with the table that the leader before has left.
+// Reset begins a term with the table that the previous leader stored.
 func (a *Assigner) Reset(now boottime.Time, inherited Table) {
 	*a = Assigner{
-		began:    now,
-		heard:    map[string]boottime.Time{},
-		stopping: map[string]bool{},
-		knows:    map[string]int64{},
-		current:  inherited,
-		next:     inherited,
+		termStart:    now,
+		reportedAt:   map[string]boottime.Time{},
+		stopping:     map[string]bool{},
+		knownVersion: map[string]int64{},
+		current:      inherited,
+		next:         inherited,
 	}
 }
 
 // Table returns the table in force.
 func (a *Assigner) Table() Table { return a.current }
 
-// Heard notes an instance's report, and the version of the table that it goes by.
+// RecordReport records an instance's report, and the version of the table that it uses.
 func (a *Assigner) Heard(now boottime.Time, address string, version int64, stopping bool) {
-	a.heard[address] = now
-	a.knows[address] = version
+	a.reportedAt[address] = now
+	a.knownVersion[address] = version
 	if stopping {
 		a.stopping[address] = true
 	} else {
@@ -81,27 +82,28 @@
 	if version != a.current.Version {
 		return
 	}
-	// it knows that it does not own them any more
-	for s, before := range a.before {
+	// it knows that it no longer owns these shards
+	for s, before := range a.previous {
 		if before == address {
-			a.limited[s] = 0
+			a.previousUntil[s] = 0
 		}
 	}
 }
 
-// Next returns the table that is to be left on the platform and told then; false if none is.
+// NextTable returns the table to store on the platform and then to announce; false if there is
+// none.
 func (a *Assigner) Next(now boottime.Time) (Table, bool) {
 	owners := slices.Clone(a.next.Owners)
-	if len(owners) != Shards {
-		owners = make([]string, Shards)
+	if len(owners) != ShardCount {
+		owners = make([]string, ShardCount)
 	}
 	changed := false
 	candidates := a.candidates(now)
 	for s, owner := range owners {
-		if owner != "" && !a.missed(now, owner) || len(candidates) == 0 {
+		if owner != "" && !a.lost(now, owner) || len(candidates) == 0 {
 			continue
 		}
-		owners[s] = slices.MaxFunc(candidates, func(x, y string) int { return cmp.Compare(weight(s, x), weight(s, y)) })
+		owners[s] = slices.MaxFunc(candidates, func(x, y string) int { return cmp.Compare(rendezvousWeight(s, x), rendezvousWeight(s, y)) })
 		changed = changed || owners[s] != owner
 	}
 	if changed {
@@ -110,19 +112,19 @@
 	return a.next.clone(), a.next.Version != 0
 }
 
-// Noted says that a table stands on the platform.
+// TableStored records that a table is stored on the platform, and puts it in force.
 func (a *Assigner) Noted(now boottime.Time, t Table) {
-	if t.Version <= a.current.Version || len(t.Owners) != Shards {
+	if t.Version <= a.current.Version || len(t.Owners) != ShardCount {
 		return
 	}
 	for s, owner := range t.Owners {
 		before := ""
-		if len(a.current.Owners) == Shards {
+		if len(a.current.Owners) == ShardCount {
 			before = a.current.Owners[s]
 		}
 		if before != "" && before != owner {
-			a.before[s] = before
-			a.limited[s] = a.lastHeard(before).Add(grace)
+			a.previous[s] = before
+			a.previousUntil[s] = a.lastReport(before).Add(gracePeriod)
 		}
 	}
 	a.current = t.clone()
@@ -132,37 +134,39 @@
 func (a *Assigner) Grants(now boottime.Time, address string) []Grant {
 	var out []Grant
 	for s, owner := range a.current.Owners {
-		if owner == address && !a.unreleased(now, s) {
-			out = append(out, Grant{Shard(s), max(0, a.limited[s].Sub(now))})
+		if owner == address && !a.previousAtFullRate(now, s) {
+			out = append(out, Grant{Shard(s), max(0, a.previousUntil[s].Sub(now))})
 		}
 	}
 	return out
 }
 
-// unreleased says whether the owner before may still charge at the full rate: one that stops is
-// replaced while it is confirmed.
-func (a *Assigner) unreleased(now boottime.Time, s int) bool {
-	return a.limited[s] != 0 && now < a.limited[s].Add(fresh-grace)
+// previousAtFullRate reports whether the previous owner may still charge at the full rate. This
+// can be so when an owner that shuts down is replaced while it is still confirmed.
+func (a *Assigner) previousAtFullRate(now boottime.Time, s int) bool {
+	return a.previousUntil[s] != 0 && now < a.previousUntil[s].Add(fullRatePeriod-gracePeriod)
 }
 
-// lastHeard is not before an owner was last confirmed: by this leader, or by the one before,
-// whose lease ended before this term began.
-func (a *Assigner) lastHeard(address string) boottime.Time { return max(a.began, a.heard[address]) }
+// lastReport returns a time that is not before an owner's last confirmation, by this leader or by
+// the previous one, whose lease ended before this term began.
+func (a *Assigner) lastReport(address string) boottime.Time {
+	return max(a.termStart, a.reportedAt[address])
+}
 
-func (a *Assigner) missed(now boottime.Time, address string) bool {
+func (a *Assigner) lost(now boottime.Time, address string) bool {
 	if a.stopping[address] {
 		return true
 	}
-	if _, heard := a.heard[address]; !heard {
-		return now.Sub(a.began) > missedAtFirst
+	if _, reported := a.reportedAt[address]; !reported {
+		return now.Sub(a.termStart) > initialOwnerTimeout
 	}
-	return now.Sub(a.heard[address]) > missedAfter
+	return now.Sub(a.reportedAt[address]) > ownerTimeout
 }
 
 func (a *Assigner) candidates(now boottime.Time) []string {
 	var out []string
-	for address, at := range a.heard {
-		if now.Sub(at) <= heardLately && !a.stopping[address] {
+	for address, at := range a.reportedAt {
+		if now.Sub(at) <= candidateMaxAge && !a.stopping[address] {
 			out = append(out, address)
 		}
 	}
@@ -170,14 +174,15 @@
 	return out
 }
 
-// weight ranks an instance for a shard: the ranks of two instances do not depend on a third.
-func weight(s int, address string) uint32 {
+// rendezvousWeight ranks an instance for a shard (rendezvous hashing): the order of two instances
+// does not depend on a third.
+func rendezvousWeight(s int, address string) uint32 {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(address + "/" + strconv.Itoa(s)))
 	return mix(h.Sum32())
 }
 
-// mix spreads the hash's last bytes over all of its bits.
+// mix is the 32-bit finalizer of MurmurHash3. It spreads the hash's last bytes over all bits.
 func mix(h uint32) uint32 {
 	h ^= h >> 16
 	h *= 0x85ebca6b
--- a/account/play/doc.go
+++ b/account/play/doc.go
@@ -1,6 +1,7 @@
-// Package play plays instances, owners of organisations' accounts and a leader over one clock,
-// without sockets, with instances that are cut off, killed and started again, and leaders that
-// are replaced. One organisation is played, as organisations do not bear on each other.
+// Package play simulates instances, owners of organisations' accounts and a leader with one clock
+// and without sockets. Instances are partitioned, killed and restarted, and leaders are replaced.
+// Only one organisation is simulated, because organisations do not affect each other.
 //
-// It is no simulator of a network: a charge takes no time, and messages arrive or do not.
+// It does not simulate a network: a charge takes no time, and a message either arrives or does
+// not.
 package play
--- a/account/play/fleet.go
+++ b/account/play/fleet.go
@@ -13,57 +13,58 @@
 )
 
 const (
-	// Step is the time that one step of the clock takes.
+	// Step is the time by which one step advances the clock.
 	Step = 10 * time.Millisecond
-	// exchangePeriod is how often an instance exchanges with the leader.
-	exchangePeriod = 600 * time.Millisecond
-	// noteTime is what the leader takes to leave the table on the platform.
-	noteTime = 300 * time.Millisecond
-	// leaderTime is what a new leader takes to be there at least, and as long again at most.
-	leaderTime = 1600 * time.Millisecond
-	// stopTime is from an instance's signal to stop to its end.
-	stopTime = 3 * time.Second
-	// org is the organisation that is played.
+	// exchangeInterval is how often an instance exchanges with the leader.
+	exchangeInterval = 600 * time.Millisecond
+	// storeDelay is the time that the leader takes to store the table on the platform.
+	storeDelay = 300 * time.Millisecond
+	// leaderStartDelay is the least time until a new leader starts; the longest is twice that.
+	leaderStartDelay = 1600 * time.Millisecond
+	// shutdownTime is the time from an instance's stop signal to its end.
+	shutdownTime = 3 * time.Second
+	// org is the simulated organisation.
 	org galenastair.Organisation = "org"
 )
 
-// Terms are the platform's bounds that are played.
-var Terms = quota.Terms{Window: 8 * time.Second, Over: 0.1, Slack: 17000}
+// Tolerance is the tolerance of the simulated platform.
+var Tolerance = quota.Terms{Window: 8 * time.Second, Over: 0.1, Slack: 17000}
 
-// Contract is the organisation's, in tokens.
+// Contract is the organisation's contract, in tokens.
 type Contract struct{ Rate, Burst float64 }
 
-// Bound is the most that it may get in any window.
+// Bound returns the most that the organisation may get in any window.
 func (c Contract) Bound() float64 {
-	return (c.Rate*Terms.Window.Seconds()+c.Burst)*(1+Terms.Over) + Terms.Slack
+	return (c.Rate*Tolerance.Window.Seconds()+c.Burst)*(1+Tolerance.Over) + Tolerance.Slack
 }
 
-// Fleet is instances and what is left on the platform.
+// Fleet is a set of instances with their leader and what it stores on the platform.
 type Fleet struct {
-	Now       boottime.Time
-	Rand      *rand.Rand
-	Instances []*Instance
-	contract  Contract
-	assigner  *account.Assigner
-	note      account.Table
-	notedAt   boottime.Time
-	leaderAt  boottime.Time
-	spent     []charge
-	// Calls counts the charges that one instance asked of another.
+	Now         boottime.Time
+	Rand        *rand.Rand
+	Instances   []*Instance
+	contract    Contract
+	assigner    *account.Assigner
+	storedTable account.Table
+	storedAt    boottime.Time
+	leaderAt    boottime.Time
+	granted     []charge
+	// Calls counts the charges that one instance sent to another.
 	Calls int
 }
 
 // Instance is one process.
 type Instance struct {
-	address  string
-	accounts *account.Accounts
-	next     boottime.Time
-	// cut is until when nobody reaches it; its own callers do.
-	cut boottime.Time
-	// down is until when its process does not run.
-	down boottime.Time
-	// stops is from when it has been told to stop; 0 if it has not.
-	stops boottime.Time
+	address      string
+	accounts     *account.Accounts
+	nextExchange boottime.Time
+	// partitionedUntil is the time until which no other instance reaches this one; its own callers
+	// do.
+	partitionedUntil boottime.Time
+	// downUntil is the time until which its process does not run.
+	downUntil boottime.Time
+	// stoppingSince is when it was told to stop; 0 if it was not.
+	stoppingSince boottime.Time
 }
 
 type charge struct {
@@ -71,7 +72,7 @@
 	cost float64
 }
 
-// New returns a fleet of which no instance has met the leader.
+// New returns a fleet in which no instance has exchanged with the leader yet.
 func New(seed uint64, instances int, c Contract) *Fleet {
 	f := &Fleet{
 		Now:      boottime.Time(time.Hour),
@@ -88,83 +89,87 @@
 	return f
 }
 
-// Settle runs until the organisation's owner has been confirmed for some time.
+// Settle advances the clock by 3 s, until the organisation's owner has been confirmed for some
+// time.
 func (f *Fleet) Settle() {
 	for range 300 {
 		f.Step()
 	}
 }
 
-// UpTo draws a time.
-func (f *Fleet) UpTo(d time.Duration) time.Duration { return time.Duration(f.Rand.Int64N(int64(d))) }
+// RandomDuration returns a random duration below d.
+func (f *Fleet) RandomDuration(d time.Duration) time.Duration {
+	return time.Duration(f.Rand.Int64N(int64(d)))
+}
 
 func (f *Fleet) start(x *Instance) {
-	x.accounts = account.New(x.address, Terms)
+	x.accounts = account.New(x.address, Tolerance)
 	x.accounts.SetContracts(catalog.New(1, catalog.Limits{}, nil, nil, []*catalog.Organisation{
 		{Name: org, Rate: f.contract.Rate, Burst: f.contract.Burst, InTokens: true},
 	}))
-	x.next = max(f.Now, x.down).Add(f.UpTo(exchangePeriod))
-	x.stops = 0
+	x.nextExchange = max(f.Now, x.downUntil).Add(f.RandomDuration(exchangeInterval))
+	x.stoppingSince = 0
 }
 
-// Step moves the clock on.
+// Step advances the clock by one step.
 func (f *Fleet) Step() {
 	f.Now = f.Now.Add(Step)
 	if f.Now < f.leaderAt {
 		return
 	}
 	for _, x := range f.Instances {
-		if x.stops != 0 && f.Now.Sub(x.stops) > stopTime {
-			f.Restart(x, f.UpTo(stopTime))
+		if x.stoppingSince != 0 && f.Now.Sub(x.stoppingSince) > shutdownTime {
+			f.Restart(x, f.RandomDuration(shutdownTime))
 		}
-		if f.Now >= x.next && f.Now >= x.cut && f.Now >= x.down {
+		if f.Now >= x.nextExchange && f.Now >= x.partitionedUntil && f.Now >= x.downUntil {
 			f.exchange(x)
 		}
 	}
-	if t, ok := f.assigner.Next(f.Now); ok && t.Version != f.note.Version {
-		f.note, f.notedAt = t, f.Now
+	if t, ok := f.assigner.Next(f.Now); ok && t.Version != f.storedTable.Version {
+		f.storedTable, f.storedAt = t, f.Now
 	}
-	if f.notedAt != 0 && f.Now.Sub(f.notedAt) > noteTime {
-		f.assigner.Noted(f.Now, f.note)
+	if f.storedAt != 0 && f.Now.Sub(f.storedAt) > storeDelay {
+		f.assigner.Noted(f.Now, f.storedTable)
 	}
 }
 
 func (f *Fleet) exchange(x *Instance) {
-	x.next = f.Now.Add(exchangePeriod)
-	f.assigner.Heard(f.Now, x.address, x.accounts.Table().Version, x.stops != 0)
+	x.nextExchange = f.Now.Add(exchangeInterval)
+	f.assigner.Heard(f.Now, x.address, x.accounts.Table().Version, x.stoppingSince != 0)
 	if t := f.assigner.Table(); t.Version != x.accounts.Table().Version {
 		x.accounts.SetTable(t)
 	}
 	x.accounts.Confirm(f.Now, f.Now, f.assigner.Grants(f.Now, x.address))
 }
 
-// ReplaceLeader has another lead after some seconds, by the note, unless one is being waited for.
+// ReplaceLeader starts another leader from the stored table after some seconds, unless one is
+// already being started.
 func (f *Fleet) ReplaceLeader() {
 	if f.Now <= f.leaderAt {
 		return
 	}
-	f.leaderAt = f.Now.Add(leaderTime + f.UpTo(leaderTime))
-	f.assigner.Reset(f.leaderAt, f.note)
+	f.leaderAt = f.Now.Add(leaderStartDelay + f.RandomDuration(leaderStartDelay))
+	f.assigner.Reset(f.leaderAt, f.storedTable)
 }
 
-// Cut has nobody reach an instance for a time.
-func (f *Fleet) Cut(x *Instance, d time.Duration) { x.cut = f.Now.Add(d) }
+// Partition separates an instance from all others for a time.
+func (f *Fleet) Partition(x *Instance, d time.Duration) { x.partitionedUntil = f.Now.Add(d) }
 
-// Restart kills an instance's process, and starts another after a time.
+// Restart kills an instance's process, and starts another one after a time.
 func (f *Fleet) Restart(x *Instance, d time.Duration) {
-	x.down = f.Now.Add(d)
+	x.downUntil = f.Now.Add(d)
 	f.start(x)
 }
 
-// Stop tells an instance to stop, which takes it some seconds, and has it started again.
+// Stop tells an instance to stop, which takes shutdownTime, after which it is restarted.
 func (f *Fleet) Stop(x *Instance) {
-	if x.stops == 0 && f.Up(x) {
-		x.stops = f.Now
+	if x.stoppingSince == 0 && f.Up(x) {
+		x.stoppingSince = f.Now
 	}
 }
 
-// Up says whether an instance's process runs.
-func (f *Fleet) Up(x *Instance) bool { return f.Now >= x.down }
+// Up reports whether an instance's process runs.
+func (f *Fleet) Up(x *Instance) bool { return f.Now >= x.downUntil }
 
 // Owner returns the organisation's owner as an instance knows it; nil if it knows none.
 func (f *Fleet) Owner(known *Instance) *Instance {
@@ -177,10 +182,10 @@
 	return nil
 }
 
-// Any draws an instance.
-func (f *Fleet) Any() *Instance { return f.Instances[f.Rand.IntN(len(f.Instances))] }
+// RandomInstance returns a random instance.
+func (f *Fleet) RandomInstance() *Instance { return f.Instances[f.Rand.IntN(len(f.Instances))] }
 
-// Charge asks for a request that comes in at an instance, and says whether it is admitted.
+// Charge charges a request that arrives at an instance, and reports whether it is admitted.
 func (f *Fleet) Charge(at *Instance, cost float64) bool {
 	owner := f.Owner(at)
 	if !f.Up(at) || owner == nil || !f.Up(owner) {
@@ -188,24 +193,24 @@
 	}
 	if owner != at {
 		f.Calls++
-		if f.Now < owner.cut || f.Now < at.cut {
+		if f.Now < owner.partitionedUntil || f.Now < at.partitionedUntil {
 			return false
 		}
 	}
 	if !owner.accounts.Charge(f.Now, org, cost).Granted {
 		return false
 	}
-	f.spent = append(f.spent, charge{f.Now, cost})
+	f.granted = append(f.granted, charge{f.Now, cost})
 	return true
 }
 
-// Most is the most that was granted in any window.
-func (f *Fleet) Most() float64 {
+// MaxInWindow returns the most that was granted in any window.
+func (f *Fleet) MaxInWindow() float64 {
 	most, sum, first := 0.0, 0.0, 0
-	for _, s := range f.spent {
+	for _, s := range f.granted {
 		sum += s.cost
-		for s.at.Sub(f.spent[first].at) >= Terms.Window {
-			sum -= f.spent[first].cost
+		for s.at.Sub(f.granted[first].at) >= Tolerance.Window {
+			sum -= f.granted[first].cost
 			first++
 		}
 		most = max(most, sum)
--- a/account/play/table.go
+++ b/account/play/table.go
@@ -8,50 +8,51 @@
 )
 
 const (
-	// requestCost is what a request takes, in tokens.
+	// requestCost is the cost of a request in tokens.
 	requestCost = 3000
-	// warmUp is played before a fault, and counted how long what follows it.
-	warmUp  = 10 * time.Second
-	counted = 10 * time.Second
-	// around is the time right after a fault.
-	around = 2 * time.Second
-	// instanceLoss is for how long what is lost is gone.
-	instanceLoss = time.Hour
+	// warmUpPeriod runs before a fault, and measuredPeriod is the time after it that is measured.
+	warmUpPeriod   = 10 * time.Second
+	measuredPeriod = 10 * time.Second
+	// afterFaultPeriod is the time right after a fault.
+	afterFaultPeriod = 2 * time.Second
+	// lossDuration is how long a lost instance is down; it exceeds the simulated time.
+	lossDuration = time.Hour
 )
 
-// sizes are instances: the users' smallest and largest sites, some between, and the size to come.
+// sizes are numbers of instances: those of the users' smallest and largest sites, some between,
+// and the size planned next.
 var sizes = []int{7, 30, 87, 300, 370}
 
-// Scenario is a demand, as a part of the rate, and what happens after the warm-up.
+// Scenario is a demand, as a fraction of the rate, and a fault after the warm-up.
 type Scenario struct {
-	Name  string
-	Asked func(sinceFault time.Duration) float64
-	Fault func(*Fleet)
-	// few has all requests come in at a tenth of the instances.
-	few bool
+	Name   string
+	Demand func(sinceFault time.Duration) float64
+	Fault  func(*Fleet)
+	// skewed sends all requests to a tenth of the instances.
+	skewed bool
 }
 
-func half(time.Duration) float64 { return 0.5 }
+func halfOfRate(time.Duration) float64 { return 0.5 }
 
-// Scenarios are what the table shows.
+// Scenarios returns the scenarios of the table.
 func Scenarios() []Scenario {
 	none := func(*Fleet) {}
 	return []Scenario{
-		{Name: "steady", Asked: half, Fault: none},
-		{Name: "skewed", Asked: half, Fault: none, few: true},
-		{Name: "burst", Asked: burst, Fault: none},
-		{Name: "flood", Asked: func(time.Duration) float64 { return 10 }, Fault: none},
-		{Name: "leader lost", Asked: half, Fault: (*Fleet).ReplaceLeader},
-		{Name: "owner lost", Asked: half, Fault: func(f *Fleet) { f.Restart(f.Owner(f.Any()), instanceLoss) }},
-		{Name: "owner cut off", Asked: half, Fault: func(f *Fleet) { f.Cut(f.Owner(f.Any()), instanceLoss) }},
-		{Name: "owner stopped", Asked: half, Fault: func(f *Fleet) { f.Stop(f.Owner(f.Any())) }},
-		{Name: "half lost", Asked: half, Fault: loseHalf},
-		{Name: "all restarted", Asked: half, Fault: restartAll},
+		{Name: "steady", Demand: halfOfRate, Fault: none},
+		{Name: "skewed", Demand: halfOfRate, Fault: none, skewed: true},
+		{Name: "burst", Demand: burstDemand, Fault: none},
+		{Name: "flood", Demand: func(time.Duration) float64 { return 10 }, Fault: none},
+		{Name: "leader lost", Demand: halfOfRate, Fault: (*Fleet).ReplaceLeader},
+		{Name: "owner lost", Demand: halfOfRate, Fault: func(f *Fleet) { f.Restart(f.Owner(f.RandomInstance()), lossDuration) }},
+		{Name: "owner cut off", Demand: halfOfRate, Fault: func(f *Fleet) { f.Partition(f.Owner(f.RandomInstance()), lossDuration) }},
+		{Name: "owner stopped", Demand: halfOfRate, Fault: func(f *Fleet) { f.Stop(f.Owner(f.RandomInstance())) }},
+		{Name: "half lost", Demand: halfOfRate, Fault: loseHalf},
+		{Name: "all restarted", Demand: halfOfRate, Fault: restartAll},
 	}
 }
 
-// burst is three times the rate for a second after a time without demand.
-func burst(sinceFault time.Duration) float64 {
+// burstDemand is three times the rate for one second, after a time without demand.
+func burstDemand(sinceFault time.Duration) float64 {
 	if sinceFault >= 0 && sinceFault < time.Second {
 		return 3
 	}
@@ -61,7 +62,7 @@
 func loseHalf(f *Fleet) {
 	for i, x := range f.Instances {
 		if i%2 == 0 {
-			f.Restart(x, instanceLoss)
+			f.Restart(x, lossDuration)
 		}
 	}
 }
@@ -73,81 +74,82 @@
 	}
 }
 
-// Outcome is what one play showed. Parts are of the tokens that were owed: asked for, and no
-// more than the rate and, of a burst, the contract's burst.
-type Outcome struct {
-	// Admitted is over the time that is counted, and Around over the two seconds after a fault.
-	Admitted float64
-	Around   float64
-	// Most is the most in any window, as a part of what the platform allows.
-	Most float64
-	// Calls is the charges that an instance asks of others in a second.
-	Calls float64
+// Result is the outcome of one run. Ratios are of the tokens that were owed: those asked for, up
+// to the rate and the contract's burst.
+type Result struct {
+	// Admitted covers the whole measured period, and AfterFault the two seconds after the fault.
+	Admitted   float64
+	AfterFault float64
+	// MaxOfBound is the most in any window, as a fraction of what the platform allows.
+	MaxOfBound float64
+	// CallsPerSecond is the number of charges that one instance sends to others per second.
+	CallsPerSecond float64
 }
 
-// Play plays one scenario.
-func Play(s Scenario, seed uint64, instances int, c Contract) Outcome {
+// RunScenario runs one scenario.
+func RunScenario(s Scenario, seed uint64, instances int, c Contract) Result {
 	f := New(seed, instances, c)
 	f.Settle()
-	fault := f.Now.Add(warmUp)
-	owed, got, owedAround, gotAround, due := 0.0, 0.0, 0.0, 0.0, 0.0
-	faulty := false
-	for f.Now < fault.Add(counted) {
+	fault := f.Now.Add(warmUpPeriod)
+	owed, admitted, owedAfterFault, gotAfterFault, pending := 0.0, 0.0, 0.0, 0.0, 0.0
+	faulted := false
+	for f.Now < fault.Add(measuredPeriod) {
 		f.Step()
-		if !faulty && f.Now >= fault {
+		if !faulted && f.Now >= fault {
 			s.Fault(f)
-			faulty = true
+			faulted = true
 		}
 		since := f.Now.Sub(fault)
-		due += s.Asked(since) * c.Rate * Step.Seconds()
-		for ; due >= requestCost; due -= requestCost {
-			at := f.caller(s)
+		pending += s.Demand(since) * c.Rate * Step.Seconds()
+		for ; pending >= requestCost; pending -= requestCost {
+			at := f.targetInstance(s)
 			granted := f.Charge(at, requestCost)
 			if since < 0 {
 				continue
 			}
 			owed += requestCost
 			if granted {
-				got += requestCost
+				admitted += requestCost
 			}
-			if since < around {
-				owedAround += requestCost
+			if since < afterFaultPeriod {
+				owedAfterFault += requestCost
 				if granted {
-					gotAround += requestCost
+					gotAfterFault += requestCost
 				}
 			}
 		}
 	}
-	return Outcome{
-		Admitted: part(got, min(owed, c.Rate*counted.Seconds()+c.Burst)),
-		Around:   part(gotAround, min(owedAround, c.Rate*around.Seconds()+c.Burst)),
-		Most:     f.Most() / c.Bound(),
-		Calls:    float64(f.Calls) / float64(instances) / (warmUp + counted).Seconds(),
+	return Result{
+		Admitted:       ratio(admitted, min(owed, c.Rate*measuredPeriod.Seconds()+c.Burst)),
+		AfterFault:     ratio(gotAfterFault, min(owedAfterFault, c.Rate*afterFaultPeriod.Seconds()+c.Burst)),
+		MaxOfBound:     f.MaxInWindow() / c.Bound(),
+		CallsPerSecond: float64(f.Calls) / float64(instances) / (warmUpPeriod + measuredPeriod).Seconds(),
 	}
 }
 
-// caller draws an instance that runs; callers whose instance is down come to another.
-func (f *Fleet) caller(s Scenario) *Instance {
+// targetInstance returns a random running instance; callers whose instance is down use another
+// one.
+func (f *Fleet) targetInstance(s Scenario) *Instance {
 	for range 50 {
-		x := f.Any()
-		if s.few {
+		x := f.RandomInstance()
+		if s.skewed {
 			x = f.Instances[f.Rand.IntN(max(1, len(f.Instances)/10))]
 		}
 		if f.Up(x) {
 			return x
 		}
 	}
-	return f.Any()
+	return f.RandomInstance()
 }
 
-func part(got, owed float64) float64 {
+func ratio(admitted, owed float64) float64 {
 	if owed <= 0 {
 		return 1
 	}
-	return min(1, got/owed)
+	return min(1, admitted/owed)
 }
 
-// Table plays all scenarios at all sizes and returns what came of them.
+// Table runs all scenarios at all sizes and returns the results as a table.
 func Table(seed uint64) string {
 	var b strings.Builder
 	w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -155,8 +157,8 @@
 	c := Contract{Rate: 33_000, Burst: 33_000}
 	for _, n := range sizes {
 		for _, s := range Scenarios() {
-			o := Play(s, seed, n, c)
-			fmt.Fprintf(w, "%d\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t\n", n, s.Name, o.Admitted, o.Around, o.Most, o.Calls)
+			o := RunScenario(s, seed, n, c)
+			fmt.Fprintf(w, "%d\t%s\t%.3f\t%.3f\t%.3f\t%.3f\t\n", n, s.Name, o.Admitted, o.AfterFault, o.MaxOfBound, o.CallsPerSecond)
 		}
 	}
 	_ = w.Flush()
--- a/account/table.go
+++ b/account/table.go
@@ -7,31 +7,31 @@
 	"galenastair"
 )
 
-// Shard numbers a part of all organisations.
+// Shard is the number of a shard of all organisations.
 type Shard int
 
-// Shards is how many there are: enough to spread the organisations of a large fleet, few
-// enough for a table to be told whole.
-const Shards = 64
+// ShardCount is large enough to spread the organisations of a large fleet, and small enough for a
+// table to be sent whole.
+const ShardCount = 64
 
 // ShardOf returns the shard of an organisation.
 func ShardOf(o galenastair.Organisation) Shard {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(o))
-	return Shard(h.Sum32() % Shards)
+	return Shard(h.Sum32() % ShardCount)
 }
 
-// Table says which instance owns each shard.
+// Table maps each shard to the instance that owns it.
 type Table struct {
-	// Version is 0 for a table without owners, and never that of another table.
+	// Version is 0 for a table without owners, and unique otherwise.
 	Version int64
-	// Owners are peer addresses, by shard.
+	// Owners holds peer addresses, by shard.
 	Owners []string
 }
 
 // Owner returns the peer address of an organisation's owner; empty if it has none.
 func (t Table) Owner(o galenastair.Organisation) string {
-	if len(t.Owners) != Shards {
+	if len(t.Owners) != ShardCount {
 		return ""
 	}
 	return t.Owners[ShardOf(o)]
