--- a/queue/fair_test.go
+++ b/queue/fair_test.go
@@ -22,11 +22,10 @@
 	}
 }
 
-func anything(*Item) bool { return true }
+func anyItem(*Item) bool { return true }
 
-// A caller of a small nursery sees its diary come minutes late: a large nursery has
-// sent 200 requests just before, and the queue serves them in order of arrival.
-// Seen failing with tags of arrival instead of organisations (one flow for all).
+// A large organisation has just sent 200 requests. In order of arrival, a request of a small
+// organisation would wait minutes behind them; it must be among the first to be served.
 func TestSmallOrganisationIsNotBehindTheFloodOfAnother(t *testing.T) {
 	is := is.New(t)
 	q := NewFair(MaxWaiting)
@@ -36,17 +35,17 @@
 	small := item("small", 10, 10)
 	is.Equal(len(q.Push(start, small)), 0)
 	for n := range 3 {
-		it := q.Next(start, anything)
+		it := q.Next(start, anyItem)
 		q.Take(start, it)
 		if it == small {
 			return
 		}
-		is.True(n < 2) // the small organisation's first request goes among the first
+		is.True(n < 2) // the small organisation's request must be among the first three
 	}
 }
 
-// Shares follow the contract rates whatever the arrivals are, as long as all have
-// something waiting. Seen failing with the weight left out of the tags.
+// Served shares follow the contract rates whatever the arrivals are, as long as all organisations
+// have requests waiting. This fails if the weight is left out of the tags.
 func TestSharesFollowTheContractRates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewFair(10_000)
@@ -59,7 +58,7 @@
 		}
 		got := make([]float64, len(weights))
 		for range 300 {
-			it := q.Next(start, anything)
+			it := q.Next(start, anyItem)
 			q.Take(start, it)
 			var i int
 			_, _ = fmt.Sscan(string(it.Organisation), &i)
@@ -67,7 +66,7 @@
 		}
 		for i := range got {
 			for j := range got {
-				// start-time fair queueing lets two differ by one item of each
+				// start-time fair queueing lets two flows differ by one item of each
 				bound := 50/float64(weights[i]) + 50/float64(weights[j]) + 1e-9
 				if got[i]-got[j] > bound {
 					t.Fatalf("%d had %.3f s of its rate, %d %.3f s", i, got[i], j, got[j])
@@ -77,8 +76,8 @@
 	})
 }
 
-// The flood of one organisation fills the queue; what arrives for another must push
-// out the flood and not be refused. Seen failing with the arriving item refused.
+// One organisation fills the queue. An arriving item of another organisation must displace an item
+// of the first, and must not be refused itself.
 func TestFullQueueDropsWhoeverExceedsMost(t *testing.T) {
 	is := is.New(t)
 	q := NewFair(10)
@@ -90,12 +89,12 @@
 	is.Equal(out[0].Item.Organisation, galenastair.Organisation("flood"))
 	is.True(errors.Is(out[0].Err, galenastair.ErrOverloaded))
 	is.Equal(out[0].Err.Outcome, galenastair.NotRun)
-	is.True(out[0].Err.RetryAfter >= shortestRetry)
+	is.True(out[0].Err.RetryAfter >= minRetryAfter)
 	is.Equal(q.Len(), 10)
 }
 
-// An item that would wait past its deadline is refused when it comes, one of another
-// organisation with nothing waiting is not. Seen failing with foretell always zero.
+// An item that would miss its deadline is refused on arrival; one of another organisation with
+// nothing waiting is not.
 func TestRefusesEarlyWhatCannotBeServedInTime(t *testing.T) {
 	is := is.New(t)
 	q := NewFair(MaxWaiting)
@@ -103,12 +102,12 @@
 	for range 40 {
 		q.Push(now, item("flood", 100, 10))
 	}
-	for range 10 { // ten a second
+	for range 10 { // ten per second
 		now = now.Add(100 * time.Millisecond)
-		q.Take(now, q.Next(start, anything))
+		q.Take(now, q.Next(start, anyItem))
 	}
 	late := item("flood", 100, 10)
-	late.Deadline = now.Add(2 * time.Second) // 30 wait, so 3 s
+	late.Deadline = now.Add(2 * time.Second) // 30 are waiting, which takes 3 s
 	out := q.Push(now, late)
 	is.Equal(len(out), 1)
 	is.Equal(out[0].Item, late)
@@ -130,8 +129,8 @@
 	is.Equal(q.Priority("unknown"), 0)
 }
 
-// Whatever is pushed, taken and removed, the queue's counts stay true and the
-// memory of idle organisations stays bounded.
+// Whatever is pushed, taken and removed, the queue's counts stay correct and the memory for idle
+// organisations stays bounded.
 func TestCountsStayTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := NewFair(20)
@@ -147,7 +146,7 @@
 					delete(held, r.Item)
 				}
 			case 2:
-				if it := q.Next(start, anything); it != nil {
+				if it := q.Next(start, anyItem); it != nil {
 					q.Take(now, it)
 					delete(held, it)
 				}
@@ -160,7 +159,7 @@
 					break
 				}
 			}
-			if q.Len() != len(held) || q.Len() > 20 || len(q.flows) > 20+2*idleFlows {
+			if q.Len() != len(held) || q.Len() > 20 || len(q.flows) > 20+2*idleFlowLimit {
 				t.Fatalf("%d waiting, %d held, %d organisations", q.Len(), len(held), len(q.flows))
 			}
 		}
--- a/queue/item.go
+++ b/queue/item.go
@@ -10,25 +10,25 @@
 type Item struct {
 	ID           galenastair.RequestID
 	Organisation galenastair.Organisation
-	// Weight is the contract's rate.
+	// Weight is the rate of the contract.
 	Weight galenastair.TokensPerSecond
 	// Cost is what the request takes of its organisation's share.
 	Cost galenastair.Tokens
-	// Fresh is until when the request can still be served well; zero for always.
+	// LateAfter is the time until which the request can be served well; zero for no limit.
 	Fresh time.Time
-	// Entitled says that its organisation is within its share, so that the item is
-	// neither late nor foretold to be: others' backlogs are not waited for.
+	// WithinShare means that the organisation is within its share. Such an item is never late and
+	// never refused on an estimate, because it does not wait for the backlogs of others.
 	Entitled bool
-	// Deadline is when the first token is no longer of use; zero for none.
+	// Deadline is when the first token is no longer useful; zero for none.
 	Deadline time.Time
 }
 
-// Late says whether the item can no longer be served well.
+// Late reports whether the item can no longer be served well.
 func (it *Item) Late(now time.Time) bool {
 	return !it.Entitled && !it.Fresh.IsZero() && now.After(it.Fresh)
 }
 
-// Refused is an item that leaves the queue unserved.
+// Refused is an item that leaves the queue without being served.
 type Refused struct {
 	Item *Item
 	Err  *galenastair.Refusal
--- a/queue/share.go
+++ b/queue/share.go
@@ -7,14 +7,14 @@
 	"galenastair"
 )
 
-// idleFlows is how many organisations without waiting items are remembered
-// before those that owe nothing are forgotten.
-const idleFlows = MaxWaiting
+// idleFlowLimit is the number of organisations without waiting items above which those that owe
+// nothing are evicted.
+const idleFlowLimit = MaxWaiting
 
 func (q *Fair) flow(it *Item) *flow {
 	f := q.flows[it.Organisation]
 	if f == nil {
-		q.forget()
+		q.evictIdle()
 		f = newFlow(it)
 		q.flows[it.Organisation] = f
 	}
@@ -23,30 +23,30 @@
 		return f
 	}
 	f.setWeight(it.Weight)
-	// what an idle organisation did not use is not saved up: else one that was
-	// silent all night could hold the queue for as long in the morning
-	f.start = max(q.virtual, f.finish)
+	// unused capacity of an idle organisation is not saved up: otherwise one that was idle all
+	// night could occupy the queue for as long in the morning
+	f.startTag = max(q.virtualTime, f.finishTag)
 	return f
 }
 
-// forget drops idle organisations that owe nothing: at 2,000 organisations and
-// 250 models they would otherwise take 60 MB on each entry.
-func (q *Fair) forget() {
-	if len(q.flows) < len(q.active)+idleFlows {
+// evictIdle drops idle organisations that owe nothing. With 2,000 organisations and 250 models
+// they would otherwise take 60 MB in each entry.
+func (q *Fair) evictIdle() {
+	if len(q.flows) < len(q.active)+idleFlowLimit {
 		return
 	}
 	for o, f := range q.flows {
-		if len(f.items) == 0 && f.finish <= q.virtual {
+		if len(f.items) == 0 && f.finishTag <= q.virtualTime {
 			delete(q.flows, o)
 		}
 	}
-	if len(q.flows) >= len(q.active)+2*idleFlows {
-		q.forgetAll()
+	if len(q.flows) >= len(q.active)+2*idleFlowLimit {
+		q.evictAllIdle()
 	}
 }
 
-// forgetAll bounds the memory when every idle organisation still owes a little.
-func (q *Fair) forgetAll() {
+// evictAllIdle bounds the memory if every idle organisation still owes a little.
+func (q *Fair) evictAllIdle() {
 	for o, f := range q.flows {
 		if len(f.items) == 0 {
 			delete(q.flows, o)
@@ -62,8 +62,8 @@
 	q.length++
 }
 
-func (q *Fair) drop(f *flow, i int) *Item {
-	it := f.remove(i)
+func (q *Fair) removeAt(f *flow, i int) *Item {
+	it := f.removeAt(i)
 	q.length--
 	if len(f.items) == 0 {
 		q.active = slices.Delete(q.active, slices.Index(q.active, f), slices.Index(q.active, f)+1)
@@ -71,13 +71,13 @@
 	return it
 }
 
-// mostExcess returns the flow that has most waiting for its rate. When the queue
-// is full, that one loses an item: if the arriving item were refused instead, one
-// organisation's flood would fill the queue and shut out all others.
-func (q *Fair) mostExcess() *flow {
+// largestBacklog returns the flow with the largest backlog for its rate, which loses an item when
+// the queue is full. If the arriving item were refused instead, one organisation's excess would
+// fill the queue and shut out all others.
+func (q *Fair) largestBacklog() *flow {
 	most := q.active[0]
 	for _, f := range q.active[1:] {
-		if f.excess() > most.excess() {
+		if f.backlogSeconds() > most.backlogSeconds() {
 			most = f
 		}
 	}
@@ -85,7 +85,7 @@
 }
 
 func (q *Fair) dropNewest(f *flow) *Item {
-	return q.drop(f, len(f.items)-1)
+	return q.removeAt(f, len(f.items)-1)
 }
 
 func (q *Fair) backlog() float64 {
@@ -96,29 +96,29 @@
 	return sum
 }
 
-// foretell estimates how long an arriving item waits: for the items of its own
-// organisation, and for those of others whose tags come before its own. Another
-// organisation's backlog beyond its share does not count, as it is not waited for.
-func (q *Fair) foretell(now time.Time, f *flow, it *Item) (time.Duration, bool) {
+// estimateItemWait estimates how long an arriving item waits: for the items of its own
+// organisation, and for those of others whose tags come before its own. Another organisation's
+// backlog beyond its share does not count, because the item does not wait for it.
+func (q *Fair) estimateItemWait(now time.Time, f *flow, it *Item) (time.Duration, bool) {
 	if it.Deadline.IsZero() || it.Entitled || q.length == 0 {
 		return 0, false
 	}
-	tag := f.start + f.cost/f.weight
+	tag := f.startTag + f.cost/f.weight
 	work := f.cost
 	for _, g := range q.active {
-		if g != f && tag > g.start {
-			work += min(g.cost, (tag-g.start)*g.weight)
+		if g != f && tag > g.startTag {
+			work += min(g.cost, (tag-g.startTag)*g.weight)
 		}
 	}
-	return q.drain.wait(now, work)
+	return q.drain.estimate(now, work)
 }
 
-// Wait foretells the wait of an item that an organisation would add now.
+// EstimateWait estimates the wait of an item that an organisation would add now.
 func (q *Fair) Wait(now time.Time, o galenastair.Organisation, w galenastair.TokensPerSecond) time.Duration {
-	f := &flow{organisation: o, weight: max(1, float64(w)), start: q.virtual}
+	f := &flow{organisation: o, weight: max(1, float64(w)), startTag: q.virtualTime}
 	if known := q.flows[o]; known != nil {
 		f = known
 	}
-	wait, _ := q.foretell(now, f, &Item{Deadline: now.Add(time.Hour)})
+	wait, _ := q.estimateItemWait(now, f, &Item{Deadline: now.Add(time.Hour)})
 	return wait
 }
