--- a/ratelimit/bench_test.go
+++ b/ratelimit/bench_test.go
@@ -8,7 +8,7 @@
 	"galenastair"
 )
 
-// BenchmarkAdmit is the leader's work for one request among 270 servers with a limit.
+// BenchmarkAdmit measures the leader's work for one request with 270 limited servers.
 func BenchmarkAdmit(b *testing.B) {
 	l, now := NewLimiter(), time.Now()
 	limits := make([]Limit, 270)
--- a/ratelimit/doc.go
+++ b/ratelimit/doc.go
@@ -1,10 +1,10 @@
-// Package ratelimit keeps the rate that a backend server names for itself over all instances.
+// Package ratelimit keeps the rate limit that a backend server advertises, across all instances.
 //
-// The leader has one token bucket for each such server, in requests a second, and the
-// instances ask it before each send; an instance whose leader does not answer goes by its
-// part of the rate. Nothing is stored: a new leader begins with empty buckets, so that what
-// the one before has granted is not granted again.
+// The leader has one token bucket for each such server, in requests per second, and the instances
+// ask it before each request to the server. An instance whose leader does not answer uses its own
+// fraction of the rate. Nothing is stored: a new leader starts with empty buckets, so that it does
+// not grant again what its predecessor has granted.
 //
-// Cost: some 200 bytes a limited server at the leader, and a call of some 100 bytes for each
-// request that goes there, or is refused.
+// Cost: about 200 bytes per limited server at the leader, and a call of about 100 bytes for each
+// request that is sent to such a server or refused.
 package ratelimit
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -10,30 +10,32 @@
 )
 
 const (
-	// burstTime is how long an unused rate is saved up.
-	burstTime = time.Second
-	// idleTimeout is when a server that nobody asks for is forgotten.
+	// burstPeriod is how much time's worth of unused rate is saved.
+	burstPeriod = time.Second
+	// idleTimeout is when the bucket of an unused server is dropped.
 	idleTimeout = time.Minute
 )
 
-// Limit is the rate that a backend server has named, as an instance knows it.
+// Limit is the rate limit that a backend server has advertised, as known to an instance.
 type Limit struct {
 	Server galenastair.BackendServerID
-	// PerSecond is the requests a second from all instances together; 0 if there is no limit
-	// any more.
+	// PerSecond is the number of requests per second from all instances together; 0 if the server
+	// no longer has a limit.
 	PerSecond float64
-	// Age is how long ago the server said so.
+	// Age is the time since the server advertised the limit.
 	Age time.Duration
 }
 
-// Verdict is the answer to an instance that wants to send a request.
+// Decision is the answer to an instance that wants to send a request.
 type Verdict struct {
 	Granted bool
-	// Wait is when to send it if it was granted, else when there is room.
+	// Delay is the time until the request may be sent if it was granted, and until there is room
+	// if not.
 	Wait time.Duration
 }
 
-// Limiter admits the requests of all instances to the servers that name a limit.
+// Limiter admits the requests of all instances to the servers with a limit. It is safe for
+// concurrent use.
 type Limiter struct {
 	mu      sync.Mutex
 	buckets map[galenastair.BackendServerID]*bucket
@@ -41,45 +43,45 @@
 
 type bucket struct {
 	tokens *rate.Limiter
-	// named is when the server named the rate, used when it was last asked for.
-	named time.Time
-	used  time.Time
+	// setAt is when the server advertised the rate, and usedAt when it was last requested.
+	setAt  time.Time
+	usedAt time.Time
 }
 
-// NewLimiter returns a limiter that knows no server.
+// NewLimiter returns a limiter without servers.
 func NewLimiter() *Limiter {
 	return &Limiter{buckets: map[galenastair.BackendServerID]*bucket{}}
 }
 
-// Admit grants a request to a server if there is room within the patience.
-func (l *Limiter) Admit(now time.Time, limit Limit, patience time.Duration) Verdict {
+// Admit grants a request to a server if there is room within maxWait.
+func (l *Limiter) Admit(now time.Time, limit Limit, maxWait time.Duration) Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b := l.bucketOf(now, limit)
 	r := b.tokens.ReserveN(now, 1)
 	wait := r.DelayFrom(now)
-	if wait > patience {
+	if wait > maxWait {
 		r.CancelAt(now)
 		return Verdict{Wait: wait}
 	}
 	return Verdict{Granted: true, Wait: wait}
 }
 
-// bucketOf returns a server's bucket with the newest rate that it has named.
+// bucketOf returns a server's bucket, updated to the newest rate that the server has advertised.
 func (l *Limiter) bucketOf(now time.Time, limit Limit) *bucket {
-	named := now.Add(-limit.Age)
+	setAt := now.Add(-limit.Age)
 	b := l.buckets[limit.Server]
 	if b == nil {
 		l.expire(now)
-		b = &bucket{tokens: newBucket(now, limit.PerSecond), named: named}
+		b = &bucket{tokens: newBucket(now, limit.PerSecond), setAt: setAt}
 		l.buckets[limit.Server] = b
 	}
-	if named.After(b.named) {
-		b.named = named
+	if setAt.After(b.setAt) {
+		b.setAt = setAt
 		b.tokens.SetLimitAt(now, rate.Limit(limit.PerSecond))
 		b.tokens.SetBurstAt(now, burst(limit.PerSecond))
 	}
-	b.used = now
+	b.usedAt = now
 	return b
 }
 
@@ -91,17 +93,17 @@
 	return tokens
 }
 
-func burst(perSecond float64) int { return max(1, int(perSecond*burstTime.Seconds())) }
+func burst(perSecond float64) int { return max(1, int(perSecond*burstPeriod.Seconds())) }
 
 func (l *Limiter) expire(now time.Time) {
 	for id, b := range l.buckets {
-		if now.Sub(b.used) > idleTimeout {
+		if now.Sub(b.usedAt) > idleTimeout {
 			delete(l.buckets, id)
 		}
 	}
 }
 
-// Reset forgets all servers, as at the begin of a term.
+// Reset drops all servers, as at the start of a term.
 func (l *Limiter) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/ratelimit/ratelimit_test.go
+++ b/ratelimit/ratelimit_test.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// window is the span in which at most over of what the limit allows may arrive, and slack
-	// requests more.
+	// In each window the server may receive ratio times what its limit allows, plus slack
+	// requests.
 	window = 4 * time.Second
-	over   = 1.5
+	ratio  = 1.5
 	slack  = 5
 )
 
-func allowed(perSecond float64) int { return int(over*perSecond*window.Seconds()) + slack }
+func allowed(perSecond float64) int { return int(ratio*perSecond*window.Seconds()) + slack }
 
-// fullest returns how many of the times lie in the fullest window.
-func fullest(times []time.Time) int {
+// maxInWindow returns the largest number of times within one window.
+func maxInWindow(times []time.Time) int {
 	slices.SortFunc(times, time.Time.Compare)
 	most := 0
 	for i, first := 0, 0; i < len(times); i++ {
@@ -33,24 +33,25 @@
 	return most
 }
 
-// played is how long a play takes.
-const played = 30 * time.Second
+// simulatedTime is the length of a simulation.
+const simulatedTime = 30 * time.Second
 
-// play sends far more than a server's limit and returns when it got requests. The
-// leader is lost and replaced now and then, and the instances hear of either at once.
-func play(rng *rand.Rand, fleet int, perSecond float64, lose bool) []time.Time {
+// simulate sends far more than a server's limit and returns when the server received requests. If
+// lose is set, the leader is lost and replaced repeatedly; all instances notice a new leader at
+// once, and its loss within 0.6 s.
+func simulate(rng *rand.Rand, fleet int, perSecond float64, lose bool) []time.Time {
 	start := time.Now()
 	leader := NewLimiter()
 	var shares []*Shares
 	for range fleet {
 		shares = append(shares, NewShares(rng))
 	}
-	led, until := true, start
+	leading, nextChange := true, start
 	var got []time.Time
-	for now := start; now.Before(start.Add(played)); now = now.Add(10 * time.Millisecond) {
-		if lose && !now.Before(until) {
-			until = now.Add(time.Duration(rng.IntN(6000)+200) * time.Millisecond)
-			if led = !led; led {
+	for now := start; now.Before(start.Add(simulatedTime)); now = now.Add(10 * time.Millisecond) {
+		if lose && !now.Before(nextChange) {
+			nextChange = now.Add(time.Duration(rng.IntN(6000)+200) * time.Millisecond)
+			if leading = !leading; leading {
 				leader.Reset()
 				for _, s := range shares {
 					s.Answered()
@@ -64,7 +65,7 @@
 		limit := Limit{Server: "s", PerSecond: perSecond, Age: time.Duration(rng.IntN(300)) * time.Millisecond}
 		for range 2 + fleet/40 {
 			var v Verdict
-			if led {
+			if leading {
 				v = leader.Admit(now, limit, 300*time.Millisecond)
 			} else {
 				i := rng.IntN(fleet)
@@ -78,30 +79,30 @@
 	return got
 }
 
-// Many instances send to one server that has named a limit: it gets more than that together.
+// Many instances send to one server with a limit. Together they must not exceed the limit.
 func TestFleetKeepsALimitTogether(t *testing.T) {
 	for _, fleet := range []int{1, 6, 24, 370} {
 		for _, perSecond := range []float64{0.3, 1, 1.1, 8, 60} {
 			t.Run(fmt.Sprint(fleet, " ", perSecond), func(t *testing.T) {
 				is := is.New(t)
-				got := play(rand.New(rand.NewPCG(1, 1)), fleet, perSecond, false)
-				is.True(fullest(got) <= allowed(perSecond))
-				// what the server takes is used
-				is.True(float64(len(got)) >= 0.95*perSecond*played.Seconds()-2)
+				got := simulate(rand.New(rand.NewPCG(1, 1)), fleet, perSecond, false)
+				is.True(maxInWindow(got) <= allowed(perSecond))
+				// the limit is also used up
+				is.True(float64(len(got)) >= 0.95*perSecond*simulatedTime.Seconds()-2)
 			})
 		}
 	}
 }
 
-// The leader is lost again and again: what its successors grant comes on top of what it has
+// The leader is lost repeatedly. What its successors grant must not come on top of what it has
 // granted.
 func TestChangesOfTheLeaderGrantNothingTwice(t *testing.T) {
 	for seed := range uint64(10) {
 		for _, fleet := range []int{6, 24, 370} {
 			for _, perSecond := range []float64{0.3, 1, 1.1, 8} {
 				is := is.New(t)
-				got := play(rand.New(rand.NewPCG(seed, 2)), fleet, perSecond, true)
-				if n := fullest(got); n > allowed(perSecond) {
+				got := simulate(rand.New(rand.NewPCG(seed, 2)), fleet, perSecond, true)
+				if n := maxInWindow(got); n > allowed(perSecond) {
 					t.Errorf("seed %d, %d instances, %v a second: %d requests of %d", seed, fleet, perSecond, n, allowed(perSecond))
 				}
 				is.True(len(got) > 0)
@@ -110,7 +111,7 @@
 	}
 }
 
-// A lower limit binds from then on, and an older word that comes later does not raise it.
+// A lower limit takes effect at once, and an older limit that arrives later does not raise it.
 func TestNewestLimitBinds(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -128,7 +129,7 @@
 	is.True(n <= 5)
 }
 
-// A request that is refused takes nothing from those behind it.
+// A refused request takes nothing from those that follow.
 func TestRefusalTakesNothing(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
