--- a/quota/alone.go
+++ b/quota/alone.go
@@ -8,11 +8,11 @@
 
 // updateLocalBucket sets the rate and size of an account's local bucket to this instance's
 // fraction.
-func (s *Share) updateLocalBucket(now time.Time, a *account) {
-	fraction := float64(s.fraction)
+func (b *Share) updateLocalBucket(now time.Time, a *account) {
+	fraction := float64(b.fraction)
 	a.local.refill(now)
 	rate := a.rate * fraction
-	if now.Sub(s.fallbackSince) > s.fullFractionPeriod() {
+	if now.Sub(b.fallbackSince) > b.fullFractionPeriod() {
 		rate *= fallbackReducedRate
 	}
 	size := a.local.capacityFor(a.capacity*fraction, a.largestCost)
@@ -21,8 +21,8 @@
 }
 
 // fullFractionPeriod returns how long this process spends its whole fraction in fallback.
-func (s *Share) fullFractionPeriod() time.Duration {
-	if s.lenderAnswered.IsZero() {
+func (b *Share) fullFractionPeriod() time.Duration {
+	if b.lenderAnswered.IsZero() {
 		return startupFullPeriod
 	}
 	return fallbackFullPeriod
@@ -33,12 +33,12 @@
 // because the lender has little to lend before the next exchange. The rest, and any loan that has
 // expired, is dropped: it was earned seconds ago and would be a second burst beside the lender's
 // full bucket.
-func (s *Share) endFallback(now time.Time, a *account) {
-	s.updateLocalBucket(now, a)
+func (b *Share) endFallback(now time.Time, a *account) {
+	b.updateLocalBucket(now, a)
 	if !now.Before(a.loanExpires) {
 		a.loan = 0
 	}
-	ahead := a.rate * float64(s.fraction) * max(lenderWarmup, a.advancedUntil.Sub(now)).Seconds()
+	ahead := a.rate * float64(b.fraction) * max(lenderWarmup, a.advancedUntil.Sub(now)).Seconds()
 	if n := min(a.local.level, ahead); n > 0 {
 		a.addLoan(now, n, lenderWarmup)
 	}
@@ -48,61 +48,61 @@
 }
 
 // checkLenderTimeout starts the fallback if the lender has not answered within lenderTimeout.
-func (s *Share) checkLenderTimeout(now time.Time) {
-	if !s.lenderAnswered.IsZero() && now.Sub(s.lenderAnswered) >= lenderTimeout {
-		s.startFallback(now)
+func (b *Share) checkLenderTimeout(now time.Time) {
+	if !b.lenderAnswered.IsZero() && now.Sub(b.lenderAnswered) >= lenderTimeout {
+		b.startFallback(now)
 	}
 }
 
 // MarkLenderUnavailable records that the lender did not answer or has given up its role, and
 // starts the fallback at once. Waiting until the loss is certain would refuse every request for a
 // second or two at each change of lender, and the fraction of one instance is small for that time.
-func (s *Share) MissLender(now time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.startFallback(now)
+func (b *Share) MissLender(now time.Time) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.startFallback(now)
 }
 
-func (s *Share) startFallback(now time.Time) {
-	if !s.fallback && s.allocated {
-		s.fallbackSince, s.allocated = now, false
+func (b *Share) startFallback(now time.Time) {
+	if !b.fallback && b.allocated {
+		b.fallbackSince, b.allocated = now, false
 	}
-	s.fallback = true
-	for name, a := range s.accounts {
-		s.enterFallback(now, name, a)
+	b.fallback = true
+	for name, a := range b.accounts {
+		b.enterFallback(now, name, a)
 	}
 }
 
 // enterFallback lets an account's local bucket be spent. The bucket starts with an advance on
 // future tokens, or with a fraction of the reserve, but with only one of them per window.
-func (s *Share) enterFallback(now time.Time, name galenastair.Organisation, a *account) {
-	s.updateLocalBucket(now, a)
+func (b *Share) enterFallback(now time.Time, name galenastair.Organisation, a *account) {
+	b.updateLocalBucket(now, a)
 	if a.fallback {
 		return
 	}
 	a.fallback = true
 	if a.fallbackGrantAt.IsZero() {
-		a.local.phase = s.random()
+		a.local.phase = b.random()
 	}
-	if s.lowUsage[name] {
-		delete(s.lowUsage, name)
-		granted := s.advanceAllowed()
+	if b.lowUsage[name] {
+		delete(b.lowUsage, name)
+		granted := b.advanceAllowed()
 		a.advancedUntil = now.Add(granted)
-		s.updateLocalBucket(now, a)
-		a.local.add(a.rate * float64(s.fraction) * granted.Seconds())
+		b.updateLocalBucket(now, a)
+		a.local.add(a.rate * float64(b.fraction) * granted.Seconds())
 		a.local.filledUntil = a.advancedUntil
 		a.fallbackGrantAt = now
 		return
 	}
-	if now.Sub(a.fallbackGrantAt) > s.tolerance.Window && !now.Before(s.reserveFrom) {
-		a.local.add(a.reserve * float64(s.fraction))
+	if now.Sub(a.fallbackGrantAt) > b.tolerance.Window && !now.Before(b.reserveFrom) {
+		a.local.add(a.reserve * float64(b.fraction))
 		a.fallbackGrantAt = now
 	}
 }
 
 // advanceAllowed returns how much time's worth of tokens this process may grant in advance.
-func (s *Share) advanceAllowed() time.Duration {
-	if s.lenderAnswered.IsZero() {
+func (b *Share) advanceAllowed() time.Duration {
+	if b.lenderAnswered.IsZero() {
 		return startupAdvancePeriod
 	}
 	return advancePeriod
--- a/quota/lender.go
+++ b/quota/lender.go
@@ -79,17 +79,17 @@
 // contributed so far. The checkpoint is the one that the previous lender stored: the instances
 // named there count as present, so that one that is partitioned as the term begins keeps its
 // fraction.
-func (l *Lender) Reset(now time.Time, n Note) {
+func (l *Lender) Reset(now time.Time, c Note) {
 	for _, a := range l.accounts {
 		a.level = 0
 		a.lowUsageState = lowUsageState{}
 	}
 	clear(l.instances)
-	fraction := equalFraction(len(n.Instances))
-	for _, id := range n.Instances {
+	fraction := equalFraction(len(c.Instances))
+	for _, id := range c.Instances {
 		l.instances[id] = instanceState{now, fraction, fraction}
 	}
-	l.termStart, l.knownFleet = now, len(n.Instances)
+	l.termStart, l.knownFleet = now, len(c.Instances)
 	l.storedLowUsage, l.lowUsage, l.version = nil, nil, now.UnixNano()
 }
 
@@ -99,21 +99,21 @@
 
 // Contribute adds an instance's contribution and returns its new allocation. Until the fleet has
 // been counted the allocation has no fleet size, which leaves the instance's fraction unchanged.
-func (l *Lender) Heard(now time.Time, id galenastair.InstanceID, p Passed) Standing {
+func (l *Lender) Heard(now time.Time, id galenastair.InstanceID, c Passed) Standing {
 	l.expireInstances(now)
-	l.knownFleet = max(l.knownFleet, p.Fleet)
-	l.instances[id] = instanceState{now, p.Part, p.Part}
+	l.knownFleet = max(l.knownFleet, c.Fleet)
+	l.instances[id] = instanceState{now, c.Part, c.Part}
 	fleet := l.Fleet(now)
-	if p.Fleet == 0 {
-		p.Part = equalFraction(fleet)
+	if c.Fleet == 0 {
+		c.Part = equalFraction(fleet)
 	}
-	l.addContribution(now, p)
+	l.addContribution(now, c)
 	if l.countingFleet(now) {
-		return l.withLowUsage(p, Standing{})
+		return l.withLowUsage(c, Standing{})
 	}
 	fraction := l.allocate(now, id)
-	l.instances[id] = instanceState{now, p.Part, fraction}
-	return l.withLowUsage(p, Standing{Fleet: fleet, Part: fraction})
+	l.instances[id] = instanceState{now, c.Part, fraction}
+	return l.withLowUsage(c, Standing{Fleet: fleet, Part: fraction})
 }
 
 // FleetCounted reports whether enough of the term has passed to know the number of instances.
@@ -125,12 +125,12 @@
 }
 
 // withLowUsage adds the low-usage organisations if the instance has another version of the list.
-func (l *Lender) withLowUsage(p Passed, s Standing) Standing {
-	s.Version = l.version
-	if p.Version != l.version {
-		s.Moderate = l.lowUsage
+func (l *Lender) withLowUsage(c Passed, a Standing) Standing {
+	a.Version = l.version
+	if c.Version != l.version {
+		a.Moderate = l.lowUsage
 	}
-	return s
+	return a
 }
 
 // allocate returns the fraction that an instance may have.
@@ -168,9 +168,9 @@
 }
 
 // addContribution credits a fraction for an elapsed time, less what was granted in advance for it.
-func (l *Lender) addContribution(now time.Time, p Passed) {
+func (l *Lender) addContribution(now time.Time, c Passed) {
 	for name, a := range l.accounts {
-		contributed := max(0, min(p.Time, maxContribution)-p.Advanced[name]).Seconds() * float64(p.Part)
+		contributed := max(0, min(c.Time, maxContribution)-c.Advanced[name]).Seconds() * float64(c.Part)
 		a.add(a.rate * contributed)
 		l.slot(now, a).contributed += contributed
 	}
--- a/quota/moderate.go
+++ b/quota/moderate.go
@@ -113,14 +113,14 @@
 		return Note{}, false
 	}
 	l.reviewLowUsage(now)
-	n := Note{Instances: l.checkpointInstances(now)}
+	c := Note{Instances: l.checkpointInstances(now)}
 	for name, a := range l.accounts {
 		if a.publish {
-			n.Moderate = append(n.Moderate, name)
+			c.Moderate = append(c.Moderate, name)
 		}
 	}
-	slices.Sort(n.Moderate)
-	return n, true
+	slices.Sort(c.Moderate)
+	return c, true
 }
 
 // checkpointInstances returns the instances whose processes may start with their fraction. One
@@ -138,14 +138,14 @@
 }
 
 // CheckpointStored records that a checkpoint is stored on the platform.
-func (l *Lender) Noted(n Note) {
+func (l *Lender) Noted(c Note) {
 	for name, a := range l.accounts {
-		inNote := slices.Contains(n.Moderate, name)
-		if a.limited && !a.publish && !inNote {
+		inCheckpoint := slices.Contains(c.Moderate, name)
+		if a.limited && !a.publish && !inCheckpoint {
 			a.limited = false
 		}
 	}
-	l.storedLowUsage = n.Moderate
+	l.storedLowUsage = c.Moderate
 	l.updateLowUsage()
 }
 
--- a/quota/pass.go
+++ b/quota/pass.go
@@ -12,83 +12,83 @@
 // it. first reports that no earlier process of this instance has used this checkpoint. A later
 // process starts with nothing, because an instance that restarts repeatedly would otherwise spend
 // the advance each time.
-func (s *Share) Presume(now time.Time, self galenastair.InstanceID, n Note, first bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if !s.lenderAnswered.IsZero() || len(n.Instances) == 0 {
+func (b *Share) Presume(now time.Time, self galenastair.InstanceID, c Note, first bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if !b.lenderAnswered.IsZero() || len(c.Instances) == 0 {
 		return
 	}
-	s.fleet, s.fraction = len(n.Instances), 0
-	if slices.Contains(n.Instances, self) {
-		s.fraction = equalFraction(s.fleet)
+	b.fleet, b.fraction = len(c.Instances), 0
+	if slices.Contains(c.Instances, self) {
+		b.fraction = equalFraction(b.fleet)
 	}
 	if first {
-		s.setLowUsage(n.Moderate)
+		b.setLowUsage(c.Moderate)
 	} else {
-		s.reserveFrom = now.Add(s.tolerance.Window)
+		b.reserveFrom = now.Add(b.tolerance.Window)
 	}
 }
 
 // SetFleet sets the number of instances when this one holds no fraction of the quotas.
-func (s *Share) SetFleet(fleet int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.fleet, s.fraction = fleet, 0
+func (b *Share) SetFleet(fleet int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.fleet, b.fraction = fleet, 0
 }
 
-func (s *Share) setLowUsage(list []galenastair.Organisation) {
-	clear(s.lowUsage)
+func (b *Share) setLowUsage(list []galenastair.Organisation) {
+	clear(b.lowUsage)
 	for _, o := range list {
-		s.lowUsage[o] = true
+		b.lowUsage[o] = true
 	}
 }
 
 // TakeContribution returns what has not been contributed yet. It counts as contributed whether or
 // not the lender receives it.
-func (s *Share) Pass(now time.Time) Passed {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	p := Passed{Fleet: s.fleet, Part: s.fraction, Version: s.version}
-	if !s.fallback && !s.contributedUntil.IsZero() {
-		p.Time = max(0, now.Sub(s.contributedUntil))
-		p.Advanced = s.advancedSinceContribution(now)
+func (b *Share) Pass(now time.Time) Passed {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	c := Passed{Fleet: b.fleet, Part: b.fraction, Version: b.version}
+	if !b.fallback && !b.contributedUntil.IsZero() {
+		c.Time = max(0, now.Sub(b.contributedUntil))
+		c.Advanced = b.advancedSinceContribution(now)
 	}
-	s.contributedUntil = now
-	return p
+	b.contributedUntil = now
+	return c
 }
 
 // advancedSinceContribution returns how much of the time since the last contribution was granted
 // in advance, by organisation.
-func (s *Share) advancedSinceContribution(now time.Time) map[galenastair.Organisation]time.Duration {
+func (b *Share) advancedSinceContribution(now time.Time) map[galenastair.Organisation]time.Duration {
 	var out map[galenastair.Organisation]time.Duration
-	for name, a := range s.accounts {
-		if !a.advancedUntil.After(s.contributedUntil) {
+	for name, a := range b.accounts {
+		if !a.advancedUntil.After(b.contributedUntil) {
 			continue
 		}
 		if out == nil {
 			out = map[galenastair.Organisation]time.Duration{}
 		}
-		out[name] = min(now.Sub(s.contributedUntil), a.advancedUntil.Sub(s.contributedUntil))
+		out[name] = min(now.Sub(b.contributedUntil), a.advancedUntil.Sub(b.contributedUntil))
 	}
 	return out
 }
 
 // SetAllocation applies the lender's answer and ends the fallback.
-func (s *Share) SetStanding(now time.Time, allocation Standing) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.lenderAnswered = now
+func (b *Share) SetStanding(now time.Time, allocation Standing) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.lenderAnswered = now
 	if allocation.Fleet > 0 {
-		s.fleet, s.fraction, s.allocated = allocation.Fleet, allocation.Part, true
+		b.fleet, b.fraction, b.allocated = allocation.Fleet, allocation.Part, true
 	}
-	if allocation.Version != s.version {
-		s.version = allocation.Version
-		s.setLowUsage(allocation.Moderate)
+	if allocation.Version != b.version {
+		b.version = allocation.Version
+		b.setLowUsage(allocation.Moderate)
 	}
-	if s.fallback {
-		s.fallback, s.contributedUntil = false, now
-		for _, a := range s.accounts {
-			s.endFallback(now, a)
+	if b.fallback {
+		b.fallback, b.contributedUntil = false, now
+		for _, a := range b.accounts {
+			b.endFallback(now, a)
 		}
 	}
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -25,10 +25,10 @@
 
 // fleet is a set of instances and their lender, driven by one clock.
 type fleet struct {
-	now    time.Time
-	lender *Lender
-	shares []*Share
-	spent  []spent
+	now       time.Time
+	lender    *Lender
+	borrowers []*Share
+	spent     []spent
 	// checkpoint is what lenders have stored on the platform.
 	checkpoint   Note
 	checkpointAt time.Time
@@ -49,14 +49,14 @@
 	for range n {
 		s := NewShare(tolerance, WithRandom(rng.Float64))
 		s.SetContracts(f.now, contract(rate, burst))
-		f.shares = append(f.shares, s)
+		f.borrowers = append(f.borrowers, s)
 	}
 	return f
 }
 
 // restore applies the checkpoint to an instance that starts, as the lease elector does.
 func (f *fleet) restore(i int) {
-	f.shares[i].Presume(f.now, id(i), f.checkpoint, !f.restored[i])
+	f.borrowers[i].Presume(f.now, id(i), f.checkpoint, !f.restored[i])
 	f.restored[i] = true
 }
 
@@ -64,7 +64,7 @@
 
 // exchange runs one instance's exchange with the lender.
 func (f *fleet) exchange(i int) {
-	s := f.shares[i]
+	s := f.borrowers[i]
 	requests, contribution := s.Asks(f.now), s.Pass(f.now)
 	allocation := f.lender.Heard(f.now, id(i), contribution)
 	for _, a := range requests {
@@ -93,7 +93,7 @@
 
 // request charges one request at an instance, as the gateway does.
 func (f *fleet) request(i int, cost float64, reached bool) bool {
-	s := f.shares[i]
+	s := f.borrowers[i]
 	ok := s.Take(f.now, "org", cost)
 	if !ok && !s.Alone() {
 		switch shortfall, ask := s.Lacks(f.now, "org", cost); {
@@ -179,8 +179,8 @@
 			f.lender.Reset(lenderFrom, f.checkpoint)
 		case 2:
 			i := rng.IntN(n)
-			f.shares[i] = NewShare(tolerance, WithRandom(rng.Float64))
-			f.shares[i].SetContracts(f.now, contract(rate, rate))
+			f.borrowers[i] = NewShare(tolerance, WithRandom(rng.Float64))
+			f.borrowers[i].SetContracts(f.now, contract(rate, rate))
 			f.restore(i)
 		case 3:
 			idleUntil = f.now.Add(8 * time.Second)
@@ -192,7 +192,7 @@
 				if reached {
 					f.exchange(i)
 				} else {
-					f.shares[i].MissLender(f.now)
+					f.borrowers[i].MissLender(f.now)
 				}
 			}
 			for range 2 {
@@ -224,7 +224,7 @@
 				if up {
 					f.exchange(i)
 				} else {
-					f.shares[i].MissLender(f.now)
+					f.borrowers[i].MissLender(f.now)
 				}
 			}
 			owed[i] += rate * load * w * 0.01
@@ -290,10 +290,10 @@
 	f.now = f.now.Add(5 * time.Second)
 	f.exchange(0)
 	before := f.lender.accounts["org"].level
-	f.shares[0].Lent(f.now, "org", f.lender.LendAll(f.now, Ask{"org", 5000}))
+	f.borrowers[0].Lent(f.now, "org", f.lender.LendAll(f.now, Ask{"org", 5000}))
 	f.now = f.now.Add(loanTTL)
-	f.shares[0].SetStanding(f.now, Standing{Fleet: 1, Part: 1})
-	is.True(!f.shares[0].Take(f.now, "org", 5000))
+	f.borrowers[0].SetStanding(f.now, Standing{Fleet: 1, Part: 1})
+	is.True(!f.borrowers[0].Take(f.now, "org", 5000))
 	f.exchange(0)
 	is.True(f.lender.accounts["org"].level >= before)
 }
--- a/quota/restart_test.go
+++ b/quota/restart_test.go
@@ -26,10 +26,10 @@
 	f.lender.SetContracts(contract(rate, rate))
 	rng := rand.New(rand.NewPCG(1, uint64(n)))
 	checkpoint := known(f.checkpoint)
-	for i := range f.shares {
-		f.shares[i] = NewShare(tolerance, WithRandom(rng.Float64))
-		f.shares[i].SetContracts(f.now, contract(rate, rate))
-		f.shares[i].Presume(f.now, id(i), checkpoint, true)
+	for i := range f.borrowers {
+		f.borrowers[i] = NewShare(tolerance, WithRandom(rng.Float64))
+		f.borrowers[i].SetContracts(f.now, contract(rate, rate))
+		f.borrowers[i].Presume(f.now, id(i), checkpoint, true)
 	}
 	f.lender.Reset(f.now.Add(without), checkpoint)
 	before := len(f.spent)
@@ -70,22 +70,22 @@
 		f.exchange(0)
 		f.exchange(1)
 	}
-	is.Equal(f.shares[0].fraction, equalFraction(2))
+	is.Equal(f.borrowers[0].fraction, equalFraction(2))
 	for range 30 { // the second is partitioned until its timeout
 		f.now = f.now.Add(300 * time.Millisecond)
 		f.exchange(0)
-		f.shares[1].MissLender(f.now)
+		f.borrowers[1].MissLender(f.now)
 	}
-	is.Equal(f.shares[0].fraction, Part(1))
+	is.Equal(f.borrowers[0].fraction, Part(1))
 	f.exchange(1)
-	is.Equal(f.shares[1].fraction, Part(0))
+	is.Equal(f.borrowers[1].fraction, Part(0))
 	f.exchange(0)
 	f.exchange(1)
-	is.Equal(f.shares[1].fraction, Part(0)) // the first may not have received the answer
+	is.Equal(f.borrowers[1].fraction, Part(0)) // the first may not have received the answer
 	f.exchange(0)
 	f.exchange(1)
-	is.Equal(f.shares[0].fraction, equalFraction(2))
-	is.Equal(f.shares[1].fraction, equalFraction(2))
+	is.Equal(f.borrowers[0].fraction, equalFraction(2))
+	is.Equal(f.borrowers[1].fraction, equalFraction(2))
 }
 
 // Two lenders run at once, as when the lease moves while its holder is partitioned from the store.
--- a/quota/share.go
+++ b/quota/share.go
@@ -91,46 +91,46 @@
 type ShareOption func(*Share)
 
 // WithRandom replaces the random source, which returns numbers in [0, 1).
-func WithRandom(f func() float64) ShareOption { return func(s *Share) { s.random = f } }
+func WithRandom(f func() float64) ShareOption { return func(b *Share) { b.random = f } }
 
 // NewBorrower returns a borrower without contracts.
 func NewShare(t Terms, opts ...ShareOption) *Share {
-	s := &Share{tolerance: t, random: rand.Float64, accounts: map[galenastair.Organisation]*account{}, fraction: equalFraction(defaultFleet), allocated: true,
+	b := &Share{tolerance: t, random: rand.Float64, accounts: map[galenastair.Organisation]*account{}, fraction: equalFraction(defaultFleet), allocated: true,
 		lowUsage: map[galenastair.Organisation]bool{}}
 	for _, o := range opts {
-		o(s)
+		o(b)
 	}
-	return s
+	return b
 }
 
 // SetContracts sets the organisations' quotas from a version of the configuration.
-func (s *Share) SetContracts(now time.Time, c *catalog.Catalog) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (b *Share) SetContracts(now time.Time, c *catalog.Catalog) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	seen := map[galenastair.Organisation]bool{}
 	c.Organisations(func(o *catalog.Organisation) {
 		if o.Rate <= 0 {
 			return
 		}
 		seen[o.Name] = true
-		a := s.accounts[o.Name]
+		a := b.accounts[o.Name]
 		if a == nil {
 			a = &account{}
-			s.accounts[o.Name] = a
+			b.accounts[o.Name] = a
 		}
-		rate, capacity := s.tolerance.Lending(o)
+		rate, capacity := b.tolerance.Lending(o)
 		if rate < a.rate || capacity < a.capacity {
 			// what was lent under the higher limit must not be spent under the lower one
 			a.loan = 0
 		}
-		a.rate, a.capacity, a.reserve = rate, capacity, s.tolerance.reserve(o)
-		if s.fallback {
-			s.enterFallback(now, o.Name, a)
+		a.rate, a.capacity, a.reserve = rate, capacity, b.tolerance.reserve(o)
+		if b.fallback {
+			b.enterFallback(now, o.Name, a)
 		}
 	})
-	for name := range s.accounts {
+	for name := range b.accounts {
 		if !seen[name] {
-			delete(s.accounts, name)
+			delete(b.accounts, name)
 		}
 	}
 }
@@ -145,62 +145,62 @@
 }
 
 // Fleet returns the number of instances, or defaultFleet if it is not known.
-func (s *Share) Fleet() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.fleet == 0 {
+func (b *Share) Fleet() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.fleet == 0 {
 		return defaultFleet
 	}
-	return s.fleet
+	return b.fleet
 }
 
 // ReportedFleet returns the number of instances that a lender or a checkpoint has named; 0 if none
 // has.
-func (s *Share) Told() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.fleet
+func (b *Share) Told() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.fleet
 }
 
 // InFallback reports whether this instance spends its own fraction because no lender answers.
-func (s *Share) Alone() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.fallback
+func (b *Share) Alone() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.fallback
 }
 
 // Take charges an organisation; it returns false if this instance holds too little.
-func (s *Share) Take(now time.Time, o galenastair.Organisation, cost float64) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	a := s.accounts[o]
+func (b *Share) Take(now time.Time, o galenastair.Organisation, cost float64) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	a := b.accounts[o]
 	if a == nil {
 		return true
 	}
-	s.checkLenderTimeout(now)
+	b.checkLenderTimeout(now)
 	a.largestCost = max(cost, a.largestCost*0.95)
-	if s.fallback {
-		s.updateLocalBucket(now, a)
+	if b.fallback {
+		b.updateLocalBucket(now, a)
 	}
-	return s.take(now, a, cost)
+	return b.take(now, a, cost)
 }
 
 // RetryTake charges an organisation again, after a loan.
-func (s *Share) Retake(now time.Time, o galenastair.Organisation, cost float64) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	a := s.accounts[o]
-	return a == nil || s.take(now, a, cost)
+func (b *Share) Retake(now time.Time, o galenastair.Organisation, cost float64) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	a := b.accounts[o]
+	return a == nil || b.take(now, a, cost)
 }
 
 // take spends the loan first, since it expires. One charge may use both loan and local bucket.
-func (s *Share) take(now time.Time, a *account, cost float64) bool {
+func (b *Share) take(now time.Time, a *account, cost float64) bool {
 	loan := a.loan
 	if !now.Before(a.loanExpires) {
 		loan = 0
 	}
 	fromLoan := min(loan, cost)
-	if rest := cost - fromLoan; rest > 0 && (!s.fallback || !a.local.takeOnCredit(rest)) {
+	if rest := cost - fromLoan; rest > 0 && (!b.fallback || !a.local.takeOnCredit(rest)) {
 		return false
 	}
 	a.loan -= fromLoan
@@ -225,11 +225,11 @@
 }
 
 // LoanRequests returns what to borrow ahead of demand, and returns expired loans.
-func (s *Share) Asks(now time.Time) []Ask {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (b *Share) Asks(now time.Time) []Ask {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	var out []Ask
-	for name, a := range s.accounts {
+	for name, a := range b.accounts {
 		if a.loan > 0 && !now.Before(a.loanExpires) {
 			out = append(out, Ask{name, -a.loan})
 			a.loan = 0
@@ -245,10 +245,10 @@
 
 // Shortfall returns how much an organisation's loan lacks for a request; false if the lender has
 // denied a loan within denialTTL.
-func (s *Share) Lacks(now time.Time, o galenastair.Organisation, cost float64) (float64, bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	a := s.accounts[o]
+func (b *Share) Lacks(now time.Time, o galenastair.Organisation, cost float64) (float64, bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	a := b.accounts[o]
 	if a == nil || now.Before(a.deniedUntil) {
 		return 0, false
 	}
@@ -259,10 +259,10 @@
 }
 
 // AddLoan adds a loan. An empty loan keeps the next requests from asking the lender.
-func (s *Share) Lent(now time.Time, o galenastair.Organisation, amount float64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	a := s.accounts[o]
+func (b *Share) Lent(now time.Time, o galenastair.Organisation, amount float64) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	a := b.accounts[o]
 	if a == nil {
 		return
 	}
@@ -277,10 +277,10 @@
 
 // EstimateWait estimates when an organisation over its quota has room for a request: twice the
 // time in which its rate earns the cost, as other requests probably wait too.
-func (s *Share) Wait(o galenastair.Organisation, cost float64) time.Duration {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	a := s.accounts[o]
+func (b *Share) Wait(o galenastair.Organisation, cost float64) time.Duration {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	a := b.accounts[o]
 	if a == nil || a.rate <= 0 {
 		return 0
 	}
