--- a/quota/pass.go
+++ b/quota/pass.go
@@ -7,87 +7,88 @@
 	"galenastair"
 )
 
-// Presume takes in what lenders have left on the platform. It counts until a lender says
-// how this instance stands. One that is not named has no part yet: the others hold it all.
-// First says that no process of this instance went by the note before: a second one begins
-// with nothing, or an instance that is started again and again would spend as much each time.
-func (s *Share) Presume(now time.Time, self galenastair.InstanceID, n Note, first bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if !s.heard.IsZero() || len(n.Instances) == 0 {
+// Restore applies the checkpoint that lenders have stored on the platform, until a lender sends an
+// allocation. An instance that is not listed has no fraction yet, because the others hold all of
+// it. first reports that no earlier process of this instance has used this checkpoint. A later
+// process starts with nothing, because an instance that restarts repeatedly would otherwise spend
+// the advance each time.
+func (b *Share) Presume(now time.Time, self galenastair.InstanceID, c Note, first bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if !b.lenderAnswered.IsZero() || len(c.Instances) == 0 {
 		return
 	}
-	s.fleet, s.part = len(n.Instances), 0
-	if slices.Contains(n.Instances, self) {
-		s.part = equalPart(s.fleet)
+	b.fleet, b.fraction = len(c.Instances), 0
+	if slices.Contains(c.Instances, self) {
+		b.fraction = equalFraction(b.fleet)
 	}
 	if first {
-		s.setModerate(n.Moderate)
+		b.setLowUsage(c.Moderate)
 	} else {
-		s.reserveFrom = now.Add(s.terms.Window)
+		b.reserveFrom = now.Add(b.tolerance.Window)
 	}
 }
 
-// SetFleet says how many instances there are where this one has no part of the quotas.
-func (s *Share) SetFleet(fleet int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.fleet, s.part = fleet, 0
+// SetFleet sets the number of instances when this one holds no fraction of the quotas.
+func (b *Share) SetFleet(fleet int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.fleet, b.fraction = fleet, 0
 }
 
-func (s *Share) setModerate(list []galenastair.Organisation) {
-	clear(s.moderate)
+func (b *Share) setLowUsage(list []galenastair.Organisation) {
+	clear(b.lowUsage)
 	for _, o := range list {
-		s.moderate[o] = true
+		b.lowUsage[o] = true
 	}
 }
 
-// Pass returns what has not been passed on yet. The answer counts as passed on whether
-// or not the lender hears of it.
-func (s *Share) Pass(now time.Time) Passed {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	p := Passed{Fleet: s.fleet, Part: s.part, Version: s.version}
-	if !s.alone && !s.passed.IsZero() {
-		p.Time = max(0, now.Sub(s.passed))
-		p.Advanced = s.advancedIn(now)
+// TakeContribution returns what has not been contributed yet. It counts as contributed whether or
+// not the lender receives it.
+func (b *Share) Pass(now time.Time) Passed {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	c := Passed{Fleet: b.fleet, Part: b.fraction, Version: b.version}
+	if !b.fallback && !b.contributedUntil.IsZero() {
+		c.Time = max(0, now.Sub(b.contributedUntil))
+		c.Advanced = b.advancedSinceContribution(now)
 	}
-	s.passed = now
-	return p
+	b.contributedUntil = now
+	return c
 }
 
-// advancedIn returns for how much of the time since the last pass each organisation was
-// granted in advance.
-func (s *Share) advancedIn(now time.Time) map[galenastair.Organisation]time.Duration {
+// advancedSinceContribution returns how much of the time since the last contribution was granted
+// in advance, by organisation.
+func (b *Share) advancedSinceContribution(now time.Time) map[galenastair.Organisation]time.Duration {
 	var out map[galenastair.Organisation]time.Duration
-	for name, a := range s.accounts {
-		if !a.advanced.After(s.passed) {
+	for name, a := range b.accounts {
+		if !a.advancedUntil.After(b.contributedUntil) {
 			continue
 		}
 		if out == nil {
 			out = map[galenastair.Organisation]time.Duration{}
 		}
-		out[name] = min(now.Sub(s.passed), a.advanced.Sub(s.passed))
+		out[name] = min(now.Sub(b.contributedUntil), a.advancedUntil.Sub(b.contributedUntil))
 	}
 	return out
 }
 
-// SetStanding takes in what the lender answered just now.
-func (s *Share) SetStanding(now time.Time, told Standing) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.heard = now
-	if told.Fleet > 0 {
-		s.fleet, s.part, s.dealt = told.Fleet, told.Part, true
+// SetAllocation applies the lender's answer and ends the fallback.
+func (b *Share) SetStanding(now time.Time, allocation Standing) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.lenderAnswered = now
+	if allocation.Fleet > 0 {
+		b.fleet, b.fraction, b.allocated = allocation.Fleet, allocation.Part, true
 	}
-	if told.Version != s.version {
-		s.version = told.Version
-		s.setModerate(told.Moderate)
+	if allocation.Version != b.version {
+		b.version = allocation.Version
+		b.setLowUsage(allocation.Moderate)
 	}
-	if s.alone {
-		s.alone, s.passed = false, now
-		for _, a := range s.accounts {
-			s.endAlone(now, a)
+	if b.fallback {
+		b.fallback, b.contributedUntil = false, now
+		for _, a := range b.accounts {
+			b.endFallback(now, a)
 		}
 	}
 }
