--- a/member/action.go
+++ b/member/action.go
@@ -6,43 +6,46 @@
 	"galenastair"
 )
 
-// Action is something that a node wants its runtime to do.
+// Action is an operation that a Node requests from its Runtime.
 type Action interface{ action() }
 
-// SendHeartbeat asks the watcher for a promise; Beat returns with its answer.
+// SendHeartbeat requests a lease from the watcher. The reply is passed to Node.HandleHeartbeatReply
+// together with Heartbeat.
 type SendHeartbeat struct {
-	To   Member
-	Beat Heartbeat
+	To        Member
+	Heartbeat Heartbeat
 }
 
-// Heartbeat is what a member says to its watcher.
+// Heartbeat is a member's request for a lease from its watcher.
 type Heartbeat struct {
 	From Incarnation
 	To   Incarnation
-	// Number grows with each heartbeat of an incarnation.
-	Number int64
-	// Watch is the epoch that made the receiver the sender's watcher, as the sender has folded it.
-	Watch galenastair.Epoch
-	// Sent is a reading of the sender's clock.
+	// Sequence increases with each heartbeat of an incarnation.
+	Sequence int64
+	// WatchEpoch is the epoch that made the receiver the sender's watcher, as far as the sender has
+	// applied the log.
+	WatchEpoch galenastair.Epoch
+	// Sent is the sender's clock reading.
 	Sent time.Time
-	// Want is how long a promise it asks for; zero from one that has stopped acting on any.
-	Want time.Duration
-	// Claim is how long its lease runs from Sent; from now on only answers to
-	// this heartbeat and later ones, and renewals, can make it longer.
-	Claim time.Duration
+	// Requested is the requested duration of the lease. Zero releases the lease: the sender no
+	// longer acts on any.
+	Requested time.Duration
+	// LeaseRemaining is how long the sender's lease still runs after Sent. Only renewals and
+	// replies to this and later heartbeats can extend it further.
+	LeaseRemaining time.Duration
 }
 
-// SendNews exchanges news with a member outside the ring order.
-type SendNews struct {
+// SendGossip exchanges gossip with a member that need not be a neighbour in the ring.
+type SendGossip struct {
 	To Member
 }
 
-// AskAdmission asks a member to admit this instance.
+// AskAdmission asks a member to admit this instance to the ring.
 type AskAdmission struct {
 	To Member
 }
 
-// Probe asks who answers at a member's address.
+// Probe asks which process answers at a member's address.
 type Probe struct {
 	To Member
 }
@@ -50,13 +53,13 @@
 // ReadList reads the platform's list of instances.
 type ReadList struct{}
 
-// Append adds a record to the control stream.
+// Append appends a record to the control stream.
 type Append struct {
 	Record galenastair.Record
 }
 
 func (SendHeartbeat) action() {}
-func (SendNews) action()      {}
+func (SendGossip) action()    {}
 func (AskAdmission) action()  {}
 func (Probe) action()         {}
 func (ReadList) action()      {}
--- a/member/fake_test.go
+++ b/member/fake_test.go
@@ -10,16 +10,16 @@
 	"galenastair"
 )
 
-// fakeLog is a log in memory that can be down, lose answers and expire records.
+// fakeLog is an in-memory log that can be down, lose the answers of appends and expire records.
 type fakeLog struct {
 	mu       sync.Mutex
 	records  []galenastair.LogRecord
 	first    galenastair.Offset
 	appended chan struct{}
 	down     bool
-	// lose makes every other answer of an append get lost after it took effect.
-	lose    bool
-	appends int
+	// loseAnswers makes every other append fail with an unknown outcome after it took effect.
+	loseAnswers bool
+	appends     int
 }
 
 func newFakeLog() *fakeLog { return &fakeLog{first: 1, appended: make(chan struct{})} }
@@ -48,7 +48,7 @@
 	close(l.appended)
 	l.appended = make(chan struct{})
 	l.appends++
-	if l.lose && l.appends%2 == 0 {
+	if l.loseAnswers && l.appends%2 == 0 {
 		return 0, galenastair.ErrAppendUnknown
 	}
 	return offset, nil
@@ -87,7 +87,7 @@
 	return b, l.appended, nil
 }
 
-// kinds counts the records by kind.
+// kinds returns the number of records of each kind.
 func (l *fakeLog) kinds(t *testing.T) map[galenastair.RecordKind]int {
 	t.Helper()
 	l.mu.Lock()
--- a/member/gossip.go
+++ b/member/gossip.go
@@ -9,67 +9,67 @@
 	"galenastair"
 )
 
-// News is what members tell each other beside promises; it only ever adds knowledge.
-type News struct {
+// Gossip is the state that members exchange in addition to leases. Merging it never removes knowledge.
+type Gossip struct {
 	From Incarnation
-	// Folded is the epoch that the sender has folded: its word.
-	Folded galenastair.Epoch
-	// All is an epoch that every member which joined by then has folded, or is gone.
-	All galenastair.Epoch
-	// Words holds what the sender knows beyond All.
-	Words         []Word
+	// Applied is the epoch that the sender has applied.
+	Applied galenastair.Epoch
+	// AppliedByAll is an epoch that every member that had joined by then has applied, unless it
+	// has left the ring.
+	AppliedByAll galenastair.Epoch
+	// Acks holds the acks known to the sender that are newer than AppliedByAll.
+	Acks          []Ack
 	Configuration galenastair.Offset
-	// LogAge is how long ago the sender or someone it heard of reached the log; negative if never.
+	// LogAge is how long ago the sender, or a member it has heard of, reached the log; negative if never.
 	LogAge  time.Duration
 	Refused []RefusedDigest
 }
 
-// Word says that a member has folded an epoch.
-type Word struct {
+// Ack states that a member has applied an epoch.
+type Ack struct {
 	Incarnation Incarnation
-	Folded      galenastair.Epoch
+	Epoch       galenastair.Epoch
 }
 
-// RefusedDigest is a digest that no instance should run for a while.
+// RefusedDigest is the digest of a request that no instance should run for a while.
 type RefusedDigest struct {
-	Digest string
-	For    time.Duration
+	Digest    string
+	Remaining time.Duration
 }
 
 const (
-	// maxRefused bounds the digests kept: at 64 bytes each, 16 KB on an instance.
-	maxRefused = 256
-	// maxToldRefused bounds the digests in one message, to about 1 KB.
-	maxToldRefused = 16
-	// partners is how many members outside the ring order are told news each
-	// period: an epidemic with two partners reaches 53 members in about 4 rounds,
-	// where the ring alone needs 26.
-	partners = 2
+	// maxRefusedDigests bounds the digests kept: at 64 bytes each, they take 16 KB.
+	maxRefusedDigests = 256
+	// maxRefusedPerMessage bounds the digests in one message, to about 1 KB.
+	maxRefusedPerMessage = 16
+	// gossipFanout is the number of random members that receive gossip in each heartbeat interval.
+	// With two it reaches 53 members in about 4 rounds; along the ring alone that takes 26.
+	gossipFanout = 2
 )
 
 type refusal struct {
-	until time.Time
-	heard time.Time
+	until    time.Time
+	learntAt time.Time
 }
 
-type gossip struct {
+type gossipState struct {
 	configuration galenastair.Offset
 	logContact    time.Time
 	refused       map[string]refusal
-	// fresh is when this member last learnt something that others may not know.
-	fresh  time.Time
-	toldAt time.Time
+	// changedAt is when this member last learnt something that others may not know yet.
+	changedAt time.Time
+	sentAt    time.Time
 }
 
-func newGossip() gossip { return gossip{refused: make(map[string]refusal)} }
+func newGossip() gossipState { return gossipState{refused: make(map[string]refusal)} }
 
-func (g *gossip) touch(now time.Time) { g.fresh = later(g.fresh, now) }
+func (g *gossipState) markChanged(now time.Time) { g.changedAt = later(g.changedAt, now) }
 
-func (g *gossip) expire(now time.Time) {
+func (g *gossipState) expire(now time.Time) {
 	maps.DeleteFunc(g.refused, func(_ string, r refusal) bool { return !now.Before(r.until) })
 }
 
-func (g *gossip) fleet(time.Time) Fleet {
+func (g *gossipState) fleet(time.Time) Fleet {
 	f := Fleet{Configuration: g.configuration, LogContact: g.logContact}
 	if len(g.refused) > 0 {
 		f.Refused = make(map[string]time.Time, len(g.refused))
@@ -80,124 +80,124 @@
 	return f
 }
 
-// refuse keeps a digest; when full, new ones are dropped rather than old ones,
-// so that a flood of digests cannot clear the list.
-func (g *gossip) refuse(digest string, until, now time.Time) {
+// refuse adds a digest. When the list is full, new digests are dropped rather than old ones, so
+// that a flood of digests cannot displace the list.
+func (g *gossipState) refuse(digest string, until, now time.Time) {
 	old, known := g.refused[digest]
-	if !known && len(g.refused) >= maxRefused {
+	if !known && len(g.refused) >= maxRefusedDigests {
 		return
 	}
 	if known && !until.After(old.until.Add(time.Second)) {
 		return
 	}
-	g.refused[digest] = refusal{until: until, heard: now}
-	g.touch(now)
+	g.refused[digest] = refusal{until: until, learntAt: now}
+	g.markChanged(now)
 }
 
-// Announce makes all members refuse a digest for a while.
-func (n *Node) Announce(now time.Time, digest string, period time.Duration) {
+// RefuseDigest makes all members refuse a digest for a while.
+func (n *Node) RefuseDigest(now time.Time, digest string, period time.Duration) {
 	n.gossip.refuse(digest, now.Add(period), now)
 }
 
-// Configured notes the configuration offset of this instance.
-func (n *Node) Configured(now time.Time, offset galenastair.Offset) {
+// ObserveConfiguration records the configuration offset of an instance, if it is the highest so far.
+func (n *Node) ObserveConfiguration(now time.Time, offset galenastair.Offset) {
 	if offset > n.gossip.configuration {
 		n.gossip.configuration = offset
-		n.gossip.touch(now)
+		n.gossip.markChanged(now)
 	}
 }
 
-// News returns what this member knows; all refused digests go to one that asks for all.
-func (n *Node) News(now time.Time, all bool) News {
-	news := News{
-		From: n.self.Incarnation, Folded: n.state.Epoch, All: n.foldedByAll(),
+// Gossip returns what this member knows. With all set it includes every refused digest.
+func (n *Node) Gossip(now time.Time, all bool) Gossip {
+	msg := Gossip{
+		From: n.self.Incarnation, Applied: n.state.Epoch, AppliedByAll: n.appliedByAll(),
 		Configuration: n.gossip.configuration, LogAge: n.logAge(now),
 	}
 	for _, m := range n.state.Ring {
-		if w := n.settling.wordOf(m.Incarnation); m.Incarnation != n.self.Incarnation && w > news.All {
-			news.Words = append(news.Words, Word{m.Incarnation, w})
+		if w := n.history.ackedEpoch(m.Incarnation); m.Incarnation != n.self.Incarnation && w > msg.AppliedByAll {
+			msg.Acks = append(msg.Acks, Ack{m.Incarnation, w})
 		}
 	}
-	news.Refused = n.toldRefused(now, all)
-	return news
+	msg.Refused = n.refusedToSend(now, all)
+	return msg
 }
 
-func (n *Node) foldedByAll() galenastair.Epoch {
+func (n *Node) appliedByAll() galenastair.Epoch {
 	least := n.state.Epoch
 	for _, m := range n.state.Ring {
 		if m.Incarnation != n.self.Incarnation {
-			least = min(least, max(n.settling.wordOf(m.Incarnation), galenastair.Epoch(m.Incarnation)-1))
+			least = min(least, max(n.history.ackedEpoch(m.Incarnation), galenastair.Epoch(m.Incarnation)-1))
 		}
 	}
 	return least
 }
 
 func (n *Node) logAge(now time.Time) time.Duration {
-	last := later(n.contact, n.gossip.logContact)
+	last := later(n.logContact, n.gossip.logContact)
 	if last.IsZero() {
 		return -1
 	}
 	return max(now.Sub(last), 0)
 }
 
-func (n *Node) toldRefused(now time.Time, all bool) []RefusedDigest {
-	var told []RefusedDigest
+func (n *Node) refusedToSend(now time.Time, all bool) []RefusedDigest {
+	var digests []RefusedDigest
 	for digest, r := range n.gossip.refused {
-		if all || now.Sub(r.heard) < n.timing.Spread {
-			told = append(told, RefusedDigest{digest, r.until.Sub(now)})
+		if all || now.Sub(r.learntAt) < n.timing.GossipDuration {
+			digests = append(digests, RefusedDigest{digest, r.until.Sub(now)})
 		}
 	}
-	slices.SortFunc(told, func(a, b RefusedDigest) int {
-		return cmp.Or(cmp.Compare(b.For, a.For), cmp.Compare(a.Digest, b.Digest))
+	slices.SortFunc(digests, func(a, b RefusedDigest) int {
+		return cmp.Or(cmp.Compare(b.Remaining, a.Remaining), cmp.Compare(a.Digest, b.Digest))
 	})
 	if all {
-		return told
+		return digests
 	}
-	return told[:min(len(told), maxToldRefused)]
+	return digests[:min(len(digests), maxRefusedPerMessage)]
 }
 
-// MergeNews takes the news of another member.
-func (n *Node) MergeNews(now time.Time, news News) {
-	learnt := news.From != 0 && n.settling.noteFolded(news.From, news.Folded, now)
+// MergeGossip merges gossip received from another member.
+func (n *Node) MergeGossip(now time.Time, msg Gossip) {
+	changed := msg.From != 0 && n.history.recordAck(msg.From, msg.Applied, now)
 	for _, m := range n.state.Ring {
-		if galenastair.Epoch(m.Incarnation) <= news.All {
-			learnt = n.settling.noteFolded(m.Incarnation, news.All, now) || learnt
+		if galenastair.Epoch(m.Incarnation) <= msg.AppliedByAll {
+			changed = n.history.recordAck(m.Incarnation, msg.AppliedByAll, now) || changed
 		}
 	}
-	for _, w := range news.Words {
-		learnt = n.settling.noteFolded(w.Incarnation, w.Folded, now) || learnt
+	for _, w := range msg.Acks {
+		changed = n.history.recordAck(w.Incarnation, w.Epoch, now) || changed
 	}
-	if learnt {
-		n.gossip.touch(now)
+	if changed {
+		n.gossip.markChanged(now)
 	}
-	n.mergeFleet(now, news)
+	n.mergeFleet(now, msg)
 }
 
-func (n *Node) mergeFleet(now time.Time, news News) {
-	n.Configured(now, news.Configuration)
-	if news.LogAge >= 0 {
-		n.gossip.logContact = later(n.gossip.logContact, now.Add(-news.LogAge))
+func (n *Node) mergeFleet(now time.Time, msg Gossip) {
+	n.ObserveConfiguration(now, msg.Configuration)
+	if msg.LogAge >= 0 {
+		n.gossip.logContact = later(n.gossip.logContact, now.Add(-msg.LogAge))
 	}
-	for _, r := range news.Refused {
-		n.gossip.refuse(r.Digest, now.Add(r.For), now)
+	for _, r := range msg.Refused {
+		n.gossip.refuse(r.Digest, now.Add(r.Remaining), now)
 	}
 }
 
-// tickGossip tells fresh news to a few members beside the watcher, and looks
-// beyond the neighbours while this member does not reach the log.
+// tickGossip gossips recent changes to random members in addition to the watcher. It also does so
+// while this member does not reach the log, to learn whether others do.
 func (n *Node) tickGossip(now time.Time) {
-	if now.Sub(n.gossip.toldAt) < n.timing.Heartbeat {
+	if now.Sub(n.gossip.sentAt) < n.timing.HeartbeatInterval {
 		return
 	}
-	n.gossip.toldAt = now
+	n.gossip.sentAt = now
 	others := len(n.state.Ring) - 1
-	if others < 2 || (now.Sub(n.gossip.fresh) >= n.timing.Spread && n.logFresh(now)) {
+	if others < 2 || (now.Sub(n.gossip.changedAt) >= n.timing.GossipDuration && n.logContactRecent(now)) {
 		return
 	}
-	for range partners {
+	for range gossipFanout {
 		m := n.state.Ring[n.random.IntN(len(n.state.Ring))]
 		if m.Incarnation != n.self.Incarnation {
-			n.out = append(n.out, SendNews{To: m})
+			n.actions = append(n.actions, SendGossip{To: m})
 		}
 	}
 }
--- a/member/measure_test.go
+++ b/member/measure_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// countedConn counts the bytes of one connection, both ways.
+// countedConn counts the bytes that a connection reads and writes.
 type countedConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -32,7 +32,7 @@
 	return n, err
 }
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -40,15 +40,15 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// fleet is a number of instances over real connections, with the default timing.
-type fleet struct {
-	log   *fakeLog
-	all   []*instance
-	bytes atomic.Int64
+// testCluster is a set of instances that use real connections and the default timing.
+type testCluster struct {
+	log       *fakeLog
+	instances []*instance
+	bytes     atomic.Int64
 }
 
-func startFleet(t *testing.T, members, zones int) *fleet {
-	f := &fleet{log: newFakeLog()}
+func startCluster(t *testing.T, members, zones int) *testCluster {
+	f := &testCluster{log: newFakeLog()}
 	transport := func() *http.Transport {
 		tr := newTransport()
 		tr.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -58,13 +58,13 @@
 		return tr
 	}
 	for i := range members {
-		f.all = append(f.all, startInstance(t, f.log, fmt.Sprint("i", i), i%zones, WithTiming(DefaultTiming()), WithTransport(transport)))
+		f.instances = append(f.instances, startInstance(t, f.log, fmt.Sprint("i", i), i%zones, WithTiming(DefaultTiming()), WithTransport(transport)))
 	}
 	return f
 }
 
-// within waits up to two minutes and returns how long it took.
-func within(t *testing.T, what string, ok func() bool) time.Duration {
+// waitFor waits up to two minutes for a condition and returns how long it took.
+func waitFor(t *testing.T, what string, ok func() bool) time.Duration {
 	t.Helper()
 	began := time.Now()
 	for !ok() {
@@ -76,9 +76,9 @@
 	return time.Since(began).Round(10 * time.Millisecond)
 }
 
-// TestMeasure prints what membership costs and how long its changes take;
-// MEMBER_MEASURE lists the numbers of members.
-func TestMeasure(t *testing.T) {
+// TestMeasureCosts logs the costs of membership and the duration of its changes, for each number of
+// members listed in MEMBER_MEASURE.
+func TestMeasureCosts(t *testing.T) {
 	for _, word := range strings.Fields(os.Getenv("MEMBER_MEASURE")) {
 		members, err := strconv.Atoi(word)
 		if err != nil {
@@ -89,24 +89,24 @@
 }
 
 func measure(t *testing.T, members int) {
-	f := startFleet(t, members, min(4, members))
-	started := within(t, "all join", func() bool { return allSee(f.all, members) })
-	time.Sleep(12 * time.Second) // news stops being told after ten seconds
+	f := startCluster(t, members, min(4, members))
+	started := waitFor(t, "all instances joined", func() bool { return allSee(f.instances, members) })
+	time.Sleep(12 * time.Second) // longer than GossipDuration
 	const window = 20 * time.Second
-	bytes, cpu, appends := f.bytes.Load(), processorTime(), f.log.count()
+	bytes, cpu, appends := f.bytes.Load(), cpuTime(), f.log.count()
 	time.Sleep(window)
 	perMember := func(total float64) float64 { return total / window.Seconds() / float64(members) }
 	t.Logf("%d members: all joined %v; steady: %.0f B/s sent and received by a member, %.3f %% of a core, %d appends",
 		members, started, 2*perMember(float64(f.bytes.Load()-bytes)),
-		100*perMember((processorTime()-cpu).Seconds()), f.log.count()-appends)
+		100*perMember((cpuTime()-cpu).Seconds()), f.log.count()-appends)
 
 	bytes = f.bytes.Load()
 	now := time.Now()
-	if err := f.all[0].Announce(t.Context(), "digest", time.Minute); err != nil {
+	if err := f.instances[0].Announce(t.Context(), "digest", time.Minute); err != nil {
 		t.Fatal(err)
 	}
-	spread := within(t, "all refuse", func() bool {
-		for _, in := range f.all {
+	spread := waitFor(t, "all members refuse the digest", func() bool {
+		for _, in := range f.instances {
 			if !in.Status().Fleet.Refuses("digest", now) {
 				return false
 			}
@@ -117,19 +117,19 @@
 	t.Logf("%d members: a digest reached all in %v; %.0f B sent and received by a member in the 12 s after",
 		members, spread, 2*float64(f.bytes.Load()-bytes)/float64(members))
 
-	view := f.all[0].Status().View
-	f.all[members-1].kill()
-	rest := f.all[:members-1]
-	declared := within(t, "a lapse", func() bool { return rest[0].Status().View.Epoch > view.Epoch })
-	settled := within(t, "all settled", func() bool { return allSee(rest, members-1) })
-	t.Logf("%d members: lapse declared %v after death, all takeovers allowed %v later", members, declared, settled)
+	view := f.instances[0].Status().View
+	f.instances[members-1].kill()
+	rest := f.instances[:members-1]
+	declared := waitFor(t, "a member is declared lapsed", func() bool { return rest[0].Status().View.Epoch > view.Epoch })
+	converged := waitFor(t, "all members converged", func() bool { return allSee(rest, members-1) })
+	t.Logf("%d members: lapse declared %v after death, all takeovers allowed %v after that", members, declared, converged)
 	f.measureOutage(t, rest)
 }
 
-// measureOutage kills one more with the log down, once the members know that it is.
-func (f *fleet) measureOutage(t *testing.T, rest []*instance) {
+// measureOutage kills another member while the log is down, once the members have noticed the outage.
+func (f *testCluster) measureOutage(t *testing.T, rest []*instance) {
 	f.log.setDown(true)
-	time.Sleep(DefaultTiming().Contact + 2*followWait)
+	time.Sleep(DefaultTiming().LogContactMaxAge + 2*readWait)
 	rest[len(rest)-1].kill()
 	rest = rest[:len(rest)-1]
 	time.Sleep(30 * time.Second)
@@ -140,6 +140,6 @@
 		}
 	}
 	f.log.setDown(false)
-	back := within(t, "the dead is declared", func() bool { return allSee(rest, len(rest)) })
-	t.Logf("log down and one dead: 30 s later %d of %d hold their leases; with the log back the ring was settled after %v", held, len(rest), back)
+	back := waitFor(t, "the dead member is declared lapsed", func() bool { return allSee(rest, len(rest)) })
+	t.Logf("log down and one member dead: after 30 s, %d of %d hold their leases; ring converged %v after the log was back", held, len(rest), back)
 }
--- a/member/member.go
+++ b/member/member.go
@@ -2,24 +2,24 @@
 
 import "galenastair"
 
-// Incarnation numbers one stay of an instance in the ring by the epoch that it joined with; zero is none.
+// Incarnation identifies one membership of an instance by the epoch in which it joined; zero means none.
 type Incarnation int64
 
-// Member is one instance of the ring, as the fold of the control stream knows it.
+// Member is an instance in the ring, as given by the records of the control stream.
 type Member struct {
 	ID               galenastair.InstanceID
 	Incarnation      Incarnation
 	AvailabilityZone galenastair.AvailabilityZone
 	PeerAddress      string
-	// Token is chosen by the process that joined, which knows its own admission by it.
+	// Token is chosen by the joining process, which recognises its own admission by it.
 	Token string
 	// Renewal is the offset of the member's last valid renewal through the log, plus one.
 	Renewal galenastair.Offset
-	// WatchedSince is the epoch that gave the member its present watcher.
+	// WatchedSince is the epoch in which the member got its current watcher.
 	WatchedSince galenastair.Epoch
 }
 
-// View is the ring of one epoch; each member is watched by the next, the last by the first.
+// View is the ring of one epoch. Each member is watched by the next one, and the last by the first.
 type View struct {
 	Epoch galenastair.Epoch
 	Ring  []Member
@@ -42,7 +42,7 @@
 	return v.Ring[(i+1)%len(v.Ring)], true
 }
 
-// Watched returns the member that an incarnation watches; alone, that is itself.
+// Watched returns the member that an incarnation watches. A sole member watches itself.
 func (v View) Watched(inc Incarnation) (Member, bool) {
 	i := v.index(inc)
 	if i < 0 {
@@ -74,7 +74,7 @@
 	return -1
 }
 
-func (v View) taken(id galenastair.InstanceID, address string) bool {
+func (v View) hasIDOrAddress(id galenastair.InstanceID, address string) bool {
 	for _, m := range v.Ring {
 		if m.ID == id || m.PeerAddress == address {
 			return true
--- a/member/metrics.go
+++ b/member/metrics.go
@@ -40,7 +40,7 @@
 	return m
 }
 
-func (m *metrics) show(s *Status, now time.Time) {
+func (m *metrics) update(s *Status, now time.Time) {
 	m.epoch.Set(float64(s.View.Epoch))
 	m.members.Set(float64(len(s.View.Ring)))
 	m.lease.Set(max(0, s.LeaseEnds().Sub(now).Seconds()))
--- a/member/model_test.go
+++ b/member/model_test.go
@@ -10,41 +10,42 @@
 	"galenastair"
 )
 
-// model runs nodes against a log, a network and clocks of its own. It alone
-// knows true time; each node sees its own clock, up to 1 % fast or slow.
+// model runs nodes against a simulated log, network and clocks. Only the model knows the true time;
+// the clock of each node is up to 1 % fast or slow.
 type model struct {
-	rules   rules
-	timing  Timing
-	noise   *rand.Rand
-	now     time.Duration
-	queue   events
-	seq     int
-	procs   []*process
-	records []galenastair.Record
-	truth   State
-	logDown bool
-	slow    time.Duration
-	stats   struct{ lapses, joins, held int64 }
-	failure string
-	// idle is set by an event that changed nothing.
-	idle bool
+	rules            rules
+	timing           Timing
+	random           *rand.Rand
+	now              time.Duration
+	queue            events
+	seq              int
+	procs            []*process
+	records          []galenastair.Record
+	logState         State
+	logDown          bool
+	slowAppendsUntil time.Duration
+	stats            struct{ lapses, joins, held int64 }
+	failure          string
+	// unchanged is set by an event that changed nothing, so that the check can be skipped.
+	unchanged bool
 }
 
-// process is one node and what happens to it.
+// process is a node together with the faults that affect it.
 type process struct {
 	*Node
-	slot   int
-	offset time.Duration
-	rate   float64
-	folded int
-	dead   bool
-	paused time.Duration
-	// lagging, offLog and offNet end at a true time.
-	lagging time.Duration
-	offLog  time.Duration
-	offNet  time.Duration
-	// apart ends the time that this process, and others apart too, reach neither the rest nor the log.
-	apart time.Duration
+	slot        int
+	offset      time.Duration
+	rate        float64
+	applied     int
+	dead        bool
+	pausedUntil time.Duration
+	// The faults end at these true times: lag, loss of the log, loss of the network.
+	laggingUntil time.Duration
+	logCutUntil  time.Duration
+	netCutUntil  time.Duration
+	// isolatedUntil ends the time in which this process reaches neither the log nor any process that
+	// is not isolated too.
+	isolatedUntil time.Duration
 }
 
 type event struct {
@@ -70,8 +71,8 @@
 var modelStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func newModel(r rules, t Timing, seed uint64) *model {
-	m := &model{rules: r, timing: t, noise: rand.New(rand.NewPCG(seed, 1))}
-	m.truth.rules = r
+	m := &model{rules: r, timing: t, random: rand.New(rand.NewPCG(seed, 1))}
+	m.logState.rules = r
 	return m
 }
 
@@ -84,9 +85,9 @@
 	for len(m.queue) > 0 && m.queue[0].at <= until && m.failure == "" {
 		e := heap.Pop(&m.queue).(event)
 		m.now = e.at
-		m.idle = false
+		m.unchanged = false
 		e.do()
-		if !m.idle {
+		if !m.unchanged {
 			m.check()
 		}
 	}
@@ -95,139 +96,139 @@
 
 func (m *model) delay() time.Duration {
 	longest := 20 * time.Millisecond
-	if m.noise.IntN(20) == 0 {
+	if m.random.IntN(20) == 0 {
 		longest = 3 * time.Second
 	}
-	return time.Millisecond + time.Duration(m.noise.Int64N(int64(longest)))
+	return time.Millisecond + time.Duration(m.random.Int64N(int64(longest)))
 }
 
-func (p *process) clock(m *model) time.Time {
+func (p *process) localTime(m *model) time.Time {
 	return modelStart.Add(p.offset + time.Duration(float64(m.now)*p.rate))
 }
 
-func (p *process) runs(m *model) bool { return !p.dead && m.now >= p.paused }
+func (p *process) runs(m *model) bool { return !p.dead && m.now >= p.pausedUntil }
 
-// start begins a process at a slot, which stands for an address and a zone.
+// start starts a process at a slot, which stands for an address and a zone.
 func (m *model) start(slot int) {
 	rates := []float64{1.01, 0.99, 1}
-	p := &process{slot: slot, offset: time.Duration(m.noise.Int64N(int64(time.Hour))), rate: rates[(slot+len(m.procs))%3]}
+	p := &process{slot: slot, offset: time.Duration(m.random.Int64N(int64(time.Hour))), rate: rates[(slot+len(m.procs))%3]}
 	self := Member{
 		ID: galenastair.InstanceID(fmt.Sprint("i", slot)), PeerAddress: fmt.Sprint("at", slot),
 		AvailabilityZone: galenastair.AvailabilityZone(fmt.Sprint("z", slot%3)), Token: fmt.Sprint("t", len(m.procs)),
 	}
-	p.Node = newNode(self, m.timing, m.rules, p.clock(m))
+	p.Node = newNode(self, m.timing, m.rules, p.localTime(m))
 	m.procs = append(m.procs, p)
-	m.every(p, 250*time.Millisecond, func() { p.Tick(p.clock(m)) })
-	m.every(p, 100*time.Millisecond, func() { m.poll(p) })
+	m.every(p, 250*time.Millisecond, func() { p.Tick(p.localTime(m)) })
+	m.every(p, 100*time.Millisecond, func() { m.readLog(p) })
 }
 
-// every repeats f while the process lives; a paused one goes on when it wakes.
+// every repeats f while the process lives; a paused process continues after its pause.
 func (m *model) every(p *process, d time.Duration, f func()) {
-	m.after(max(d, p.paused-m.now), func() {
+	m.after(max(d, p.pausedUntil-m.now), func() {
 		if p.dead {
 			return
 		}
-		m.wake(p, f)
+		m.runWhenAwake(p, f)
 		m.every(p, d, f)
 	})
 }
 
-// wake runs f on a process, once its pause is over, and carries out what it decides.
-func (m *model) wake(p *process, f func()) {
+// runWhenAwake runs f on a process, after its pause if it is paused, and executes the resulting actions.
+func (m *model) runWhenAwake(p *process, f func()) {
 	if p.dead {
 		return
 	}
-	if m.now < p.paused {
-		m.after(p.paused-m.now, func() { m.wake(p, f) })
+	if m.now < p.pausedUntil {
+		m.after(p.pausedUntil-m.now, func() { m.runWhenAwake(p, f) })
 		return
 	}
 	f()
-	for _, a := range p.Take() {
-		m.act(p, a)
+	for _, a := range p.DrainActions() {
+		m.execute(p, a)
 	}
 }
 
-func (m *model) poll(p *process) {
-	if m.logDown || m.now < max(p.offLog, p.apart, p.lagging) {
+func (m *model) readLog(p *process) {
+	if m.logDown || m.now < max(p.logCutUntil, p.isolatedUntil, p.laggingUntil) {
 		return
 	}
-	read := p.folded
-	for p.folded < len(m.records) {
-		p.Fold(p.clock(m), galenastair.Offset(p.folded+1), m.records[p.folded])
-		p.folded++
+	read := p.applied
+	for p.applied < len(m.records) {
+		p.Apply(p.localTime(m), galenastair.Offset(p.applied+1), m.records[p.applied])
+		p.applied++
 	}
-	p.LogContact(p.clock(m))
-	m.idle = read == p.folded
+	p.ObserveLogContact(p.localTime(m))
+	m.unchanged = read == p.applied
 }
 
-// reach returns the process that runs at a slot, if the network carries a message to it.
-func (m *model) reach(p *process, to Member) *process {
-	if m.now < p.offNet || m.noise.IntN(50) == 0 {
+// receiver returns the process at an address, or nil if the network does not deliver a message to it.
+func (m *model) receiver(p *process, to Member) *process {
+	if m.now < p.netCutUntil || m.random.IntN(50) == 0 {
 		return nil
 	}
-	apart := m.now < p.apart
+	apart := m.now < p.isolatedUntil
 	for _, q := range slices.Backward(m.procs) {
-		if q.self.PeerAddress == to.PeerAddress && !q.dead && m.now >= q.offNet && apart == (m.now < q.apart) {
+		if q.self.PeerAddress == to.PeerAddress && !q.dead && m.now >= q.netCutUntil && apart == (m.now < q.isolatedUntil) {
 			return q
 		}
 	}
 	return nil
 }
 
-// request carries one message to the process at an address and its answer back.
+// request delivers a message to the process at an address and its reply back.
 func (m *model) request(p *process, to Member, serve func(q *process) func()) {
 	m.after(m.delay(), func() {
-		q := m.reach(p, to)
+		q := m.receiver(p, to)
 		if q == nil {
 			return
 		}
-		m.wake(q, func() {
+		m.runWhenAwake(q, func() {
 			answer := serve(q)
 			m.after(m.delay(), func() {
-				if m.reach(q, p.self) == p {
-					m.wake(p, answer)
+				if m.receiver(q, p.self) == p {
+					m.runWhenAwake(p, answer)
 				}
 			})
 		})
 	})
 }
 
-func (m *model) act(p *process, a Action) {
+func (m *model) execute(p *process, a Action) {
 	switch a := a.(type) {
 	case Append:
 		m.append(p, a.Record)
 	case SendHeartbeat:
-		news := p.News(p.clock(m), false)
+		news := p.Gossip(p.localTime(m), false)
 		m.request(p, a.To, func(q *process) func() {
-			q.MergeNews(q.clock(m), news)
-			granted := q.Promise(q.clock(m), a.Beat)
-			back, left := q.News(q.clock(m), false), q.Handover(q.clock(m))
+			q.MergeGossip(q.localTime(m), news)
+			granted := q.HandleHeartbeat(q.localTime(m), a.Heartbeat)
+			back, left := q.Gossip(q.localTime(m), false), q.Handover(q.localTime(m))
 			return func() {
-				p.MergeNews(p.clock(m), back)
-				p.Answered(p.clock(m), a.Beat, granted)
-				p.TakeOver(p.clock(m), left)
+				p.MergeGossip(p.localTime(m), back)
+				p.HandleHeartbeatReply(p.localTime(m), a.Heartbeat, granted)
+				p.HandleHandover(p.localTime(m), left)
 			}
 		})
-	case SendNews:
-		news := p.News(p.clock(m), false)
+	case SendGossip:
+		news := p.Gossip(p.localTime(m), false)
 		m.request(p, a.To, func(q *process) func() {
-			q.MergeNews(q.clock(m), news)
+			q.MergeGossip(q.localTime(m), news)
 			return func() {}
 		})
 	case AskAdmission:
 		m.request(p, a.To, func(q *process) func() {
-			answer := q.Admit(q.clock(m), p.self)
-			return func() { p.AdmissionAnswered(a.To, answer) }
+			answer := q.Admit(q.localTime(m), p.self)
+			return func() { p.HandleAdmitReply(a.To, answer) }
 		})
-		m.after(m.timing.Timeout, func() { m.wake(p, p.AdmissionFailed) })
+		m.after(m.timing.CallTimeout, func() { m.runWhenAwake(p, p.HandleAdmitFailure) })
 	case Probe:
-		q := m.reach(p, a.To)
-		answered := q != nil && m.now >= q.paused
+		q := m.receiver(p, a.To)
+		answered := q != nil && m.now >= q.pausedUntil
 		token := ""
 		if answered {
 			token = q.self.Token
 		}
-		p.Probed(p.clock(m), a.To, token, answered)
+		p.HandleProbeResult(p.localTime(m), a.To, token, answered)
 	case ReadList:
 		m.list(p)
 	}
@@ -240,24 +241,25 @@
 			listed = append(listed, galenastair.ListedInstance{ID: string(q.self.ID), Role: galenastair.RoleEntry})
 		}
 	}
-	p.Listed(p.clock(m), listed)
+	p.HandleInstanceList(p.localTime(m), listed)
 }
 
-// append lands a record after a delay, which a fault can make long; in an outage it is lost or refused.
+// append adds a record after a delay, which a fault can make long. During an outage the append is
+// lost or refused.
 func (m *model) append(p *process, rec galenastair.Record) {
-	if m.logDown || m.now < max(p.offLog, p.apart) {
-		if m.noise.IntN(2) == 0 {
-			p.AppendRefused(rec.ID)
+	if m.logDown || m.now < max(p.logCutUntil, p.isolatedUntil) {
+		if m.random.IntN(2) == 0 {
+			p.HandleAppendRefused(rec.ID)
 		}
 		return
 	}
 	d := m.delay()
-	if m.slow > m.now && m.noise.IntN(2) == 0 {
-		d += time.Duration(m.noise.Int64N(int64(15 * time.Second)))
+	if m.slowAppendsUntil > m.now && m.random.IntN(2) == 0 {
+		d += time.Duration(m.random.Int64N(int64(15 * time.Second)))
 	}
 	m.after(d, func() {
 		m.records = append(m.records, rec)
-		if m.truth.Apply(galenastair.Offset(len(m.records)), rec) != Applied {
+		if m.logState.Apply(galenastair.Offset(len(m.records)), rec) != Applied {
 			return
 		}
 		switch rec.Kind {
@@ -269,29 +271,30 @@
 	})
 }
 
-// modelDuties are the duties that the check looks at.
-var modelDuties = []Duty{LeaderDuty, SlotDuty("k1", 0), SlotDuty("k1", 1), SlotDuty("k2", 0)}
+// modelOwners are the roles that check verifies.
+var modelOwners = []Duty{LeaderOf, SlotDuty("k1", 0), SlotDuty("k1", 1), SlotDuty("k2", 0)}
 
-// check is run after every event: no lapsed member holds a lease, and no duty has two holders.
+// check runs after every event. It verifies that no member that has been removed holds a lease, and
+// that no role has two owners.
 func (m *model) check() {
-	holders := make([]int, len(modelDuties))
+	owners := make([]int, len(modelOwners))
 	leaders := 0
 	for _, p := range m.procs {
 		if !p.runs(m) {
 			continue
 		}
-		now := p.clock(m)
-		s := &Status{Self: p.self, View: p.state.View, lease: p.lease, settling: p.settling}
+		now := p.localTime(m)
+		s := &Status{Self: p.self, View: p.state.View, lease: p.lease, history: p.history}
 		if !s.Holds(now) {
 			continue
 		}
 		m.stats.held++
-		if m.truth.index(p.self.Incarnation) < 0 {
-			m.failure = fmt.Sprintf("at %v incarnation %d holds a lease after its end", m.now, p.self.Incarnation)
+		if m.logState.index(p.self.Incarnation) < 0 {
+			m.failure = fmt.Sprintf("at %v incarnation %d holds a lease after its removal", m.now, p.self.Incarnation)
 		}
-		for i, d := range modelDuties {
+		for i, d := range modelOwners {
 			if s.ServesDuty(d, now) {
-				holders[i]++
+				owners[i]++
 			}
 		}
 		if s.Leads(now) {
@@ -301,24 +304,24 @@
 	if leaders > 1 && m.failure == "" {
 		m.failure = fmt.Sprintf("at %v there are %d leaders", m.now, leaders)
 	}
-	for i, n := range holders {
+	for i, n := range owners {
 		if n > 1 && m.failure == "" {
-			m.failure = fmt.Sprintf("at %v duty %d has %d holders", m.now, i, n)
+			m.failure = fmt.Sprintf("at %v role %d has %d owners", m.now, i, n)
 		}
 	}
 }
 
-// settledRing says whether the ring is just the living processes and all of them hold their leases.
-func (m *model) settledRing() bool {
+// converged reports whether the ring consists of exactly the living processes and all of them hold their leases.
+func (m *model) converged() bool {
 	living := 0
 	for _, p := range m.procs {
 		if p.dead || p.stopping {
 			continue
 		}
 		living++
-		if m.truth.index(p.self.Incarnation) < 0 || !p.holds(p.clock(m)) {
+		if m.logState.index(p.self.Incarnation) < 0 || !p.holdsLease(p.localTime(m)) {
 			return false
 		}
 	}
-	return living == 0 || living == len(m.truth.Ring)
+	return living == 0 || living == len(m.logState.Ring)
 }
--- a/member/mutation_test.go
+++ b/member/mutation_test.go
@@ -9,14 +9,14 @@
 	"github.com/matryer/is"
 )
 
-// mutation is a rule left out, and how a schedule that shows its absence is made.
+// mutation disables one rule and defines the schedules that reveal its absence.
 type mutation struct {
 	name   string
 	rules  rules
 	timing func(*Timing)
-	// draw makes a schedule from a seed; nil means drawSchedule.
-	draw func(*rand.Rand) []fault
-	// members start when draw is set.
+	// generate makes a schedule from a seed; nil means drawSchedule.
+	generate func(*rand.Rand) []fault
+	// members is the number of members at the start, if generate is set.
 	members int
 	seed    int
 }
@@ -25,38 +25,37 @@
 	return time.Duration(least+r.IntN(most-least+1)) * 100 * time.Millisecond
 }
 
-// mutations lists the rules that the model test was seen to catch when left out,
-// with the seed that caught each. Traps 1 to 4 are those of the design.
+// mutations lists the rules whose absence the model test detects, with a seed that reveals each.
 var mutations = []mutation{
-	// Trap 1: who admits, and on which watch. A joiner that writes its own record
-	// becomes the watcher of a member that does not know it, as does the late copy
-	// of an admission.
-	{name: "trap 1: a joiner admits itself", rules: rules{admitYourself: true}, seed: 1033},
+	// The watcher must append the Join and name its watch. An instance that appends its own Join
+	// becomes the watcher of a member that does not know it, and so does one that joins by a delayed
+	// copy of a Join.
+	{name: "instance admits itself", rules: rules{selfAdmission: true}, seed: 1033},
 	{
-		name: "trap 1: stale admissions count", rules: rules{acceptStaleAdmission: true}, members: 1, seed: 52,
-		draw: func(r *rand.Rand) []fault {
+		name: "stale join takes effect", rules: rules{acceptStaleJoin: true}, members: 1, seed: 52,
+		generate: func(r *rand.Rand) []fault {
 			return []fault{
 				{slowAppends, 8 * time.Second, 0, 20 * time.Second}, {join, 9 * time.Second, 1, 0},
 				{isolate, tenths(r, 100, 130), 1, tenths(r, 45, 70)}, {isolate, tenths(r, 150, 190), 0, 40 * time.Second},
 			}
 		},
 	},
-	// Trap 2: an owner that lags acts on.
-	{name: "trap 2: any word counts", rules: rules{countAnyWord: true}, seed: 5},
-	// Trap 3: the lapse lands after the promise that revived the lease.
+	// An owner that has not applied the epoch that moved its role keeps acting.
+	{name: "ack of any epoch counts", rules: rules{acceptAnyAck: true}, seed: 5},
+	// The Lapse is applied after a grant that has extended the lease.
 	{
-		name: "trap 3: promises while declaring", rules: rules{promiseWhileDeclaring: true}, members: 3, seed: 36,
-		draw: func(r *rand.Rand) []fault {
+		name: "lease granted while lapse is pending", rules: rules{grantWhileLapsePending: true}, members: 3, seed: 36,
+		generate: func(r *rand.Rand) []fault {
 			return []fault{{slowAppends, 8 * time.Second, 0, 40 * time.Second}, {isolate, 10 * time.Second, 1, tenths(r, 45, 90)}}
 		},
 	},
-	// Trap 4: the joiner watches a member that thinks itself alone.
-	{name: "trap 4: alone with an admission in doubt", rules: rules{aloneWithAdmission: true}, seed: 2383},
-	{name: "takeover by time alone", rules: rules{settleByTimeAlone: true}, seed: 5},
-	{name: "promise counted from receipt", rules: rules{countFromReceipt: true}, seed: 180},
+	// The new member watches a member that considers itself the sole one.
+	{name: "sole member with pending join", rules: rules{soleMemberWithPendingJoin: true}, seed: 2383},
+	{name: "takeover by time only", rules: rules{takeOverByTimeOnly: true}, seed: 5},
+	{name: "lease counted from receipt", rules: rules{leaseFromReceipt: true}, seed: 180},
 	{
-		name: "renewal counted from receipt", rules: rules{renewFromReceipt: true}, members: 3, seed: 16,
-		draw: func(r *rand.Rand) []fault {
+		name: "renewal counted from receipt", rules: rules{renewalFromReceipt: true}, members: 3, seed: 16,
+		generate: func(r *rand.Rand) []fault {
 			at, d := tenths(r, 100, 140), tenths(r, 15, 38)
 			return []fault{
 				{cutNet, 8 * time.Second, 1, time.Minute}, {cutLog, at, 1, d},
@@ -64,20 +63,20 @@
 			}
 		},
 	},
-	{name: "a watcher without a lease promises", rules: rules{promiseWithoutLease: true}, seed: 3825},
-	{name: "a lapse beats a newer renewal", rules: rules{lapseOverRenewal: true}, seed: 561},
-	// The promises that run longer in an outage.
+	{name: "lease granted without own lease", rules: rules{grantWithoutLease: true}, seed: 3825},
+	{name: "lapse despite newer renewal", rules: rules{lapseDespiteRenewal: true}, seed: 561},
+	// The longer leases during an outage.
 	{
-		name: "an old long promise counts after it was given up", rules: rules{keepLongPromise: true}, members: 3, seed: 121,
-		draw: func(r *rand.Rand) []fault {
+		name: "old long grant counts after the lease was shortened", rules: rules{acceptOldLongGrant: true}, members: 3, seed: 121,
+		generate: func(r *rand.Rand) []fault {
 			d := tenths(r, 80, 150)
 			return []fault{{logOutage, 8 * time.Second, 0, d}, {isolate, 8*time.Second + d + tenths(r, 1, 30), 1, 30 * time.Second}}
 		},
 	},
-	{name: "a takeover waits for short promises only", rules: rules{shortTakeover: true}, seed: 793},
+	{name: "takeover waits for short leases only", rules: rules{takeOverAfterShortGrant: true}, seed: 793},
 	{
-		name: "a late heartbeat ends a newer long promise", rules: rules{trustAnyOrder: true}, members: 3, seed: 105,
-		draw: func(r *rand.Rand) []fault {
+		name: "late heartbeat ends newer long lease", rules: rules{acceptReorderedHeartbeat: true}, members: 3, seed: 105,
+		generate: func(r *rand.Rand) []fault {
 			return []fault{
 				{logOutage, 8 * time.Second, 0, tenths(r, 60, 140)},
 				{isolate, 11*time.Second + tenths(r, 5, 45), 1, 40 * time.Second},
@@ -85,8 +84,8 @@
 		},
 	},
 	{
-		name: "a watch is handed over without the promises given", rules: rules{handOverNoPromise: true}, members: 3, seed: 0,
-		draw: func(r *rand.Rand) []fault {
+		name: "handover without the granted leases", rules: rules{handOverWithoutGrants: true}, members: 3, seed: 0,
+		generate: func(r *rand.Rand) []fault {
 			d := tenths(r, 60, 140)
 			return []fault{
 				{logOutage, 8 * time.Second, 0, d}, {isolate, 8*time.Second + d - tenths(r, 1, 10), r.IntN(3), 40 * time.Second},
@@ -95,8 +94,8 @@
 		},
 	},
 	{
-		name: "a watch is handed over before it is settled", rules: rules{handOverUnsettled: true}, members: 3, seed: 3,
-		draw: func(r *rand.Rand) []fault {
+		name: "handover before earlier leases expired", rules: rules{handOverTooEarly: true}, members: 3, seed: 3,
+		generate: func(r *rand.Rand) []fault {
 			d, w := tenths(r, 60, 140), r.IntN(3)
 			return []fault{
 				{logOutage, 8 * time.Second, 0, d}, {isolate, 8*time.Second + d - tenths(r, 1, 10), w, 40 * time.Second},
@@ -105,33 +104,33 @@
 			}
 		},
 	},
-	{name: "no margin for drift", timing: func(t *Timing) { t.Promise = t.Lease }, seed: 1602},
+	{name: "no margin for clock drift", timing: func(t *Timing) { t.GrantDuration = t.LeaseDuration }, seed: 1602},
 }
 
 func (m mutation) schedule(seed int) schedule {
-	if m.draw == nil {
+	if m.generate == nil {
 		return drawSchedule(4).Example(seed)
 	}
-	return schedule{Seed: uint64(seed), Members: m.members, Faults: m.draw(rand.New(rand.NewPCG(uint64(seed), 7)))}
+	return schedule{Seed: uint64(seed), Members: m.members, Faults: m.generate(rand.New(rand.NewPCG(uint64(seed), 7)))}
 }
 
-func (m mutation) play(seed int) string {
+func (m mutation) run(seed int) string {
 	t := modelTiming()
 	if m.timing != nil {
 		m.timing(&t)
 	}
-	return m.schedule(seed).play(m.rules, t).failure
+	return m.schedule(seed).run(m.rules, t).failure
 }
 
-// The model must be able to fail: each rule left out breaks it on its schedule,
-// and the same schedule passes with the rule.
-func TestEveryMutationIsCaught(t *testing.T) {
+// Verifies that the model can fail: disabling a rule breaks the model on its schedule, and the same
+// schedule passes with the rule.
+func TestModelDetectsEveryMutation(t *testing.T) {
 	for _, m := range mutations {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
 			is := is.New(t)
-			is.Equal(m.schedule(m.seed).play(rules{}, modelTiming()).failure, "")
-			failure := m.play(m.seed)
+			is.Equal(m.schedule(m.seed).run(rules{}, modelTiming()).failure, "")
+			failure := m.run(m.seed)
 			if failure == "" && os.Getenv("MEMBER_SEARCH") != "" {
 				m.search(t)
 			}
@@ -141,10 +140,10 @@
 	}
 }
 
-// search prints the first seed that catches a mutation, for when the rules have changed.
+// search logs the first seed that reveals a mutation, to be used after a change of the rules.
 func (m mutation) search(t *testing.T) {
 	for seed := range 20000 {
-		if failure := m.play(seed); failure != "" {
+		if failure := m.run(seed); failure != "" {
 			t.Logf("use seed %d: %s", seed, failure)
 			return
 		}
--- a/member/node.go
+++ b/member/node.go
@@ -9,67 +9,67 @@
 	"galenastair"
 )
 
-// Node is the membership machine of one instance: it is told what happened and
-// when, and returns what to do; it opens no socket and starts no goroutine.
+// Node is the membership state machine of one instance. It is given events with their times and
+// returns actions. It does no I/O and starts no goroutines.
 type Node struct {
 	self   Member
 	timing Timing
 	rules  rules
 	state  State
 
-	settling *settling
-	lease    lease
-	// promisedBy is when the heartbeat was sent that brought the last promise.
-	promisedBy time.Time
-	// renouncedAt is when this member last gave up a long promise; answers to
-	// older heartbeats no longer count.
-	renouncedAt time.Time
-	renewals    map[galenastair.RecordID]time.Time
-	renewedAt   time.Time
-	beatAt      time.Time
-	watcher     Incarnation
-
-	// promised and renewed hold until when this member may not declare another,
-	// by its own promises and by renewals that it has folded.
-	promised map[Incarnation]time.Time
-	renewed  map[Incarnation]time.Time
-	// heard holds the number of the newest heartbeat of a watched member.
-	heard    map[Incarnation]int64
-	beats    int64
-	watching watch
-	handed   handover
-	// declaring and admitting hold a lapse and an admission without a known outcome.
-	declaring *doubt
-	admitting *doubt
-
-	contact time.Time
-	gossip  gossip
-	absence absence
-	// askedAt is when this instance last asked to be admitted or wrote that it leaves.
-	askedAt   time.Time
-	foundedAt time.Time
-	attempt   int
-	stopping  bool
-	random    *rand.Rand
-	out       []Action
-}
-
-// watch is the duty that this member has as a watcher.
+	history *ownerHistory
+	lease   lease
+	// lastGrantSent is when the heartbeat was sent whose reply brought the last grant.
+	lastGrantSent time.Time
+	// shortenedAt is when this member last shortened a long lease. Long grants in replies to older
+	// heartbeats no longer count.
+	shortenedAt     time.Time
+	pendingRenewals map[galenastair.RecordID]time.Time
+	renewalSentAt   time.Time
+	heartbeatAt     time.Time
+	watcher         Incarnation
+
+	// grantedUntil and renewedUntil hold, by member, the time until which this member may not
+	// declare it lapsed: because of its own grants, and because of renewals that it has applied.
+	grantedUntil map[Incarnation]time.Time
+	renewedUntil map[Incarnation]time.Time
+	// lastSequence holds the highest heartbeat sequence received from each member.
+	lastSequence   map[Incarnation]int64
+	heartbeatCount int64
+	watching       watch
+	handover       outgoingHandover
+	// pendingLapse and pendingJoin are a Lapse and a Join whose outcome is not known yet.
+	pendingLapse *pendingRecord
+	pendingJoin  *pendingRecord
+
+	logContact time.Time
+	gossip     gossipState
+	evidence   deathEvidence
+	// requestedAt is when this instance last asked for admission or appended its Leave.
+	requestedAt    time.Time
+	bootstrappedAt time.Time
+	admitAttempts  int
+	stopping       bool
+	random         *rand.Rand
+	actions        []Action
+}
+
+// watch is this member's watch over the previous member of the ring.
 type watch struct {
 	watched Incarnation
 	epoch   galenastair.Epoch
 	since   time.Time
-	// released is when the words of all earlier watchers were known.
-	released time.Time
-	// claimed is until when the watched member has said that it may act without
-	// further promises of this watcher; zero until it has said so.
-	claimed time.Time
-	// heard is when its last heartbeat came, probed when its address was last asked.
-	heard, probed time.Time
+	// priorAckedAt is when all earlier watchers were known to have acknowledged the change of watcher.
+	priorAckedAt time.Time
+	// priorLeaseEnd is when the lease ends that the watched member held when it first addressed this
+	// watcher, as reported by that member or by the previous watcher; zero if not known yet.
+	priorLeaseEnd time.Time
+	// heartbeatAt is when its last heartbeat arrived; probedAt is when its address was last probed.
+	heartbeatAt, probedAt time.Time
 }
 
-// NewNode returns the machine of an instance that is no member yet; self needs
-// an id, a zone, a peer address and a token.
+// NewNode returns the node of an instance that is not a member yet. The fields ID,
+// AvailabilityZone, PeerAddress and Token of self must be set.
 func NewNode(self Member, timing Timing, now time.Time) *Node {
 	return newNode(self, timing, rules{}, now)
 }
@@ -77,113 +77,113 @@
 func newNode(self Member, timing Timing, r rules, now time.Time) *Node {
 	n := &Node{
 		self: self, timing: timing, rules: r,
-		renewals: make(map[galenastair.RecordID]time.Time),
-		promised: make(map[Incarnation]time.Time),
-		renewed:  make(map[Incarnation]time.Time),
-		heard:    make(map[Incarnation]int64),
-		gossip:   newGossip(),
-		absence:  newAbsence(),
-		random:   rand.New(rand.NewPCG(xxhash.Sum64String(self.Token), 0)),
+		pendingRenewals: make(map[galenastair.RecordID]time.Time),
+		grantedUntil:    make(map[Incarnation]time.Time),
+		renewedUntil:    make(map[Incarnation]time.Time),
+		lastSequence:    make(map[Incarnation]int64),
+		gossip:          newGossip(),
+		evidence:        newDeathEvidence(),
+		random:          rand.New(rand.NewPCG(xxhash.Sum64String(self.Token), 0)),
 	}
 	n.self.Incarnation = 0
 	n.state.rules = r
-	n.settling = newSettling(&n.state, timing.Promise, now)
+	n.history = newOwnerHistory(&n.state, timing.GrantDuration, now)
 	return n
 }
 
-// State returns the fold; its reader must run on the goroutine that drives the node.
+// State returns the applied state. It must only be read on the goroutine that drives the node.
 func (n *Node) State() *State { return &n.state }
 
-// Take returns the actions since the last call.
-func (n *Node) Take() []Action {
-	out := n.out
-	n.out = nil
+// DrainActions returns the actions requested since the last call.
+func (n *Node) DrainActions() []Action {
+	out := n.actions
+	n.actions = nil
 	return out
 }
 
-// Tick lets time pass; it is called several times in a heartbeat period.
+// Tick performs the time-based work. It must be called several times per heartbeat interval.
 func (n *Node) Tick(now time.Time) {
-	n.noteReleased(now)
-	n.settling.prune(now)
+	n.notePriorAcks(now)
+	n.history.prune(now)
 	n.gossip.expire(now)
 	if n.self.Incarnation == 0 {
-		n.tickOutside(now)
+		n.tickNonMember(now)
 		return
 	}
 	n.tickLease(now)
 	n.tickWatch(now)
-	n.tickDoubts(now)
-	n.tickStuck(now)
+	n.retryPending(now)
+	n.tickStalledWatch(now)
 	n.tickGossip(now)
 }
 
-// LogContact notes that the log has answered.
-func (n *Node) LogContact(now time.Time) { n.contact = later(n.contact, now) }
+// ObserveLogContact records that the log has answered.
+func (n *Node) ObserveLogContact(now time.Time) { n.logContact = later(n.logContact, now) }
 
-func (n *Node) logFresh(now time.Time) bool {
-	return !n.contact.IsZero() && now.Sub(n.contact) <= n.timing.Contact
+func (n *Node) logContactRecent(now time.Time) bool {
+	return !n.logContact.IsZero() && now.Sub(n.logContact) <= n.timing.LogContactMaxAge
 }
 
-// Restore replaces the fold by a snapshot's membership section.
+// Restore replaces the state by the membership section of a snapshot.
 func (n *Node) Restore(now time.Time, covers galenastair.Offset, raw []byte) error {
 	if err := n.state.Restore(covers, raw); err != nil {
 		return err
 	}
-	words := n.settling.words
-	n.settling = newSettling(&n.state, n.timing.Promise, now)
-	n.settling.self = n.self.Incarnation
-	n.settling.words = words
-	n.moved(now)
+	acks := n.history.acks
+	n.history = newOwnerHistory(&n.state, n.timing.GrantDuration, now)
+	n.history.self = n.self.Incarnation
+	n.history.acks = acks
+	n.ringChanged(now)
 	return nil
 }
 
-// Fold takes the record at an offset of the control stream.
-func (n *Node) Fold(now time.Time, offset galenastair.Offset, rec galenastair.Record) Verdict {
+// Apply applies the record at an offset of the control stream.
+func (n *Node) Apply(now time.Time, offset galenastair.Offset, rec galenastair.Record) ApplyResult {
 	epoch := n.state.Epoch
-	verdict := n.state.Apply(offset, rec)
-	if verdict == Applied && rec.Kind == KindRenew {
-		n.foldRenewal(now, rec)
+	result := n.state.Apply(offset, rec)
+	if result == Applied && rec.Kind == KindRenew {
+		n.applyRenewal(now, rec)
 	}
 	if n.state.Epoch != epoch {
-		n.settling.enter(n.state.View, now)
-		n.gossip.touch(now)
-		n.moved(now)
+		n.history.addView(n.state.View, now)
+		n.gossip.markChanged(now)
+		n.ringChanged(now)
 	}
-	return verdict
+	return result
 }
 
-// moved takes up the duties of a changed ring.
-func (n *Node) moved(now time.Time) {
-	n.findSelf(now)
-	n.settling.self = n.self.Incarnation
-	n.dropStaleDoubts()
-	n.takeUpWatch(now)
-	n.findWatcher(now)
-	n.lease.alone = n.alone()
-	n.forgetGone()
+// ringChanged updates everything that depends on the ring.
+func (n *Node) ringChanged(now time.Time) {
+	n.updateSelf(now)
+	n.history.self = n.self.Incarnation
+	n.dropStalePending()
+	n.beginWatch(now)
+	n.contactNewWatcher(now)
+	n.lease.soleMember = n.isSoleMember()
+	n.dropRemovedMembers()
 }
 
-// findSelf notes an own admission, known by the token, or the end of the own membership.
-func (n *Node) findSelf(now time.Time) {
+// updateSelf detects this instance's own admission, by its token, and the end of its membership.
+func (n *Node) updateSelf(now time.Time) {
 	if n.self.Incarnation != 0 && n.state.index(n.self.Incarnation) >= 0 {
 		return
 	}
 	n.self.Incarnation = 0
 	n.lease = lease{stopped: n.stopping}
-	n.promisedBy = time.Time{}
-	clear(n.renewals)
+	n.lastGrantSent = time.Time{}
+	clear(n.pendingRenewals)
 	for _, m := range n.state.Ring {
-		// Also while stopping: an admission that lands late must be left again.
+		// Also while stopping: after an admission that takes effect late, the instance must leave again.
 		if m.Token == n.self.Token {
 			n.self.Incarnation = m.Incarnation
-			n.promisedBy = now
-			n.gossip.touch(now)
+			n.lastGrantSent = now
+			n.gossip.markChanged(now)
 		}
 	}
 }
 
-// findWatcher turns to a new watcher at once rather than at the next heartbeat.
-func (n *Node) findWatcher(now time.Time) {
+// contactNewWatcher sends a heartbeat to a new watcher at once instead of at the next interval.
+func (n *Node) contactNewWatcher(now time.Time) {
 	watcher, _ := n.state.Watcher(n.self.Incarnation)
 	if watcher.Incarnation == n.watcher {
 		return
@@ -194,19 +194,19 @@
 	}
 }
 
-// Status returns what traffic may know.
+// Status returns an immutable snapshot for request handling.
 func (n *Node) Status(now time.Time) *Status {
 	leader, _ := n.state.View.Leader()
 	return &Status{
 		Self: n.self, View: n.state.View, Leader: leader, Fence: n.state.Fence,
-		Offset: n.state.Offset, Fleet: n.gossip.fleet(now), LogContact: n.contact, contact: n.timing.Contact,
-		lease: n.lease, settling: n.settling.clone(),
+		Offset: n.state.Offset, Fleet: n.gossip.fleet(now), LogContact: n.logContact, logContactMaxAge: n.timing.LogContactMaxAge,
+		lease: n.lease, history: n.history.clone(),
 	}
 }
 
-// Leave ends the own membership for good; the caller has already stopped its work.
+// Leave ends this instance's membership for good. The caller must have stopped all work that needs the lease.
 func (n *Node) Leave(now time.Time) {
-	// Stopped before the record is written: successors count from the record.
+	// The lease must end before the record is written, since the next owners count from the record.
 	n.stopping = true
 	n.lease.stopped = true
 	n.appendLeave(now)
@@ -216,20 +216,20 @@
 	if n.self.Incarnation == 0 {
 		return
 	}
-	n.askedAt = now
+	n.requestedAt = now
 	n.append(KindLeave, Leave{Incarnation: n.self.Incarnation})
-	n.release(now)
+	n.releaseLease(now)
 }
 
-// Left says whether the instance is no member after Leave.
+// Left reports whether the instance is not a member any more after Leave.
 func (n *Node) Left() bool { return n.stopping && n.self.Incarnation == 0 }
 
 func (n *Node) append(kind galenastair.RecordKind, body any) galenastair.RecordID {
 	rec, err := NewRecord(n.self.ID, kind, body)
 	if err != nil {
-		// The bodies are plain structs of strings and numbers, which always encode.
+		// The bodies are structs of strings and numbers, which can always be encoded.
 		panic(err)
 	}
-	n.out = append(n.out, Append{Record: rec})
+	n.actions = append(n.actions, Append{Record: rec})
 	return rec.ID
 }
--- a/member/node_admit.go
+++ b/member/node_admit.go
@@ -8,47 +8,48 @@
 	"galenastair"
 )
 
-// Admission is a member's answer to an instance that wants to join.
+// Admission is a member's reply to an instance that wants to join.
 type Admission string
 
-// The answers to an instance that wants to join.
+// The replies to an instance that wants to join.
 const (
-	// Admitting says that a record is on its way to the log.
-	Admitting Admission = "Admitting"
-	// Busy says that this member is in the middle of another change.
-	Busy Admission = "Busy"
-	// Taken says that an earlier incarnation is still in the ring; its watcher will end it.
-	Taken Admission = "Taken"
-	// NotHere says that this instance cannot admit anyone now.
-	NotHere Admission = "NotHere"
+	// AdmissionPending means that the Join record is being appended.
+	AdmissionPending Admission = "Admitting"
+	// AdmissionBusy means that another change by this member is pending.
+	AdmissionBusy Admission = "Busy"
+	// AdmissionDuplicate means that an earlier incarnation is still in the ring. Its watcher will
+	// declare it lapsed.
+	AdmissionDuplicate Admission = "Taken"
+	// AdmissionUnavailable means that this instance cannot admit anyone now.
+	AdmissionUnavailable Admission = "NotHere"
 )
 
-// Admit answers an instance that wants to join before this member.
+// Admit handles the request of an instance to join the ring before this member.
 func (n *Node) Admit(now time.Time, joiner Member) Admission {
-	if n.stopping || !n.holds(now) || !n.logFresh(now) {
-		return NotHere
+	if n.stopping || !n.holdsLease(now) || !n.logContactRecent(now) {
+		return AdmissionUnavailable
 	}
-	if n.state.taken(joiner.ID, joiner.PeerAddress) {
-		return Taken
+	if n.state.hasIDOrAddress(joiner.ID, joiner.PeerAddress) {
+		return AdmissionDuplicate
 	}
-	if n.admitting != nil && n.admitting.joiner.Token == joiner.Token {
-		return Admitting
+	if n.pendingJoin != nil && n.pendingJoin.joiner.Token == joiner.Token {
+		return AdmissionPending
 	}
-	if n.admitting != nil || n.declaring != nil {
-		return Busy
+	if n.pendingJoin != nil || n.pendingLapse != nil {
+		return AdmissionBusy
 	}
 	watched, _ := n.state.Watched(n.self.Incarnation)
-	if n.lease.alone && !n.rules.aloneWithAdmission {
-		// From here on the ring may hold another member that watches this one and
-		// that it does not know: the lease needs renewals until the outcome is read.
-		n.lease.alone = false
-		n.lease.until = now.Add(n.timing.Lease)
-		n.promisedBy = time.Time{}
+	if n.lease.soleMember && !n.rules.soleMemberWithPendingJoin {
+		// The ring may now get a member that watches this one without this one knowing. The
+		// lease therefore needs renewals until the outcome of the Join is known.
+		n.lease.soleMember = false
+		n.lease.until = now.Add(n.timing.LeaseDuration)
+		n.lastGrantSent = time.Time{}
 	}
-	n.admitting = n.doubtOf(watched, KindJoin, joinBefore(n.self.Incarnation, watched, joiner))
-	n.admitting.joiner = joiner
-	n.appendDoubt(now, n.admitting)
-	return Admitting
+	n.pendingJoin = n.newPendingRecord(watched, KindJoin, joinBefore(n.self.Incarnation, watched, joiner))
+	n.pendingJoin.joiner = joiner
+	n.appendPending(now, n.pendingJoin)
+	return AdmissionPending
 }
 
 func joinBefore(admitter Incarnation, watched, joiner Member) Join {
@@ -59,24 +60,24 @@
 	}
 }
 
-// admitYourself is what a joiner does in the model test when nobody has to admit it.
-func (n *Node) admitYourself(before Member) {
+// admitSelf appends this instance's own Join. Only the model test uses it, to show that it is unsafe.
+func (n *Node) admitSelf(before Member) {
 	watched, _ := n.state.Watched(before.Incarnation)
 	n.append(KindJoin, joinBefore(before.Incarnation, watched, n.self))
 }
 
-// admitters orders the members that a joiner may ask: first where its zone mends
-// a pair of neighbours in one zone, then where it stands between other zones.
-func admitters(v View, joiner Member) []Member {
-	type place struct {
+// admissionOrder orders the members that a joining instance may ask: first those where its zone
+// separates two neighbours of one zone, then those where both neighbours are in other zones.
+func admissionOrder(v View, joiner Member) []Member {
+	type candidate struct {
 		Member
 		cost  int
 		score uint64
 	}
-	var places []place
+	var candidates []candidate
 	for _, m := range v.Ring {
 		before, _ := v.Watched(m.Incarnation)
-		p := place{Member: m, cost: 1, score: score(joiner.Token, "place", string(m.ID))}
+		p := candidate{Member: m, cost: 1, score: score(joiner.Token, "place", string(m.ID))}
 		for _, z := range []galenastair.AvailabilityZone{before.AvailabilityZone, m.AvailabilityZone} {
 			if z == joiner.AvailabilityZone {
 				p.cost++
@@ -85,63 +86,63 @@
 		if p.cost == 1 && before.AvailabilityZone == m.AvailabilityZone {
 			p.cost = 0
 		}
-		places = append(places, p)
+		candidates = append(candidates, p)
 	}
-	slices.SortFunc(places, func(a, b place) int {
+	slices.SortFunc(candidates, func(a, b candidate) int {
 		return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.score, b.score))
 	})
-	out := make([]Member, len(places))
-	for i, p := range places {
+	out := make([]Member, len(candidates))
+	for i, p := range candidates {
 		out[i] = p.Member
 	}
 	return out
 }
 
-// tickOutside asks for admission, in turn, and collects evidence that all members are dead.
-func (n *Node) tickOutside(now time.Time) {
-	if n.stopping || !n.logFresh(now) {
+// tickNonMember asks the members for admission in turn and collects evidence that all of them are dead.
+func (n *Node) tickNonMember(now time.Time) {
+	if n.stopping || !n.logContactRecent(now) {
 		return
 	}
 	if len(n.state.Ring) == 0 {
-		if n.absence.lost.IsZero() || now.Sub(n.absence.lost) >= n.timing.Absence {
-			n.found(now)
+		if n.evidence.historyLostAt.IsZero() || now.Sub(n.evidence.historyLostAt) >= n.timing.DeadAfter {
+			n.bootstrap(now)
 		}
 		return
 	}
-	if now.Sub(n.askedAt) >= n.timing.Heartbeat {
-		n.askedAt = now
-		order := admitters(n.state.View, n.self)
-		n.out = append(n.out, AskAdmission{To: order[n.attempt%len(order)]})
-		if n.rules.admitYourself {
-			n.admitYourself(order[n.attempt%len(order)])
+	if now.Sub(n.requestedAt) >= n.timing.HeartbeatInterval {
+		n.requestedAt = now
+		order := admissionOrder(n.state.View, n.self)
+		n.actions = append(n.actions, AskAdmission{To: order[n.admitAttempts%len(order)]})
+		if n.rules.selfAdmission {
+			n.admitSelf(order[n.admitAttempts%len(order)])
 		}
 	}
-	n.probe(now)
+	n.probeIfDue(now)
 	if n.allDead(now) {
-		n.found(now)
+		n.bootstrap(now)
 	}
 }
 
-// AdmissionAnswered takes the answer of a member that was asked; one that
-// cannot admit now is passed over next time.
-func (n *Node) AdmissionAnswered(from Member, a Admission) {
-	n.absence.answered(from.Incarnation)
-	if a != Admitting {
-		n.attempt++
+// HandleAdmitReply handles the reply of a member that was asked for admission. If it cannot admit
+// now, the next member is asked.
+func (n *Node) HandleAdmitReply(from Member, a Admission) {
+	n.evidence.markReachable(from.Incarnation)
+	if a != AdmissionPending {
+		n.admitAttempts++
 	}
 }
 
-// AdmissionFailed notes that a member that was asked did not answer.
-func (n *Node) AdmissionFailed() { n.attempt++ }
+// HandleAdmitFailure records that a member that was asked for admission did not answer.
+func (n *Node) HandleAdmitFailure() { n.admitAttempts++ }
 
-// found writes the record that starts a ring of this instance alone.
-func (n *Node) found(now time.Time) {
-	if !n.foundedAt.IsZero() && now.Sub(n.foundedAt) < n.timing.Retry {
+// bootstrap appends the record that starts a new ring with this instance as its only member.
+func (n *Node) bootstrap(now time.Time) {
+	if !n.bootstrappedAt.IsZero() && now.Sub(n.bootstrappedAt) < n.timing.AppendRetryInterval {
 		return
 	}
-	n.foundedAt = now
-	n.append(KindFound, Found{
+	n.bootstrappedAt = now
+	n.append(KindBootstrap, Bootstrap{
 		ID: n.self.ID, AvailabilityZone: n.self.AvailabilityZone, PeerAddress: n.self.PeerAddress,
-		Token: n.self.Token, Epoch: n.state.Epoch, Last: n.state.Last,
+		Token: n.self.Token, Epoch: n.state.Epoch, Last: n.state.LastApplied,
 	})
 }
--- a/member/node_lease.go
+++ b/member/node_lease.go
@@ -6,126 +6,125 @@
 	"galenastair"
 )
 
-// tickLease asks the watcher for a promise, and turns to the log when it is silent.
+// tickLease requests a lease from the watcher, or renews through the log while the watcher does not answer.
 func (n *Node) tickLease(now time.Time) {
 	if n.stopping {
-		if now.Sub(n.askedAt) >= n.timing.Retry {
+		if now.Sub(n.requestedAt) >= n.timing.AppendRetryInterval {
 			n.appendLeave(now)
 		}
 		return
 	}
-	if now.Sub(n.beatAt) >= n.timing.Heartbeat {
+	if now.Sub(n.heartbeatAt) >= n.timing.HeartbeatInterval {
 		n.heartbeat(now)
 	}
-	silent := now.Sub(n.promisedBy) >= n.timing.Renew
-	if silent && !n.lease.alone && now.Sub(n.renewedAt) >= n.timing.Heartbeat {
+	silent := now.Sub(n.lastGrantSent) >= n.timing.RenewAfter
+	if silent && !n.lease.soleMember && now.Sub(n.renewalSentAt) >= n.timing.HeartbeatInterval {
 		n.renew(now)
 	}
 }
 
 func (n *Node) heartbeat(now time.Time) {
-	n.beatAt = now
+	n.heartbeatAt = now
 	if len(n.state.Ring) < 2 {
 		return
 	}
-	want := n.timing.Outage
-	if n.logFresh(now) {
-		want = n.timing.Lease
-		n.renounce(now)
+	requested := n.timing.OutageLeaseDuration
+	if n.logContactRecent(now) {
+		requested = n.timing.LeaseDuration
+		n.shortenLease(now)
 	}
-	n.ask(now, want)
+	n.requestLease(now, requested)
 }
 
-// release lets the watcher declare this stopped member as soon as the log answers: in an
-// outage the record that it leaves may never be written, and promises run for minutes.
-func (n *Node) release(now time.Time) {
+// releaseLease allows the watcher to declare this stopped member lapsed as soon as the log answers.
+// During an outage its Leave may never be written, and leases run for minutes.
+func (n *Node) releaseLease(now time.Time) {
 	if len(n.state.Ring) > 1 {
-		n.ask(now, 0)
+		n.requestLease(now, 0)
 	}
 }
 
-func (n *Node) ask(now time.Time, want time.Duration) {
+func (n *Node) requestLease(now time.Time, requested time.Duration) {
 	watcher, _ := n.state.Watcher(n.self.Incarnation)
 	me, _ := n.state.Find(n.self.Incarnation)
-	n.beats++
-	n.out = append(n.out, SendHeartbeat{To: watcher, Beat: Heartbeat{
-		From: n.self.Incarnation, To: watcher.Incarnation, Number: n.beats, Watch: me.WatchedSince, Sent: now,
-		Want: want, Claim: max(0, n.lease.until.Sub(now)),
+	n.heartbeatCount++
+	n.actions = append(n.actions, SendHeartbeat{To: watcher, Heartbeat: Heartbeat{
+		From: n.self.Incarnation, To: watcher.Incarnation, Sequence: n.heartbeatCount, WatchEpoch: me.WatchedSince, Sent: now,
+		Requested: requested, LeaseRemaining: max(0, n.lease.until.Sub(now)),
 	}})
 }
 
-// renounce gives up what is left of a long promise once the log is back, so that
-// a death after the outage is declared as fast as ever.
-func (n *Node) renounce(now time.Time) {
-	n.renouncedAt = now
-	if short := now.Add(n.timing.Lease); n.lease.until.After(short) {
+// shortenLease gives up the rest of a long lease once the log is back, so that a member that dies
+// after the outage is declared lapsed without delay.
+func (n *Node) shortenLease(now time.Time) {
+	n.shortenedAt = now
+	if short := now.Add(n.timing.LeaseDuration); n.lease.until.After(short) {
 		n.lease.until = short
 	}
 }
 
-// renew writes a renewal. It counts from here, not from when it is read back: the
-// watcher may have folded it long before this member does.
+// renew appends a renewal. The lease counts from here and not from when the record is read back,
+// since the watcher may have applied it long before this member does.
 func (n *Node) renew(now time.Time) {
-	n.renewedAt = now
+	n.renewalSentAt = now
 	id := n.append(KindRenew, Renew{Incarnation: n.self.Incarnation})
-	for old, sent := range n.renewals {
-		if now.Sub(sent) > n.timing.Lease {
-			delete(n.renewals, old)
+	for old, sent := range n.pendingRenewals {
+		if now.Sub(sent) > n.timing.LeaseDuration {
+			delete(n.pendingRenewals, old)
 		}
 	}
-	n.renewals[id] = now
+	n.pendingRenewals[id] = now
 }
 
-func (n *Node) foldRenewal(now time.Time, rec galenastair.Record) {
-	if sent, ok := n.renewals[rec.ID]; ok {
-		delete(n.renewals, rec.ID)
-		if n.rules.renewFromReceipt {
+func (n *Node) applyRenewal(now time.Time, rec galenastair.Record) {
+	if sent, ok := n.pendingRenewals[rec.ID]; ok {
+		delete(n.pendingRenewals, rec.ID)
+		if n.rules.renewalFromReceipt {
 			sent = now
 		}
-		n.extend(sent, n.timing.Lease)
+		n.extendLease(sent, n.timing.LeaseDuration)
 	}
-	inc := renewedBy(rec)
-	n.renewed[inc] = later(n.renewed[inc], now.Add(n.timing.Promise))
-	if n.declaring != nil && n.declaring.watched == inc {
-		// The lapse in doubt names an older renewal: it can no longer take effect.
-		n.declaring = nil
+	inc := renewalIncarnation(rec)
+	n.renewedUntil[inc] = later(n.renewedUntil[inc], now.Add(n.timing.GrantDuration))
+	if n.pendingLapse != nil && n.pendingLapse.watched == inc {
+		// The pending Lapse names an older renewal, so it can no longer take effect.
+		n.pendingLapse = nil
 	}
 }
 
-// Answered takes the reply to a heartbeat that was sent at a moment of this clock.
-// The promise counts from there: the watcher counts from its later reply, so that
-// no delay of the network or of this process stretches the lease.
+// HandleHeartbeatReply handles the reply to a heartbeat that was sent at a reading of this clock.
+// The lease counts from that reading. The watcher counts from its later reply, so a delay of the
+// network or of this process cannot extend the lease beyond the grant.
 //
-// Two kinds of answer no longer count: long ones to heartbeats from before a long
-// promise was given up, and those of a former watcher, since this member has told
-// the new one that it would not count on them. The model did not show a schedule
-// that needs the second rule where the first holds; it costs nothing.
-func (n *Node) Answered(now time.Time, beat Heartbeat, granted time.Duration) {
-	if granted <= 0 || beat.From != n.self.Incarnation {
+// Two kinds of reply are ignored: long grants for heartbeats sent before a long lease was
+// shortened, and replies of a former watcher, since this member has told the new one that it does
+// not rely on them. The second rule is a precaution; no schedule is known that needs it in addition
+// to the first.
+func (n *Node) HandleHeartbeatReply(now time.Time, hb Heartbeat, granted time.Duration) {
+	if granted <= 0 || hb.From != n.self.Incarnation {
 		return
 	}
-	if beat.Sent.Before(n.renouncedAt) && granted > n.timing.Lease && !n.rules.keepLongPromise {
+	if hb.Sent.Before(n.shortenedAt) && granted > n.timing.LeaseDuration && !n.rules.acceptOldLongGrant {
 		return
 	}
-	if beat.To != n.watcher {
+	if hb.To != n.watcher {
 		return
 	}
-	sent := beat.Sent
-	if n.rules.countFromReceipt {
+	sent := hb.Sent
+	if n.rules.leaseFromReceipt {
 		sent = now
 	}
-	n.promisedBy = later(n.promisedBy, sent)
-	n.extend(sent, granted)
+	n.lastGrantSent = later(n.lastGrantSent, sent)
+	n.extendLease(sent, granted)
 }
 
-func (n *Node) extend(sent time.Time, granted time.Duration) {
+func (n *Node) extendLease(sent time.Time, granted time.Duration) {
 	n.lease.until = later(n.lease.until, sent.Add(granted))
 }
 
-// alone says whether this member needs nobody's promise: no other member is in
-// the ring, and none can have entered it unknown to this one, since only this
-// one admits.
-func (n *Node) alone() bool {
+// isSoleMember reports whether this member needs no lease: the ring has no other member, and none
+// can have joined unknown to this one, since only this one can admit it.
+func (n *Node) isSoleMember() bool {
 	single := n.self.Incarnation != 0 && len(n.state.Ring) == 1
-	return single && (n.admitting == nil || n.rules.aloneWithAdmission)
+	return single && (n.pendingJoin == nil || n.rules.soleMemberWithPendingJoin)
 }
--- a/member/node_watch.go
+++ b/member/node_watch.go
@@ -7,69 +7,69 @@
 	"galenastair"
 )
 
-// doubt is a record of this member's duty as watcher whose outcome is not read back.
+// pendingRecord is a Lapse or Join by this member whose outcome has not been read back yet.
 //
-// The log may apply an append long after the answer was lost. The record names
-// the watch, so once the fold shows another watch it is void wherever it lands;
-// until then it is written again, since one landing makes all copies void.
-type doubt struct {
-	watched Incarnation
-	epoch   galenastair.Epoch
-	kind    galenastair.RecordKind
-	body    any
-	at      time.Time
-	// joiner is whom an admission is for.
+// The log may still apply an append long after its answer was lost. The record names the watch, so
+// it has no effect once the state shows another watch. Until then it is appended again: the first
+// copy that is applied makes all others ineffective.
+type pendingRecord struct {
+	watched    Incarnation
+	epoch      galenastair.Epoch
+	kind       galenastair.RecordKind
+	body       any
+	appendedAt time.Time
+	// joiner is the instance to admit, for a Join.
 	joiner Member
-	// appended and refused count its copies; when all were refused, no doubt is left.
-	appended map[galenastair.RecordID]bool
+	// copies holds the appended copies that were not refused. Once all are refused, the record is dropped.
+	copies map[galenastair.RecordID]bool
 }
 
-// Handover is what a watcher leaves to the one that took its watch: For is how long the promises to
-// the watched member may still run that any watcher gave before the epoch Watch.
+// Handover is what a previous watcher tells the next one. Remaining is how long the leases may
+// still run that any watcher granted to the watched member before the epoch WatchEpoch.
 type Handover struct {
-	Watched Incarnation
-	Watch   galenastair.Epoch
-	For     time.Duration
+	Watched    Incarnation
+	WatchEpoch galenastair.Epoch
+	Remaining  time.Duration
 }
 
-// handover is one that this member has to give, by its own clock.
-type handover struct {
+// outgoingHandover is the handover that this member has to give, by its own clock.
+type outgoingHandover struct {
 	watched Incarnation
 	epoch   galenastair.Epoch
 	until   time.Time
 }
 
-// handOver notes what to leave to the next watcher. Nothing is left while promises of still earlier
-// watchers may run.
-func (n *Node) handOver(now time.Time) {
+// prepareHandover prepares the handover to the next watcher. There is none while leases granted by
+// earlier watchers may still run.
+func (n *Node) prepareHandover(now time.Time) {
 	before := n.watching.watched
 	m, ok := n.state.Find(before)
-	if !ok || m.WatchedSince == n.watching.epoch || !n.watchSettled(now) && !n.rules.handOverUnsettled {
+	if !ok || m.WatchedSince == n.watching.epoch || !n.priorGrantsExpired(now) && !n.rules.handOverTooEarly {
 		return
 	}
-	n.handed = handover{watched: before, epoch: m.WatchedSince, until: later(n.watching.claimed, n.promised[before])}
-	if n.rules.handOverNoPromise {
-		n.handed.until = now
+	n.handover = outgoingHandover{watched: before, epoch: m.WatchedSince, until: later(n.watching.priorLeaseEnd, n.grantedUntil[before])}
+	if n.rules.handOverWithoutGrants {
+		n.handover.until = now
 	}
 }
 
-// Handover returns what this member leaves to the one that took its watch; zero if nothing.
+// Handover returns the handover for the member that took over this member's watch; zero if there is none.
 func (n *Node) Handover(now time.Time) Handover {
-	return Handover{Watched: n.handed.watched, Watch: n.handed.epoch, For: max(0, n.handed.until.Sub(now))}
+	return Handover{Watched: n.handover.watched, WatchEpoch: n.handover.epoch, Remaining: max(0, n.handover.until.Sub(now))}
 }
 
-// TakeOver takes in what the watcher before has left. A member that has died since cannot say it
-// itself, and would be waited for as long as any promise may run.
-func (n *Node) TakeOver(now time.Time, h Handover) {
-	if h.Watched == 0 || h.Watched != n.watching.watched || h.Watch != n.watching.epoch || !n.watching.claimed.IsZero() {
+// HandleHandover handles the handover of the previous watcher. Without it, a watched member that has
+// died, and so cannot report its remaining lease, would be waited for as long as the longest lease.
+func (n *Node) HandleHandover(now time.Time, h Handover) {
+	if h.Watched == 0 || h.Watched != n.watching.watched || h.WatchEpoch != n.watching.epoch || !n.watching.priorLeaseEnd.IsZero() {
 		return
 	}
-	n.watching.claimed = now.Add(n.stretch(h.For))
+	n.watching.priorLeaseEnd = now.Add(n.withDriftMargin(h.Remaining))
 }
 
-// takeUpWatch notes since when this member has its present watch.
-func (n *Node) takeUpWatch(now time.Time) {
-	n.handOver(now)
+// beginWatch starts a new watch if the watched member or its epoch has changed.
+func (n *Node) beginWatch(now time.Time) {
+	n.prepareHandover(now)
 	watched, ok := n.state.Watched(n.self.Incarnation)
 	if !ok {
 		n.watching = watch{}
@@ -81,227 +81,227 @@
 	n.watching = watch{watched: watched.Incarnation, epoch: watched.WatchedSince, since: now}
 }
 
-// Promise answers a heartbeat of another member: it binds this member not to
-// declare the sender for the time that it returns; zero is no promise.
+// HandleHeartbeat handles the heartbeat of another member. It returns the duration of the granted
+// lease, during which this member must not declare the sender lapsed; zero means no lease.
 //
-// Only a holder of a lease may promise: one declared lapsed is not waited for by
-// the next watcher beyond the time of a promise. None is given while an own lapse
-// is in doubt: it would revive a lease that the record may already have ended.
-func (n *Node) Promise(now time.Time, beat Heartbeat) time.Duration {
-	if beat.Want == 0 {
-		n.absence.released[beat.From] = true
+// Only a member that holds a lease itself may grant one: a member without one may have been declared
+// lapsed, and the next watcher waits for its grants no longer than GrantDuration. No lease is
+// granted while a Lapse of the sender is pending, since the grant would extend a membership that the
+// record may have ended already.
+func (n *Node) HandleHeartbeat(now time.Time, hb Heartbeat) time.Duration {
+	if hb.Requested == 0 {
+		n.evidence.leaseReleased[hb.From] = true
 		return 0
 	}
-	if !n.holds(now) && !n.rules.promiseWithoutLease {
+	if !n.holdsLease(now) && !n.rules.grantWithoutLease {
 		return 0
 	}
-	if n.stopping || beat.To != n.self.Incarnation || beat.From == beat.To || beat.From != n.watching.watched {
+	if n.stopping || hb.To != n.self.Incarnation || hb.From == hb.To || hb.From != n.watching.watched {
 		return 0
 	}
-	if n.declaring != nil && !n.rules.promiseWhileDeclaring {
+	if n.pendingLapse != nil && !n.rules.grantWhileLapsePending {
 		return 0
 	}
-	n.watching.heard = now
-	if n.watching.claimed.IsZero() && beat.Watch == n.watching.epoch {
-		n.watching.claimed = now.Add(n.stretch(beat.Claim))
-	}
-	granted := n.grant(now, beat)
-	newest := beat.Number > n.heard[beat.From] || n.rules.trustAnyOrder
-	n.heard[beat.From] = max(n.heard[beat.From], beat.Number)
-	if newest && beat.Want == n.timing.Lease {
-		// The sender has given up every longer promise. One that arrives late tells
-		// nothing about the promises given since.
-		n.promised[beat.From] = now.Add(n.timing.Promise)
+	n.watching.heartbeatAt = now
+	if n.watching.priorLeaseEnd.IsZero() && hb.WatchEpoch == n.watching.epoch {
+		n.watching.priorLeaseEnd = now.Add(n.withDriftMargin(hb.LeaseRemaining))
+	}
+	granted := n.grantDuration(now, hb)
+	newest := hb.Sequence > n.lastSequence[hb.From] || n.rules.acceptReorderedHeartbeat
+	n.lastSequence[hb.From] = max(n.lastSequence[hb.From], hb.Sequence)
+	if newest && hb.Requested == n.timing.LeaseDuration {
+		// The sender has given up every longer lease. A heartbeat that arrives out of order says
+		// nothing about the leases granted since.
+		n.grantedUntil[hb.From] = now.Add(n.timing.GrantDuration)
 		return granted
 	}
-	n.promised[beat.From] = later(n.promised[beat.From], now.Add(n.stretch(granted)))
+	n.grantedUntil[hb.From] = later(n.grantedUntil[hb.From], now.Add(n.withDriftMargin(granted)))
 	return granted
 }
 
-// grant gives a long promise only while neither side reaches the log: while
-// either does, a dead member should be declared soon.
-func (n *Node) grant(now time.Time, beat Heartbeat) time.Duration {
-	if beat.Want > n.timing.Lease && !n.logFresh(now) {
-		return n.timing.Outage
+// grantDuration returns the long duration only if neither side reaches the log. Otherwise a dead
+// member could be declared lapsed through the log, and that should not be delayed.
+func (n *Node) grantDuration(now time.Time, hb Heartbeat) time.Duration {
+	if hb.Requested > n.timing.LeaseDuration && !n.logContactRecent(now) {
+		return n.timing.OutageLeaseDuration
 	}
-	return n.timing.Lease
+	return n.timing.LeaseDuration
 }
 
-// stretch adds the margin for drift between two clocks.
-func (n *Node) stretch(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * float64(n.timing.Promise) / float64(n.timing.Lease))
+// withDriftMargin adds the margin for the drift between two clocks.
+func (n *Node) withDriftMargin(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * float64(n.timing.GrantDuration) / float64(n.timing.LeaseDuration))
 }
 
-func (n *Node) holds(now time.Time) bool {
+func (n *Node) holdsLease(now time.Time) bool {
 	return n.self.Incarnation != 0 && n.lease.holds(now)
 }
 
-// tickWatch declares the watched member once nothing that anyone promised it can still run.
+// tickWatch declares the watched member lapsed once no lease granted to it can still run.
 func (n *Node) tickWatch(now time.Time) {
 	m, ok := n.state.Find(n.watching.watched)
-	if !ok || m.Incarnation == n.self.Incarnation || n.declaring != nil || n.stopping {
+	if !ok || m.Incarnation == n.self.Incarnation || n.pendingLapse != nil || n.stopping {
 		return
 	}
-	ended := n.absence.replaced[m.Incarnation] || n.absence.released[m.Incarnation]
-	if !n.logFresh(now) || !ended && !n.promisesEnded(now, m) {
+	ended := n.evidence.replaced[m.Incarnation] || n.evidence.leaseReleased[m.Incarnation]
+	if !n.logContactRecent(now) || !ended && !n.grantsExpired(now, m) {
 		return
 	}
-	n.declaring = n.doubtOf(m, KindLapse, Lapse{
+	n.pendingLapse = n.newPendingRecord(m, KindLapse, Lapse{
 		Watcher: n.self.Incarnation, Incarnation: m.Incarnation,
 		WatchedSince: m.WatchedSince, Renewal: m.Renewal,
 	})
-	n.appendDoubt(now, n.declaring)
+	n.appendPending(now, n.pendingLapse)
 }
 
-// promisesEnded says whether nobody's promise to the watched member can still run.
+// grantsExpired reports whether no lease granted to the watched member can still run.
 //
-// Failure: a member is killed in an outage of the log, in which promises run for
-// minutes, and its new process waits at the same address. It showed as a region
-// without a leader, and models without a copy, for 97 s after the outage. A process
-// that answers there under another token ends the wait: the one that had the
-// promises has died. One that is only paused still has its address.
-func (n *Node) promisesEnded(now time.Time, m Member) bool {
-	ended := !now.Before(n.mayDeclare(m.Incarnation)) && n.watchSettled(now)
+// While leases may run, a silent member is also probed. Its process may have been killed during a
+// log outage, when leases run for minutes, and restarted at the same address, where the new process
+// waits for admission. Another token at that address shows that the process that held the lease has
+// died, while a process that is only paused still has its address. Without the probe, a region had
+// no leader, and models had no copy, for 97 s after an outage.
+func (n *Node) grantsExpired(now time.Time, m Member) bool {
+	ended := !now.Before(n.earliestLapse(m.Incarnation)) && n.priorGrantsExpired(now)
 	if !ended {
-		// also a watcher that has just taken over: it waits for what those before
-		// it can have promised
+		// This also applies to a watcher that has just taken over, which waits for the leases
+		// that its predecessors may have granted.
 		n.probeSilent(now, m)
 	}
 	return ended
 }
 
-// probeSilent asks who answers at the address of a watched member whose
-// heartbeats have stopped.
+// probeSilent probes the address of a watched member whose heartbeats have stopped.
 func (n *Node) probeSilent(now time.Time, m Member) {
-	silent := now.Sub(later(n.watching.heard, n.watching.since)) > n.timing.Promise
-	if !silent || now.Sub(n.watching.probed) < n.timing.Retry {
+	silent := now.Sub(later(n.watching.heartbeatAt, n.watching.since)) > n.timing.GrantDuration
+	if !silent || now.Sub(n.watching.probedAt) < n.timing.AppendRetryInterval {
 		return
 	}
-	n.watching.probed = now
-	n.out = append(n.out, Probe{To: m})
+	n.watching.probedAt = now
+	n.actions = append(n.actions, Probe{To: m})
 }
 
-// mayDeclare leaves a member that this one has just begun to watch the time of a
-// promise to find its watcher, and keeps the promises and renewals.
-func (n *Node) mayDeclare(inc Incarnation) time.Time {
-	begun := n.watching.since.Add(n.timing.Promise)
-	return later(later(begun, n.watching.claimed), later(n.promised[inc], n.renewed[inc]))
+// earliestLapse returns when the member may be declared lapsed at the earliest: after all known
+// grants and renewals, and after the member had GrantDuration to find its new watcher.
+func (n *Node) earliestLapse(inc Incarnation) time.Time {
+	begun := n.watching.since.Add(n.timing.GrantDuration)
+	return later(later(begun, n.watching.priorLeaseEnd), later(n.grantedUntil[inc], n.renewedUntil[inc]))
 }
 
-// watchSettled says whether no promise of an earlier watcher can still run. The
-// watched member itself may have said how long it acts on them. If it has not, it
-// may be dead, or lag and count on an earlier watcher: then the words of the
-// earlier watchers must be known, and the longest promise that they can have
-// given must end. A member that this one has watched since it joined had none.
-func (n *Node) watchSettled(now time.Time) bool {
-	if !n.watching.claimed.IsZero() {
+// priorGrantsExpired reports whether no lease granted by an earlier watcher can still run. The
+// remaining lease may be known from the watched member itself or from a handover. Otherwise the
+// member may be dead, or it may lag behind and rely on an earlier watcher. Then all earlier watchers
+// must have acknowledged the change, and after that the longest lease that they can have granted
+// must have ended. A member that this one has watched since it joined had no earlier watcher.
+func (n *Node) priorGrantsExpired(now time.Time) bool {
+	if !n.watching.priorLeaseEnd.IsZero() {
 		return true
 	}
-	longest := n.stretch(n.timing.Outage)
+	longest := n.withDriftMargin(n.timing.OutageLeaseDuration)
 	first := n.watching.epoch == galenastair.Epoch(n.watching.watched)
-	if first || n.rules.shortTakeover {
-		longest = n.timing.Promise
+	if first || n.rules.takeOverAfterShortGrant {
+		longest = n.timing.GrantDuration
 	}
-	released := n.watching.released
+	released := n.watching.priorAckedAt
 	return !released.IsZero() && !now.Before(released.Add(longest))
 }
 
-// noteReleased notes the first moment at which the words of all earlier watchers are known.
-func (n *Node) noteReleased(now time.Time) {
-	if n.self.Incarnation == 0 || !n.watching.released.IsZero() {
+// notePriorAcks records when all earlier watchers are first known to have acknowledged the change.
+func (n *Node) notePriorAcks(now time.Time) {
+	if n.self.Incarnation == 0 || !n.watching.priorAckedAt.IsZero() {
 		return
 	}
-	at, ok := n.settling.settledWithout(watchDuty(n.watching.watched), 0, n.absence.gone)
+	at, ok := n.history.releasedSince(watcherOf(n.watching.watched), 0, n.evidence.deadSince)
 	if ok && !now.Before(at) {
-		n.watching.released = now
+		n.watching.priorAckedAt = now
 	}
 }
 
-// tickStuck collects evidence when the watch waits for the word of an earlier
-// watcher that may be dead while its own watcher is dead too.
-func (n *Node) tickStuck(now time.Time) {
+// tickStalledWatch collects evidence of death while the watch waits for the ack of an earlier
+// watcher that may be dead together with its own watcher.
+func (n *Node) tickStalledWatch(now time.Time) {
 	m, ok := n.state.Find(n.watching.watched)
-	if !ok || m.Incarnation == n.self.Incarnation || n.stopping || !n.logFresh(now) {
+	if !ok || m.Incarnation == n.self.Incarnation || n.stopping || !n.logContactRecent(now) {
 		return
 	}
-	overdue := now.After(n.mayDeclare(m.Incarnation).Add(n.timing.Promise))
-	if !overdue || !n.watching.released.IsZero() || n.watchSettled(now) {
+	overdue := now.After(n.earliestLapse(m.Incarnation).Add(n.timing.GrantDuration))
+	if !overdue || !n.watching.priorAckedAt.IsZero() || n.priorGrantsExpired(now) {
 		return
 	}
-	n.probe(now)
+	n.probeIfDue(now)
 	for _, m := range n.state.Ring {
-		if n.absence.dead(m.Incarnation, now, n.timing) && n.absence.gone[m.Incarnation].IsZero() {
-			n.absence.gone[m.Incarnation] = now
+		if n.evidence.dead(m.Incarnation, now, n.timing) && n.evidence.deadSince[m.Incarnation].IsZero() {
+			n.evidence.deadSince[m.Incarnation] = now
 		}
 	}
 }
 
-func (n *Node) doubtOf(m Member, kind galenastair.RecordKind, body any) *doubt {
-	return &doubt{
+func (n *Node) newPendingRecord(m Member, kind galenastair.RecordKind, body any) *pendingRecord {
+	return &pendingRecord{
 		watched: m.Incarnation, epoch: m.WatchedSince, kind: kind, body: body,
-		appended: make(map[galenastair.RecordID]bool),
+		copies: make(map[galenastair.RecordID]bool),
 	}
 }
 
-func (n *Node) appendDoubt(now time.Time, d *doubt) {
-	d.at = now
-	d.appended[n.append(d.kind, d.body)] = true
+func (n *Node) appendPending(now time.Time, p *pendingRecord) {
+	p.appendedAt = now
+	p.copies[n.append(p.kind, p.body)] = true
 }
 
-// tickDoubts writes records without an outcome again while the log answers.
-func (n *Node) tickDoubts(now time.Time) {
-	if n.overdue(n.admitting, now) && len(n.state.Ring) > 1 {
-		// Beside other members a late admission does no harm, and the joiner asks again.
-		n.admitting = nil
-	}
-	for _, d := range []*doubt{n.declaring, n.admitting} {
-		if n.overdue(d, now) && n.logFresh(now) {
-			n.appendDoubt(now, d)
+// retryPending appends pending records again while the log answers.
+func (n *Node) retryPending(now time.Time) {
+	if n.retryDue(n.pendingJoin, now) && len(n.state.Ring) > 1 {
+		// With other members in the ring a late Join does no harm, and the joining instance asks again.
+		n.pendingJoin = nil
+	}
+	for _, p := range []*pendingRecord{n.pendingLapse, n.pendingJoin} {
+		if n.retryDue(p, now) && n.logContactRecent(now) {
+			n.appendPending(now, p)
 		}
 	}
 }
 
-func (n *Node) overdue(d *doubt, now time.Time) bool {
-	return d != nil && now.Sub(d.at) >= n.timing.Retry
+func (n *Node) retryDue(p *pendingRecord, now time.Time) bool {
+	return p != nil && now.Sub(p.appendedAt) >= n.timing.AppendRetryInterval
 }
 
-// dropStaleDoubts ends the doubts about a watch that the fold has replaced.
-func (n *Node) dropStaleDoubts() {
+// dropStalePending drops the pending records that name a watch which has changed.
+func (n *Node) dropStalePending() {
 	watched, ok := n.state.Watched(n.self.Incarnation)
-	stale := func(d *doubt) bool {
-		return d != nil && (!ok || d.watched != watched.Incarnation || d.epoch != watched.WatchedSince)
+	stale := func(p *pendingRecord) bool {
+		return p != nil && (!ok || p.watched != watched.Incarnation || p.epoch != watched.WatchedSince)
 	}
-	if stale(n.declaring) {
-		n.declaring = nil
+	if stale(n.pendingLapse) {
+		n.pendingLapse = nil
 	}
-	if stale(n.admitting) || n.admittedElsewhere() {
-		n.admitting = nil
+	if stale(n.pendingJoin) || n.admittedByOther() {
+		n.pendingJoin = nil
 	}
 }
 
-func (n *Node) admittedElsewhere() bool {
-	d := n.admitting
-	return d != nil && len(n.state.Ring) > 1 && n.state.taken(d.joiner.ID, d.joiner.PeerAddress)
+func (n *Node) admittedByOther() bool {
+	p := n.pendingJoin
+	return p != nil && len(n.state.Ring) > 1 && n.state.hasIDOrAddress(p.joiner.ID, p.joiner.PeerAddress)
 }
 
-// AppendRefused notes that an append certainly took no effect.
-func (n *Node) AppendRefused(id galenastair.RecordID) {
-	delete(n.renewals, id)
-	if d := n.declaring; d != nil && d.forget(id) {
-		n.declaring = nil
+// HandleAppendRefused records that an append certainly had no effect.
+func (n *Node) HandleAppendRefused(id galenastair.RecordID) {
+	delete(n.pendingRenewals, id)
+	if p := n.pendingLapse; p != nil && p.removeCopy(id) {
+		n.pendingLapse = nil
 	}
-	if d := n.admitting; d != nil && d.forget(id) {
-		n.admitting = nil
-		n.lease.alone = n.alone()
+	if p := n.pendingJoin; p != nil && p.removeCopy(id) {
+		n.pendingJoin = nil
+		n.lease.soleMember = n.isSoleMember()
 	}
 }
 
-func (d *doubt) forget(id galenastair.RecordID) bool {
-	delete(d.appended, id)
-	return len(d.appended) == 0
+func (p *pendingRecord) removeCopy(id galenastair.RecordID) bool {
+	delete(p.copies, id)
+	return len(p.copies) == 0
 }
 
-func renewedBy(rec galenastair.Record) Incarnation {
+func renewalIncarnation(rec galenastair.Record) Incarnation {
 	var r Renew
 	if err := json.Unmarshal(rec.Body, &r); err != nil {
 		return 0
--- a/member/option.go
+++ b/member/option.go
@@ -13,23 +13,24 @@
 	"galenastair/peer/memberpb"
 )
 
-// Fold is another fold of the control stream; all its methods run on the control loop.
-type Fold interface {
+// StateMachine is a further state machine driven by the control stream. Its methods run on the control loop.
+type StateMachine interface {
 	// Name is the name of its section in snapshots.
 	Name() string
-	// Apply takes a record and the membership state right after its offset; a
-	// record by a member that has lapsed before finds no such member in it.
+	// Apply applies a record. The membership state is the one right after the record's offset,
+	// so the author of the record is not in its ring if it has been declared lapsed before.
 	Apply(now time.Time, offset galenastair.Offset, rec galenastair.Record, state *State)
-	// Snapshot returns its state.
+	// Snapshot returns the encoded state.
 	Snapshot() (json.RawMessage, error)
-	// Restore replaces its state by a section that covers the records before an offset; raw is nil if the snapshot has none.
+	// Restore replaces the state by a snapshot section that covers the records before an offset.
+	// The section is nil if the snapshot has none.
 	Restore(now time.Time, covers galenastair.Offset, raw json.RawMessage) error
 }
 
-// Option sets up a Runtime.
+// Option configures a Runtime.
 type Option func(*Runtime)
 
-// WithInstance sets who this instance is and where its peers reach it.
+// WithInstance sets the identity of this instance and the address at which its peers reach it.
 func WithInstance(id galenastair.InstanceID, zone galenastair.AvailabilityZone, peerAddress string) Option {
 	return func(r *Runtime) {
 		r.self.ID = id
@@ -38,47 +39,51 @@
 	}
 }
 
-// WithRegion sets the control domain.
+// WithRegion sets the region whose control stream is used.
 func WithRegion(region galenastair.Region) Option {
 	return func(r *Runtime) { r.stream = galenastair.ControlStream(region) }
 }
 
-// WithLoop sets the loop that owns the control state; the caller runs it.
+// WithLoop sets the loop that owns the control state. The caller runs it.
 func WithLoop(l *control.Loop) Option { return func(r *Runtime) { r.loop = l } }
 
 // WithClock sets the clock.
 func WithClock(c galenastair.Clock) Option { return func(r *Runtime) { r.clock = c } }
 
-// WithInstanceList sets the platform's list, which a cold start consults.
+// WithInstanceList sets the platform's list of instances, which is read on a cold start.
 func WithInstanceList(l galenastair.InstanceList) Option { return func(r *Runtime) { r.list = l } }
 
-// WithTiming sets the periods of the protocol; all instances need the same.
+// WithTiming sets the timing of the protocol. All instances must use the same.
 func WithTiming(t Timing) Option { return func(r *Runtime) { r.timing = t } }
 
-// WithLogger sets where changes of membership are logged.
+// WithLogger sets the logger for changes of membership.
 func WithLogger(l log.Logger) Option { return func(r *Runtime) { r.logger = l } }
 
-// WithRegisterer sets where metrics are registered.
+// WithRegisterer sets the registerer of the metrics.
 func WithRegisterer(p prometheus.Registerer) Option { return func(r *Runtime) { r.registerer = p } }
 
-// WithConfigurationOffset sets how to read the configuration offset of this instance.
+// WithConfigurationOffset sets the function that returns this instance's configuration offset.
 func WithConfigurationOffset(offset func() galenastair.Offset) Option {
 	return func(r *Runtime) { r.configuration = offset }
 }
 
-// WithFold adds another fold of the control stream.
-func WithFold(f Fold) Option { return func(r *Runtime) { r.folds = append(r.folds, f) } }
+// WithStateMachine adds a state machine that is driven by the control stream.
+func WithFold(f StateMachine) Option {
+	return func(r *Runtime) { r.stateMachines = append(r.stateMachines, f) }
+}
 
-// WithOnChange sets what runs on the control loop after each change of epoch or own membership.
+// WithOnChange sets a callback that runs on the control loop after each change of the epoch or of
+// this instance's membership.
 func WithOnChange(f func(*Status)) Option { return func(r *Runtime) { r.onChange = f } }
 
 // WithSnapshotPeriod sets how often the leader writes a snapshot.
 func WithSnapshotPeriod(d time.Duration) Option { return func(r *Runtime) { r.snapshotPeriod = d } }
 
-// WithTransport sets how connections to a peer are made; each failure asks for a fresh one.
+// WithTransport sets the factory of HTTP transports. A new transport is made for each peer, and
+// again after each failed call.
 func WithTransport(t func() *http.Transport) Option { return func(r *Runtime) { r.transport = t } }
 
-// WithDial replaces the twirp client of a peer address, for tests without sockets.
+// WithDial replaces the Twirp client of a peer address, for tests without sockets.
 func WithDial(dial func(address string) memberpb.Member) Option {
 	return func(r *Runtime) { r.dial = dial }
 }
--- a/member/peers.go
+++ b/member/peers.go
@@ -10,18 +10,18 @@
 	"galenastair/peer/memberpb"
 )
 
-// idleTimeout lets connections to members outside the ring order go soon.
-const idleTimeout = 5 * time.Second
+// idleConnTimeout is short because most calls to members that are not neighbours are not repeated soon.
+const idleConnTimeout = 5 * time.Second
 
 func newTransport() *http.Transport {
 	dialer := &net.Dialer{Timeout: time.Second}
 	return &http.Transport{
 		DialContext: dialer.DialContext, MaxIdleConnsPerHost: 1,
-		IdleConnTimeout: idleTimeout, DisableCompression: true,
+		IdleConnTimeout: idleConnTimeout, DisableCompression: true,
 	}
 }
 
-// peers keeps one client and its connections for each peer address.
+// peers holds a client with its own connections for each peer address.
 type peers struct {
 	transport func() *http.Transport
 	dial      func(address string) memberpb.Member
@@ -57,11 +57,11 @@
 	return &peerClient{memberpb.NewMemberProtobufClient("http://"+address, &http.Client{Transport: t}), t}
 }
 
-// drop forgets a client, so that the next call opens a connection of its own.
+// drop removes a client after a failed call, so that the next call opens a new connection.
 //
-// Failure: something between two instances loses track of a connection. It shows
-// as calls that time out for good while new connections work. Since every failed
-// call drops all connections to the peer, the next heartbeat, a second later and
+// If a firewall or another device between two instances drops the state of a connection, calls on
+// it time out indefinitely while new connections work. By dropping all connections to the peer, the
+// next heartbeat, a second later and within the lease, uses a new one.
 // within the lease, starts on a new one.
 func (p *peers) drop(address string, c *peerClient) {
 	p.mu.Lock()
@@ -72,8 +72,8 @@
 	c.close()
 }
 
-// keep forgets the clients of all who are not in the ring.
-func (p *peers) keep(ring []Member) {
+// retain removes the clients of all members that are not in the ring.
+func (p *peers) retain(ring []Member) {
 	present := make(map[string]bool, len(ring))
 	for _, m := range ring {
 		present[m.PeerAddress] = true
@@ -88,7 +88,7 @@
 	}
 }
 
-func (p *peers) close() { p.keep(nil) }
+func (p *peers) close() { p.retain(nil) }
 
 func (c *peerClient) close() {
 	if c.transport != nil {
@@ -96,11 +96,11 @@
 	}
 }
 
-// call makes one call with a timeout and gives up the connections of a peer that fails it.
+// call makes one call with a timeout and drops the peer's connections if it fails.
 func call[Q, A any](ctx context.Context, r *Runtime, to Member, req Q,
 	method func(memberpb.Member, context.Context, Q) (A, error),
 ) (A, error) {
-	ctx, cancel := context.WithTimeout(ctx, r.timing.Timeout)
+	ctx, cancel := context.WithTimeout(ctx, r.timing.CallTimeout)
 	defer cancel()
 	c := r.peers.client(to.PeerAddress)
 	reply, err := method(c.Member, ctx, req)
--- a/member/rank_test.go
+++ b/member/rank_test.go
@@ -11,7 +11,7 @@
 	"galenastair"
 )
 
-func someMembers(n, zones int) []Member {
+func testMembers(n, zones int) []Member {
 	var out []Member
 	for i := range n {
 		out = append(out, Member{
@@ -22,26 +22,26 @@
 	return out
 }
 
-// TestRank checks that pick agrees with Rank, that neighbours among the first
-// slots differ in zone, and that a death moves only the slots of its own zone.
+// memberAtRank must agree with Rank, neighbours among the first slots must differ in zone, and the
+// death of a member must move only its own slots.
 func TestRank(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.New(t)
 		zones := rapid.IntRange(1, 10).Draw(t, "zones")
-		members := someMembers(rapid.IntRange(2*zones, 60).Draw(t, "members"), zones)
+		members := testMembers(rapid.IntRange(2*zones, 60).Draw(t, "members"), zones)
 		key := rapid.String().Draw(t, "key")
 		ranked := Rank(members, key)
 		dead := rapid.IntRange(0, len(members)-1).Draw(t, "dead")
 		rest := slices.Concat(members[:dead], members[dead+1:])
 		for slot := range ranked {
-			m, ok := pick(members, key, slot)
+			m, ok := memberAtRank(members, key, slot)
 			is.True(ok)
 			is.Equal(m, ranked[slot])
 			if slot > 0 && slot < zones {
 				is.True(ranked[slot-1].AvailabilityZone != m.AvailabilityZone)
 			}
 			if slot < zones && m != members[dead] {
-				moved, _ := pick(rest, key, slot)
+				moved, _ := memberAtRank(rest, key, slot)
 				is.Equal(moved, m)
 			}
 		}
@@ -49,8 +49,8 @@
 }
 
 func BenchmarkServes(b *testing.B) {
-	s := &Status{Self: Member{Incarnation: 1}, View: View{Epoch: 60, Ring: someMembers(53, 2)}, lease: lease{alone: true}}
-	s.settling = &settling{views: []View{s.View}}
+	s := &Status{Self: Member{Incarnation: 1}, View: View{Epoch: 60, Ring: testMembers(53, 2)}, lease: lease{soleMember: true}}
+	s.history = &ownerHistory{views: []View{s.View}}
 	b.ReportAllocs()
 	for b.Loop() {
 		s.Serves("some organisation", 1, modelStart)
--- a/member/reach.go
+++ b/member/reach.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// Reach says what a member knows about the platform's log.
-type Reach string
+// LogReachability is what a member knows about the availability of the platform's log.
+type LogReachability string
 
-// What a member can know about the log.
+// The values of LogReachability.
 const (
-	// Reached says that this instance reads the log.
-	Reached Reach = "Reached"
-	// OutOfReach says that others read the log and this instance does not: it is
-	// cut off, and should take records from its peers.
-	OutOfReach Reach = "OutOfReach"
-	// Down says that nobody heard of reads the log: nothing new can have been
-	// accepted there, as far as anyone who can be heard of knows.
-	Down Reach = "Down"
+	// LogReachable means that this instance reads the log.
+	Reached LogReachability = "Reached"
+	// LogUnreachable means that other members read the log and this instance does not. It should
+	// take records from its peers.
+	LogUnreachable LogReachability = "OutOfReach"
+	// LogDown means that no known member reads the log, so no new record is known to have been
+	// accepted.
+	LogDown LogReachability = "Down"
 )
 
-// LogReach tells a log that is down for all from one that only this instance does not reach.
+// LogReachability distinguishes a log that is down for all members from one that only this instance
+// cannot reach.
 //
-// A group cut off together from the log and the rest takes it for Down. It can
-// not go on for long on an old configuration: the last of the group along the
-// ring has a watcher outside and loses its lease, a member without a lease
-// promises nothing, and so the leases of the group end one after the other, each
-// within a lease of the next. Where neighbours are in different zones, a zone
-// that is cut off has lost all its leases after one.
-func (s *Status) LogReach(now time.Time) Reach {
+// Members that are cut off together from the log and from all other members see LogDown. They
+// cannot act on an old configuration for long: the last of them along the ring has a watcher
+// outside the group and loses its lease. A member without a lease grants none, so the leases of the
+// group end one after the other, each within one lease duration of the next. If neighbours are in
+// different zones, all members of a zone that is cut off lose their leases within one duration.
+func (s *Status) LogReach(now time.Time) LogReachability {
 	switch {
-	case !s.LogContact.IsZero() && now.Sub(s.LogContact) <= s.contact:
+	case !s.LogContact.IsZero() && now.Sub(s.LogContact) <= s.logContactMaxAge:
 		return Reached
-	case s.Fleet.LogContact.Sub(s.LogContact) > s.contact:
-		return OutOfReach
+	case s.Fleet.LogContact.Sub(s.LogContact) > s.logContactMaxAge:
+		return LogUnreachable
 	default:
-		return Down
+		return LogDown
 	}
 }
--- a/member/reach_test.go
+++ b/member/reach_test.go
@@ -11,15 +11,15 @@
 	ago := func(d time.Duration) time.Time { return modelStart.Add(-d) }
 	for _, c := range []struct {
 		own, others time.Time
-		want        Reach
+		want        LogReachability
 	}{
 		{ago(time.Second), ago(time.Hour), Reached},
-		{ago(time.Minute), ago(time.Second), OutOfReach},
-		{time.Time{}, ago(time.Second), OutOfReach},
-		{ago(time.Minute), ago(time.Minute), Down},
-		{time.Time{}, time.Time{}, Down},
+		{ago(time.Minute), ago(time.Second), LogUnreachable},
+		{time.Time{}, ago(time.Second), LogUnreachable},
+		{ago(time.Minute), ago(time.Minute), LogDown},
+		{time.Time{}, time.Time{}, LogDown},
 	} {
-		s := Status{LogContact: c.own, Fleet: Fleet{LogContact: c.others}, contact: DefaultTiming().Contact}
+		s := Status{LogContact: c.own, Fleet: Fleet{LogContact: c.others}, logContactMaxAge: DefaultTiming().LogContactMaxAge}
 		is.New(t).Equal(s.LogReach(modelStart), c.want)
 	}
 }
--- a/member/restart_test.go
+++ b/member/restart_test.go
@@ -7,52 +7,51 @@
 	"github.com/matryer/is"
 )
 
-// The leader is killed while the log is down, in which promises run for minutes,
-// and its process is started again at the same address at once. Its region had no
-// leader, and models of engines that died had no copy, until the long promise had
-// run out: 53 s and more (make proof SEED=1, 70 s). The new process that answers
-// at the address says that the old one is gone.
-// Seen failing without probeSilent: no member more within the time of a promise.
-func TestRestartInAnOutageIsAdmittedSoonAfterIt(t *testing.T) {
+// The leader is killed during a log outage, when leases run for minutes, and its process restarts at
+// the same address at once. The region would have no leader, and models of failed engines no copy,
+// until the long lease has ended, 53 s or more later. A probe of the address shows that the process
+// that held the lease has died.
+func TestRestartDuringLogOutageIsAdmittedSoonAfter(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	l, timing := newFakeLog(), quick()
-	timing.Outage = time.Minute
+	l, timing := newFakeLog(), fastTiming()
+	timing.OutageLeaseDuration = time.Minute
 	all := startThree(t, l, WithTiming(timing))
 	l.setDown(true)
-	time.Sleep(quick().Contact + followWait + 3*quick().Heartbeat) // promises are long by now
+	time.Sleep(fastTiming().LogContactMaxAge + readWait + 3*fastTiming().HeartbeatInterval) // leases are long from here on
 	old := all[1]
 	address := old.server.Listener.Addr().String()
 	old.kill()
-	again := startAt(t, address, l, "b", 1, WithTiming(timing))
+	again := startInstanceAt(t, address, l, "b", 1, WithTiming(timing))
 	l.setDown(false)
 	begin := time.Now()
 	eventually(t, "the new process is a member", func() bool {
 		return again.Status().Self.Incarnation != 0 && again.Status().Holds(time.Now())
 	})
-	is.True(time.Since(begin) < timing.Outage/4)
+	is.True(time.Since(begin) < timing.OutageLeaseDuration/4)
 }
 
-// A member that was told to stop while the log is down, and whose leave is lost, stays next in
-// line for each duty until the promise for an outage ends.
+// A member is stopped during a log outage and its Leave is lost. It would stay in the ring, and remain
+// an owner of its roles, until its long lease has ended.
 func TestStopInAnOutageIsDeclaredSoonAfterIt(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	l, timing := newFakeLog(), quick()
-	timing.Outage = time.Minute
+	l, timing := newFakeLog(), fastTiming()
+	timing.OutageLeaseDuration = time.Minute
 	all := startThree(t, l, WithTiming(timing))
 	l.setDown(true)
-	time.Sleep(quick().Contact + followWait + 3*quick().Heartbeat) // promises are long by now
+	time.Sleep(fastTiming().LogContactMaxAge + readWait + 3*fastTiming().HeartbeatInterval) // leases are long from here on
 	is.True(all[1].Leave(t.Context()) != nil)
 	all[1].kill()
 	l.setDown(false)
 	begin := time.Now()
-	eventually(t, "the stopped member is declared", func() bool { return all[0].members() == 2 })
-	is.True(time.Since(begin) < timing.Outage/4)
+	eventually(t, "the stopped member is declared lapsed", func() bool { return all[0].members() == 2 })
+	is.True(time.Since(begin) < timing.OutageLeaseDuration/4)
 }
 
-// A member dies, and a new one takes its watch from a living watcher right after: it waited for the
-// longest promise that there is, two minutes in which a region had no leader.
+// A member dies, and right after that a new member takes over its watch from a living watcher. Without
+// the handover the new watcher would wait for the longest possible lease, two minutes in which a region
+// may have no leader.
 func TestDeadMemberUnderANewWatcherIsDeclaredSoon(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -62,10 +61,10 @@
 		m.run(2 * time.Second)
 		m.start(1)
 		m.run(10 * time.Second)
-		m.at(0).dead = true
+		m.processAt(0).dead = true
 		m.start(2)
 		m.run(m.now + 15*time.Second)
 		is.Equal(m.failure, "")
-		is.True(m.settledRing())
+		is.True(m.converged())
 	}
 }
--- a/member/rules.go
+++ b/member/rules.go
@@ -1,21 +1,21 @@
 package member
 
-// rules switches single rules off, so that the model test can show that it
-// catches their absence; all are off outside that test.
+// rules disables single safety rules, so that the model test can verify that it detects their
+// absence. All fields are false outside that test.
 type rules struct {
-	admitYourself         bool
-	acceptStaleAdmission  bool
-	countAnyWord          bool
-	promiseWhileDeclaring bool
-	aloneWithAdmission    bool
-	settleByTimeAlone     bool
-	countFromReceipt      bool
-	renewFromReceipt      bool
-	promiseWithoutLease   bool
-	lapseOverRenewal      bool
-	keepLongPromise       bool
-	shortTakeover         bool
-	trustAnyOrder         bool
-	handOverUnsettled     bool
-	handOverNoPromise     bool
+	selfAdmission             bool
+	acceptStaleJoin           bool
+	acceptAnyAck              bool
+	grantWhileLapsePending    bool
+	soleMemberWithPendingJoin bool
+	takeOverByTimeOnly        bool
+	leaseFromReceipt          bool
+	renewalFromReceipt        bool
+	grantWithoutLease         bool
+	lapseDespiteRenewal       bool
+	acceptOldLongGrant        bool
+	takeOverAfterShortGrant   bool
+	acceptReorderedHeartbeat  bool
+	handOverTooEarly          bool
+	handOverWithoutGrants     bool
 }
--- a/member/runtime.go
+++ b/member/runtime.go
@@ -18,13 +18,14 @@
 	"galenastair/peer/memberpb"
 )
 
-// PathPrefix is where Handler expects to be mounted among the peers' services.
+// PathPrefix is the path under which the peers' HTTP server must mount Handler.
 const PathPrefix = memberpb.MemberPathPrefix
 
-// ticksPerHeartbeat bounds how late a due lapse or renewal is noticed, to a quarter of a heartbeat.
+// ticksPerHeartbeat limits the delay until a due Lapse or renewal is noticed to a quarter of the
+// heartbeat interval.
 const ticksPerHeartbeat = 4
 
-// Runtime drives a node: it follows the log, talks to peers and publishes the status.
+// Runtime runs a Node: it reads the log, calls the peers and publishes the status.
 type Runtime struct {
 	self           Member
 	stream         galenastair.Stream
@@ -37,7 +38,7 @@
 	registerer     prometheus.Registerer
 	metrics        *metrics
 	configuration  func() galenastair.Offset
-	folds          []Fold
+	stateMachines  []StateMachine
 	onChange       func(*Status)
 	snapshotPeriod time.Duration
 	transport      func() *http.Transport
@@ -46,15 +47,15 @@
 	peers  *peers
 	status atomic.Pointer[Status]
 
-	// What follows belongs to the control loop.
+	// The fields below are accessed only on the control loop.
 	node      *Node
-	snapshots snapshots
+	snapshots snapshotTracker
 	tasks     *errgroup.Group
 	tasksCtx  context.Context
 	joinedAt  time.Time
 }
 
-// New returns the membership of one instance; nothing happens until Run.
+// New returns the membership runtime of one instance. It is idle until Run is called.
 func New(l galenastair.Log, opts ...Option) *Runtime {
 	r := &Runtime{
 		log: l, clock: galenastair.SystemClock{}, timing: DefaultTiming(),
@@ -79,64 +80,64 @@
 	return r
 }
 
-// Status returns what is known now; it never returns nil.
+// Status returns the current status; it is never nil.
 func (r *Runtime) Status() *Status { return r.status.Load() }
 
-// Handler serves the peers.
+// Handler returns the HTTP handler for calls from peers.
 func (r *Runtime) Handler() http.Handler {
 	return memberpb.NewMemberServer(&server{r})
 }
 
-// Announce makes all members refuse a digest for a while.
+// RefuseDigest makes all members refuse a digest for a while.
 func (r *Runtime) Announce(ctx context.Context, digest string, period time.Duration) error {
 	return r.loop.Post(ctx, func() {
-		r.node.Announce(r.clock.Now(), digest, period)
+		r.node.RefuseDigest(r.clock.Now(), digest, period)
 		r.publish()
 	})
 }
 
-// Run works until the context ends; the control loop must be running.
+// Run runs the membership protocol until the context ends. The control loop must be running.
 func (r *Runtime) Run(ctx context.Context) error {
 	tasks, ctx := errgroup.WithContext(ctx)
 	err := r.loop.Do(ctx, func() { r.tasks, r.tasksCtx = tasks, ctx })
 	if err != nil {
 		return eris.Wrap(err, "start membership")
 	}
-	period := r.timing.Heartbeat / ticksPerHeartbeat
+	period := r.timing.HeartbeatInterval / ticksPerHeartbeat
 	tasks.Go(func() error { return r.loop.Every(ctx, period, r.tick) })
 	tasks.Go(func() error { return r.follow(ctx) })
-	tasks.Go(func() error { return r.endTasks(ctx) })
+	tasks.Go(func() error { return r.closeTasks(ctx) })
 	err = tasks.Wait()
 	r.peers.close()
 	return err
 }
 
-// endTasks keeps the group open until the loop starts no more tasks.
-func (r *Runtime) endTasks(ctx context.Context) error {
+// closeTasks keeps the group open until the control loop can no longer start tasks.
+func (r *Runtime) closeTasks(ctx context.Context) error {
 	<-ctx.Done()
 	_ = r.loop.Do(context.WithoutCancel(ctx), func() { r.tasks = nil })
 	return ctx.Err()
 }
 
-// leaveLeases is for how many times a lease a stop waits for its own leave: a log that is down
-// for longer shows it too late to be of use, as the watcher declares the member expired.
-const leaveLeases = 2
+// leaveTimeoutLeases is how long Leave waits, in lease durations, until its record has been applied.
+// If the log is down for longer, waiting is of no use, since the watcher declares the member lapsed.
+const leaveTimeoutLeases = 2
 
-// Leave ends the own membership for good and waits until the log shows it; the
-// caller has already stopped all work that needs the lease.
+// Leave ends this instance's membership for good and waits until the record has been applied. The
+// caller must have stopped all work that needs the lease.
 func (r *Runtime) Leave(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, leaveLeases*r.timing.Lease)
+	ctx, cancel := context.WithTimeout(ctx, leaveTimeoutLeases*r.timing.LeaseDuration)
 	defer cancel()
 	if err := r.loop.Do(ctx, r.leave); err != nil {
 		return err
 	}
-	tick := time.NewTicker(r.timing.Heartbeat / ticksPerHeartbeat)
+	tick := time.NewTicker(r.timing.HeartbeatInterval / ticksPerHeartbeat)
 	defer tick.Stop()
 	for r.Status().Self.Incarnation != 0 {
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			return eris.Wrap(ctx.Err(), "leave the ring")
+			return eris.Wrap(ctx.Err(), "wait until the leave record is applied")
 		}
 	}
 	return nil
@@ -144,17 +145,17 @@
 
 func (r *Runtime) leave() {
 	r.node.Leave(r.clock.Now())
-	r.after()
+	r.flushActions()
 }
 
-// onLoop computes something on the control loop and carries out what follows from
-// it. A caller that gives up leaves the loop at work, so the result comes over a
-// channel rather than in a variable that both would touch.
-func onLoop[T any](ctx context.Context, r *Runtime, f func() T) (T, error) {
+// runOnLoop runs f on the control loop and then executes the resulting actions. The loop may still
+// be running f when the caller's context ends, so the result is passed over a channel instead of a
+// shared variable.
+func runOnLoop[T any](ctx context.Context, r *Runtime, f func() T) (T, error) {
 	results := make(chan T, 1)
 	err := r.loop.Do(ctx, func() {
 		results <- f()
-		r.after()
+		r.flushActions()
 	})
 	if err != nil {
 		var none T
@@ -165,38 +166,38 @@
 
 func (r *Runtime) tick() {
 	now := r.clock.Now()
-	r.node.Configured(now, r.configuration())
+	r.node.ObserveConfiguration(now, r.configuration())
 	r.node.Tick(now)
 	r.tickSnapshot(now)
-	r.after()
+	r.flushActions()
 }
 
-// after carries out what the node decided and publishes what it knows.
-func (r *Runtime) after() {
-	for _, a := range r.node.Take() {
-		r.act(a)
+// flushActions executes the node's pending actions and publishes its status.
+func (r *Runtime) flushActions() {
+	for _, a := range r.node.DrainActions() {
+		r.execute(a)
 	}
 	r.publish()
 }
 
 func (r *Runtime) publish() {
 	now := r.clock.Now()
-	old, fresh := r.status.Load(), r.node.Status(now)
-	r.status.Store(fresh)
-	r.metrics.show(fresh, now)
-	if old.View.Epoch == fresh.View.Epoch && old.Self.Incarnation == fresh.Self.Incarnation {
+	old, current := r.status.Load(), r.node.Status(now)
+	r.status.Store(current)
+	r.metrics.update(current, now)
+	if old.View.Epoch == current.View.Epoch && old.Self.Incarnation == current.Self.Incarnation {
 		return
 	}
-	r.logChange(old, fresh)
-	r.peers.keep(fresh.View.Ring)
-	r.onChange(fresh)
+	r.logChange(old, current)
+	r.peers.retain(current.View.Ring)
+	r.onChange(current)
 }
 
-func (r *Runtime) logChange(old, fresh *Status) {
-	if old.Self.Incarnation != fresh.Self.Incarnation {
+func (r *Runtime) logChange(old, current *Status) {
+	if old.Self.Incarnation != current.Self.Incarnation {
 		r.joinedAt = r.clock.Now()
 	}
-	_ = level.Info(r.logger).Log("msg", "membership changed", "epoch", fresh.View.Epoch,
-		"members", len(fresh.View.Ring), "incarnation", fresh.Self.Incarnation,
-		"leader", fresh.Leader.ID, "fence", fresh.Fence)
+	_ = level.Info(r.logger).Log("msg", "membership changed", "epoch", current.View.Epoch,
+		"members", len(current.View.Ring), "incarnation", current.Self.Incarnation,
+		"leader", current.Leader.ID, "fence", current.Fence)
 }
--- a/member/runtime_act.go
+++ b/member/runtime_act.go
@@ -12,11 +12,11 @@
 	"galenastair/peer/memberpb"
 )
 
-// appendTimeout is after how long an append counts as unknown; the fold decides.
+// appendTimeout is when the outcome of an append counts as unknown. Reading the log then decides it.
 const appendTimeout = 5 * time.Second
 
-// act carries out one action beside the control loop and posts its result to it.
-func (r *Runtime) act(a Action) {
+// execute runs an action outside the control loop. The result is posted back to the loop.
+func (r *Runtime) execute(a Action) {
 	if r.tasks == nil {
 		return
 	}
@@ -24,52 +24,52 @@
 	switch a := a.(type) {
 	case Append:
 		r.metrics.appends.WithLabelValues(string(a.Record.Kind)).Inc()
-		r.task(func() { r.append(ctx, a.Record) })
+		r.spawn(func() { r.append(ctx, a.Record) })
 	case SendHeartbeat:
 		now := r.clock.Now()
-		fresh := now.Sub(r.joinedAt) < r.timing.Spread
-		req := encodeHeartbeat(a.Beat)
-		req.News = encodeNews(r.node.News(now, false))
-		req.Fresh = fresh
-		r.task(func() { r.heartbeat(ctx, a, req) })
-	case SendNews:
-		news := encodeNews(r.node.News(r.clock.Now(), false))
-		r.task(func() { r.exchangeNews(ctx, a.To, news) })
+		recentlyJoined := now.Sub(r.joinedAt) < r.timing.GossipDuration
+		req := encodeHeartbeat(a.Heartbeat)
+		req.News = encodeGossip(r.node.Gossip(now, false))
+		req.Fresh = recentlyJoined
+		r.spawn(func() { r.heartbeat(ctx, a, req) })
+	case SendGossip:
+		msg := encodeGossip(r.node.Gossip(r.clock.Now(), false))
+		r.spawn(func() { r.exchangeGossip(ctx, a.To, msg) })
 	case AskAdmission:
-		r.task(func() { r.askAdmission(ctx, a.To) })
+		r.spawn(func() { r.askAdmission(ctx, a.To) })
 	case Probe:
-		r.task(func() { r.probe(ctx, a.To) })
+		r.spawn(func() { r.probe(ctx, a.To) })
 	case ReadList:
-		r.task(func() { r.readList(ctx) })
+		r.spawn(func() { r.readList(ctx) })
 	}
 }
 
-func (r *Runtime) task(f func()) {
+func (r *Runtime) spawn(f func()) {
 	r.tasks.Go(func() error {
 		f()
 		return nil
 	})
 }
 
-// post hands a result to the control loop; it is lost only when the loop has ended.
-func (r *Runtime) post(ctx context.Context, f func(now time.Time)) {
+// postResult passes a result to the control loop. It is dropped only if the loop has ended.
+func (r *Runtime) postResult(ctx context.Context, f func(now time.Time)) {
 	_ = r.loop.Post(ctx, func() {
 		f(r.clock.Now())
-		r.after()
+		r.flushActions()
 	})
 }
 
 func (r *Runtime) append(ctx context.Context, rec galenastair.Record) {
 	data, err := json.Marshal(rec)
 	if err != nil {
-		_ = level.Error(r.logger).Log("msg", "a record cannot be encoded", "err", err)
+		_ = level.Error(r.logger).Log("msg", "cannot encode record", "err", err)
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
 	_, err = r.log.Append(ctx, r.stream, data)
 	if errors.Is(err, galenastair.ErrAppendRefused) {
-		r.post(r.tasksCtx, func(time.Time) { r.node.AppendRefused(rec.ID) })
+		r.postResult(r.tasksCtx, func(time.Time) { r.node.HandleAppendRefused(rec.ID) })
 	}
 }
 
@@ -86,19 +86,19 @@
 	if err != nil {
 		return
 	}
-	r.post(ctx, func(now time.Time) {
-		r.node.MergeNews(now, decodeNews(reply.News))
-		r.node.Answered(now, a.Beat, time.Duration(reply.GrantedMs)*time.Millisecond)
-		r.node.TakeOver(now, decodeHandover(reply.Handover))
+	r.postResult(ctx, func(now time.Time) {
+		r.node.MergeGossip(now, decodeGossip(reply.News))
+		r.node.HandleHeartbeatReply(now, a.Heartbeat, time.Duration(reply.GrantedMs)*time.Millisecond)
+		r.node.HandleHandover(now, decodeHandover(reply.Handover))
 	})
 }
 
-func (r *Runtime) exchangeNews(ctx context.Context, to Member, news *memberpb.News) {
-	reply, err := call(ctx, r, to, news, memberpb.Member.Tell)
+func (r *Runtime) exchangeGossip(ctx context.Context, to Member, msg *memberpb.News) {
+	reply, err := call(ctx, r, to, msg, memberpb.Member.Tell)
 	if err != nil {
 		return
 	}
-	r.post(ctx, func(now time.Time) { r.node.MergeNews(now, decodeNews(reply)) })
+	r.postResult(ctx, func(now time.Time) { r.node.MergeGossip(now, decodeGossip(reply)) })
 }
 
 func (r *Runtime) askAdmission(ctx context.Context, to Member) {
@@ -107,19 +107,19 @@
 		PeerAddress: r.self.PeerAddress, Token: r.self.Token,
 	}
 	reply, err := call(ctx, r, to, req, memberpb.Member.Admit)
-	r.post(ctx, func(now time.Time) {
+	r.postResult(ctx, func(now time.Time) {
 		if err != nil {
-			r.node.AdmissionFailed()
+			r.node.HandleAdmitFailure()
 			return
 		}
-		r.node.MergeNews(now, decodeNews(reply.News))
-		r.node.AdmissionAnswered(to, Admission(reply.Admission))
+		r.node.MergeGossip(now, decodeGossip(reply.News))
+		r.node.HandleAdmitReply(to, Admission(reply.Admission))
 	})
 }
 
 func (r *Runtime) probe(ctx context.Context, to Member) {
 	reply, err := call(ctx, r, to, &memberpb.ProbeRequest{}, memberpb.Member.Probe)
-	r.post(ctx, func(now time.Time) { r.node.Probed(now, to, reply.GetToken(), err == nil) })
+	r.postResult(ctx, func(now time.Time) { r.node.HandleProbeResult(now, to, reply.GetToken(), err == nil) })
 }
 
 func (r *Runtime) readList(ctx context.Context) {
@@ -132,5 +132,5 @@
 	if err != nil {
 		return
 	}
-	r.post(r.tasksCtx, func(now time.Time) { r.node.Listed(now, listed) })
+	r.postResult(r.tasksCtx, func(now time.Time) { r.node.HandleInstanceList(now, listed) })
 }
--- a/member/runtime_failure_test.go
+++ b/member/runtime_failure_test.go
@@ -27,17 +27,16 @@
 
 func allSee(all []*instance, members int) bool {
 	for _, in := range all {
-		if in.members() != members || !in.Status().Settled() {
+		if in.members() != members || !in.Status().Converged() {
 			return false
 		}
 	}
 	return true
 }
 
-// An instance is killed. Callers of the keys that it served are refused by it
-// and nobody else for a few seconds; then its watcher declares it lapsed, and its
-// duties pass on. Without a watcher the dead instance would keep them for good.
-func TestDeadMemberIsDeclared(t *testing.T) {
+// An instance is killed. Requests for the keys that it served are refused for a few seconds, until its
+// watcher declares it lapsed and its roles move. Without a watcher the dead instance would keep them.
+func TestDeadMemberLapses(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	l := newFakeLog()
@@ -51,7 +50,7 @@
 		}
 		rest = append(rest, in)
 	}
-	eventually(t, "the others go on", func() bool { return allSee(rest, 2) })
+	eventually(t, "the others converge", func() bool { return allSee(rest, 2) })
 	is.Equal(l.kinds(t)[KindLapse], 1)
 	is.True(rest[0].Status().Fence > fence)
 	eventually(t, "one leads", func() bool {
@@ -60,8 +59,8 @@
 	})
 }
 
-// An instance is told to stop while the log is down, and does not end before its requests' time
-// to stop is over.
+// An instance is stopped during a log outage. Without a limit, waiting for its Leave would delay the
+// end of the process until the stop timeout of its requests.
 func TestStopDoesNotWaitForALogThatIsDown(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -70,22 +69,21 @@
 	l.setDown(true)
 	begun := time.Now()
 	is.True(all[0].Leave(t.Context()) != nil)
-	is.True(time.Since(begun) <= 3*quick().Lease)
+	is.True(time.Since(begun) <= 3*fastTiming().LeaseDuration)
 	l.setDown(false)
 }
 
-// The platform's log goes down while callers send requests. No lease ends, since
-// promises need no log. Then an instance dies too: the one it watched can neither
-// be promised nor renew. It lives on a promise that was given for an outage;
-// with short promises alone it and then the next would refuse all callers.
+// The log goes down. No lease ends, since grants do not need the log. Then an instance dies too, so
+// that the one it watched can neither be granted a lease nor renew it. Its long lease for outages
+// lasts. With short leases it, and then the next member, would lose their leases and refuse requests.
 func TestLogDownThenWatcherDies(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	l, timing := newFakeLog(), quick()
-	timing.Outage = 4 * time.Second // the dead member is declared this late
+	l, timing := newFakeLog(), fastTiming()
+	timing.OutageLeaseDuration = 4 * time.Second // delays the lapse of the dead member
 	all := startThree(t, l, WithTiming(timing))
-	// the latest that the log can be believed to be up: a read that begins right before
-	// the outage waits its time and is answered, and only then does its age count
+	// The longest that the log can be taken for reachable: a read that begins right before the outage
+	// is answered after its wait, and the contact counts from then.
 	_, err := l.Append(t.Context(), "", []byte("{}"))
 	is.NoErr(err)
 	time.Sleep(10 * time.Millisecond)
@@ -95,33 +93,33 @@
 			is.True(allSee(all, 3)) // no lease ends
 		}
 	}
-	// until the last word of the log is too old, and then a heartbeat that one loss may delay
-	hold(all, followWait+timing.Contact+2*timing.Heartbeat+timing.Timeout)
+	// Until the last contact with the log is too old, plus a heartbeat that one lost call may delay.
+	hold(all, readWait+timing.LogContactMaxAge+2*timing.HeartbeatInterval+timing.CallTimeout)
 	all[1].kill()
 	rest := []*instance{all[0], all[2]}
-	hold(rest, 4*quick().Lease)
+	hold(rest, 4*fastTiming().LeaseDuration)
 	l.setDown(false)
-	eventually(t, "both go on", func() bool { return allSee(rest, 2) })
+	eventually(t, "both converge", func() bool { return allSee(rest, 2) })
 }
 
-// Answers of appends get lost after they took effect. An instance that retried
-// blindly would join twice or end a lease that has been revived; callers would
-// see two holders of one duty. Each admission names the watch that it changes.
+// The answers of appends get lost after the appends took effect. Repeated records must not let an
+// instance join twice or end a lease that has been extended, either of which would give a role two
+// owners. Each record therefore names the watch that it changes.
 func TestLostAppendAnswers(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	l := newFakeLog()
-	l.lose = true
+	l.loseAnswers = true
 	all := startThree(t, l)
 	all[1].kill()
 	rest := []*instance{all[0], all[2]}
-	eventually(t, "two are left", func() bool { return allSee(rest, 2) })
+	eventually(t, "two members are left", func() bool { return allSee(rest, 2) })
 	is.Equal(rest[0].Status().View.Ring, rest[1].Status().View.Ring)
 }
 
-// An instance is killed and its process starts again at the same address before
-// anyone noticed. Heartbeats reach the new process, which must not answer for the
-// old: the old incarnation lapses, then the new one is admitted.
+// An instance is killed and its process restarts at the same address before its watcher notices.
+// Heartbeats reach the new process, which must not answer for the old one: the old incarnation is
+// declared lapsed, and then the new one is admitted.
 func TestRestartAtKnownAddress(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -129,8 +127,8 @@
 	all := startThree(t, l)
 	old := all[1].Status().Self
 	all[1].kill()
-	all[1] = startAt(t, old.PeerAddress, l, "b", 1)
-	eventually(t, "three again", func() bool { return allSee(all, 3) && all[1].members() == 3 })
+	all[1] = startInstanceAt(t, old.PeerAddress, l, "b", 1)
+	eventually(t, "three members again", func() bool { return allSee(all, 3) && all[1].members() == 3 })
 	is.True(all[1].Status().Self.Incarnation > old.Incarnation)
 	is.Equal(l.kinds(t)[KindLapse], 1)
 }
@@ -155,10 +153,10 @@
 	return l.listed, nil
 }
 
-// All instances die at once, and a new one starts at another address. Nobody is
-// left to declare anyone, so callers would be refused for good. It starts a fresh
-// ring, but not while the platform still lists one of the old members.
-func TestFreshRingAfterAllDied(t *testing.T) {
+// All instances die at once, and a new one starts at another address. No watcher is left to declare
+// the dead members lapsed, so requests would be refused indefinitely. The new instance starts a new
+// ring, but not while the platform lists one of the old members.
+func TestBootstrapAfterAllMembersDied(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	l, list := newFakeLog(), &fakeList{}
@@ -166,77 +164,77 @@
 	for _, in := range startThree(t, l) {
 		in.kill()
 	}
-	founded := l.kinds(t)[KindFound]
-	timing := quick()
-	timing.Absence = 500 * time.Millisecond
+	bootstraps := l.kinds(t)[KindBootstrap]
+	timing := fastTiming()
+	timing.DeadAfter = 500 * time.Millisecond
 	d := startInstance(t, l, "d", 1, WithInstanceList(list), WithTiming(timing))
-	time.Sleep(3 * timing.Absence)
-	is.Equal(l.kinds(t)[KindFound], founded) // while one may live, no fresh ring
+	time.Sleep(3 * timing.DeadAfter)
+	is.Equal(l.kinds(t)[KindBootstrap], bootstraps) // no new ring while an old member may be alive
 	list.set("d")
-	eventually(t, "d is alone", func() bool { return d.members() == 1 })
+	eventually(t, "d is the sole member", func() bool { return d.members() == 1 })
 	is.True(d.Status().View.Epoch > 3)
 }
 
-// The log expires old records. An instance that starts then would find a fold
-// without a beginning; it takes the leader's newest snapshot and goes on from it.
+// The log expires old records. An instance that starts afterwards cannot read the stream from its
+// beginning, so it restores the leader's newest snapshot and continues from there.
 func TestStartFromSnapshot(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	l := newFakeLog()
 	period := WithSnapshotPeriod(200 * time.Millisecond)
-	all := startThree(t, l, period, func(r *Runtime) { WithFold(&sumFold{})(r) })
+	all := startThree(t, l, period, func(r *Runtime) { WithFold(&sumStateMachine{})(r) })
 	eventually(t, "a snapshot", func() bool { return l.kinds(t)[KindSnapshot] > 1 })
 	l.expire(3)
-	all = append(all, startInstance(t, l, "d", 0, WithFold(&sumFold{})))
+	all = append(all, startInstance(t, l, "d", 0, WithFold(&sumStateMachine{})))
 	eventually(t, "four members", func() bool { return allSee(all, 4) })
-	eventually(t, "equal folds", func() bool { return sum(t, all[3]) == sum(t, all[0]) })
+	eventually(t, "equal states", func() bool { return sumOf(t, all[3]) == sumOf(t, all[0]) })
 	is.Equal(all[3].Status().View.Ring, all[0].Status().View.Ring)
 }
 
-func sum(t *testing.T, in *instance) (n int) {
+func sumOf(t *testing.T, in *instance) (n int) {
 	t.Helper()
-	if err := in.loop.Do(t.Context(), func() { n = in.folds[0].(*sumFold).Sum }); err != nil {
+	if err := in.loop.Do(t.Context(), func() { n = in.stateMachines[0].(*sumStateMachine).Sum }); err != nil {
 		t.Fatal(err)
 	}
 	return n
 }
 
-// sumFold counts membership records, as another fold of the stream.
-type sumFold struct{ Sum int }
+// sumStateMachine counts the members that joined, as a further state machine of the stream.
+type sumStateMachine struct{ Sum int }
 
-func (s *sumFold) Name() string { return "Sum" }
+func (s *sumStateMachine) Name() string { return "Sum" }
 
-func (s *sumFold) Apply(_ time.Time, _ galenastair.Offset, rec galenastair.Record, _ *State) {
-	if rec.Kind == KindJoin || rec.Kind == KindFound {
+func (s *sumStateMachine) Apply(_ time.Time, _ galenastair.Offset, rec galenastair.Record, _ *State) {
+	if rec.Kind == KindJoin || rec.Kind == KindBootstrap {
 		s.Sum++
 	}
 }
 
-func (s *sumFold) Snapshot() (json.RawMessage, error) { return json.Marshal(s) }
+func (s *sumStateMachine) Snapshot() (json.RawMessage, error) { return json.Marshal(s) }
 
-func (s *sumFold) Restore(_ time.Time, _ galenastair.Offset, raw json.RawMessage) error {
+func (s *sumStateMachine) Restore(_ time.Time, _ galenastair.Offset, raw json.RawMessage) error {
 	if raw == nil {
 		return nil
 	}
 	return json.Unmarshal(raw, s)
 }
 
-// silentConn is a connection that something between its ends has lost track of.
-type silentConn struct {
+// blackholeConn drops all written data once silent is set, like a connection whose state a firewall has lost.
+type blackholeConn struct {
 	net.Conn
 	silent *atomic.Bool
 }
 
-func (c silentConn) Write(b []byte) (int, error) {
+func (c blackholeConn) Write(b []byte) (int, error) {
 	if c.silent.Load() {
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
 }
 
-// All open connections go silent at once while new ones work, as after a change
-// in a firewall between the zones. Heartbeats on them would time out for good and
-// leases would end; each failed call gives up the peer's connections instead.
+// All open connections stop delivering data while new ones work, as after a change in a firewall
+// between the zones. Heartbeats on them would time out indefinitely and the leases would end. A failed
+// call therefore drops the connections to the peer.
 func TestSilentConnections(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -249,7 +247,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			open = append(open, new(atomic.Bool))
-			return silentConn{c, open[len(open)-1]}, err
+			return blackholeConn{c, open[len(open)-1]}, err
 		}
 		return tr
 	}
@@ -260,7 +258,7 @@
 		silent.Store(true)
 	}
 	mu.Unlock()
-	for end := time.Now().Add(4 * quick().Lease); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(4 * fastTiming().LeaseDuration); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		is.True(allSee(all, 3)) // no lease ends
 	}
 }
--- a/member/runtime_follow.go
+++ b/member/runtime_follow.go
@@ -14,51 +14,51 @@
 )
 
 const (
-	// followWait is how long a read waits for the next record: 26 reads a second
-	// from 53 members, and a log that died is noticed within seconds.
-	followWait = 2 * time.Second
-	// followSlack is what a read may take beyond its wait. A connection to the
-	// log that went silent would otherwise stop the fold for good.
-	followSlack = time.Second
-	// pause keeps an instance from asking a log that is down in a tight loop.
-	pause = 250 * time.Millisecond
-	// pastEnd is an offset that no stream reaches; a read there tells what is kept.
-	pastEnd galenastair.Offset = math.MaxInt64
+	// readWait is how long a read waits for the next record. At 2 s, 53 members make 26 reads a
+	// second, and a log that has failed is noticed within seconds.
+	readWait = 2 * time.Second
+	// readTimeoutSlack is added to the wait for the timeout of a read. Without a timeout, a connection
+	// to the log that no longer delivers data would stop the reading for good.
+	readTimeoutSlack = time.Second
+	// readBackoff is the delay after a failed read, so that a log that is down is not polled in a tight loop.
+	readBackoff = 250 * time.Millisecond
+	// offsetPastEnd is an offset that no stream reaches. A read there returns the range of kept offsets.
+	offsetPastEnd galenastair.Offset = math.MaxInt64
 )
 
-// follow folds the control stream until the context ends.
+// follow reads and applies the control stream until the context ends.
 func (r *Runtime) follow(ctx context.Context) error {
 	next, started, wait := galenastair.Offset(0), false, time.Duration(0)
 	for ctx.Err() == nil {
 		var err error
 		if !started {
-			next, err = r.start(ctx)
+			next, err = r.loadInitialState(ctx)
 			started, wait = err == nil, 0
 		} else {
-			// The first read does not wait: it tells at once where the stream ends.
-			next, err = r.readOn(ctx, next, wait)
-			wait = followWait
+			// The first read does not wait, so that the end of the stream is known at once.
+			next, err = r.readNext(ctx, next, wait)
+			wait = readWait
 		}
 		if errors.Is(err, galenastair.ErrExpired) {
 			started = false
 		}
 		if err != nil {
-			r.pause(ctx, err)
+			r.backOff(ctx, err)
 		}
 	}
 	return ctx.Err()
 }
 
-func (r *Runtime) pause(ctx context.Context, err error) {
-	_ = level.Debug(r.logger).Log("msg", "the control stream cannot be read", "err", err)
+func (r *Runtime) backOff(ctx context.Context, err error) {
+	_ = level.Debug(r.logger).Log("msg", "cannot read the control stream", "err", err)
 	select {
-	case <-time.After(pause):
+	case <-time.After(readBackoff):
 	case <-ctx.Done():
 	}
 }
 
 func (r *Runtime) read(ctx context.Context, from galenastair.Offset, wait time.Duration) (galenastair.Batch, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+followSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+readTimeoutSlack)
 	defer cancel()
 	batch, err := r.log.Read(ctx, r.stream, from, wait)
 	if err == nil && batch.First > from {
@@ -67,10 +67,10 @@
 	return batch, eris.Wrap(err, "read the control stream")
 }
 
-// start finds where to begin: at the first record, or at the newest snapshot
-// that the kept records carry on from.
-func (r *Runtime) start(ctx context.Context) (galenastair.Offset, error) {
-	end, err := r.read(ctx, pastEnd, 0)
+// loadInitialState returns the offset from which to read: the first record, or the end of the newest
+// snapshot that the kept records continue.
+func (r *Runtime) loadInitialState(ctx context.Context) (galenastair.Offset, error) {
+	end, err := r.read(ctx, offsetPastEnd, 0)
 	if err != nil {
 		return 0, err
 	}
@@ -87,17 +87,17 @@
 	return snap.Covers, r.restore(ctx, snap.Covers, snap)
 }
 
-// startWithoutHistory begins with empty folds where older records have expired
-// unread. An instance that has folded some of them waits for a snapshot instead:
-// a fold over a gap would differ from that of the others.
+// startWithoutHistory starts with empty states if older records have expired unread. An instance
+// that has already applied some of them waits for a snapshot instead, because its state would
+// differ from that of the others after the gap.
 func (r *Runtime) startWithoutHistory(ctx context.Context, first galenastair.Offset) error {
-	failed, err := onLoop(ctx, r, func() error {
+	failed, err := runOnLoop(ctx, r, func() error {
 		if r.node.State().Offset > 0 {
 			return galenastair.ErrExpired
 		}
-		r.node.HistoryLost(r.clock.Now())
-		err := r.restoreFolds(first, nil)
-		r.snapshots = snapshots{}
+		r.node.HandleHistoryLost(r.clock.Now())
+		err := r.restoreAll(first, nil)
+		r.snapshots = snapshotTracker{}
 		return err
 	})
 	return errors.Join(err, failed)
@@ -135,13 +135,13 @@
 	return &s
 }
 
-// restore puts all folds at an offset; without a snapshot they begin empty.
+// restore sets all state machines to an offset; without a snapshot they start empty.
 func (r *Runtime) restore(ctx context.Context, covers galenastair.Offset, snap *Snapshot) error {
-	failed, err := onLoop(ctx, r, func() error { return r.restoreFolds(covers, snap) })
+	failed, err := runOnLoop(ctx, r, func() error { return r.restoreAll(covers, snap) })
 	return errors.Join(err, failed)
 }
 
-func (r *Runtime) restoreFolds(covers galenastair.Offset, snap *Snapshot) error {
+func (r *Runtime) restoreAll(covers galenastair.Offset, snap *Snapshot) error {
 	now := r.clock.Now()
 	if r.node.State().Offset >= covers {
 		return nil
@@ -151,7 +151,7 @@
 			return err
 		}
 	}
-	for _, f := range r.folds {
+	for _, f := range r.stateMachines {
 		var raw json.RawMessage
 		if snap != nil {
 			raw = snap.Sections[f.Name()]
@@ -160,11 +160,11 @@
 			return eris.Wrapf(err, "restore %s", f.Name())
 		}
 	}
-	r.snapshots.seen(now, covers)
+	r.snapshots.observe(now, covers)
 	return nil
 }
 
-func (r *Runtime) readOn(ctx context.Context, from galenastair.Offset, wait time.Duration) (galenastair.Offset, error) {
+func (r *Runtime) readNext(ctx context.Context, from galenastair.Offset, wait time.Duration) (galenastair.Offset, error) {
 	batch, err := r.read(ctx, from, wait)
 	if err != nil {
 		return from, err
@@ -173,35 +173,35 @@
 	if n := len(batch.Records); n > 0 {
 		next = batch.Records[n-1].Offset + 1
 	}
-	return next, r.loop.Do(ctx, func() { r.fold(batch, next) })
+	return next, r.loop.Do(ctx, func() { r.applyBatch(batch, next) })
 }
 
-func (r *Runtime) fold(batch galenastair.Batch, next galenastair.Offset) {
+func (r *Runtime) applyBatch(batch galenastair.Batch, next galenastair.Offset) {
 	now := r.clock.Now()
 	if next >= batch.Next {
-		r.node.LogContact(now)
+		r.node.ObserveLogContact(now)
 	}
-	r.snapshots.kept(batch.First)
+	r.snapshots.setFirst(batch.First)
 	for _, rec := range batch.Records {
-		r.foldRecord(now, rec)
+		r.applyRecord(now, rec)
 	}
-	r.after()
+	r.flushActions()
 }
 
-func (r *Runtime) foldRecord(now time.Time, rec galenastair.LogRecord) {
+func (r *Runtime) applyRecord(now time.Time, rec galenastair.LogRecord) {
 	if rec.Offset < r.node.State().Offset {
 		return
 	}
 	var envelope galenastair.Record
 	if err := json.Unmarshal(rec.Data, &envelope); err != nil {
-		// Unreadable for every reader alike: it has no effect in any fold.
+		// The record is unreadable for every instance and has no effect on any state.
 		envelope = galenastair.Record{}
 	}
 	if envelope.Kind == KindSnapshot {
 		r.checkSnapshot(now, rec)
 	}
-	r.node.Fold(now, rec.Offset, envelope)
-	for _, f := range r.folds {
+	r.node.Apply(now, rec.Offset, envelope)
+	for _, f := range r.stateMachines {
 		f.Apply(now, rec.Offset, envelope, r.node.State())
 	}
 }
--- a/member/runtime_snapshot.go
+++ b/member/runtime_snapshot.go
@@ -10,46 +10,46 @@
 	"galenastair"
 )
 
-// defaultSnapshotPeriod is far inside any retention time seen so far (hours); a
-// snapshot of 53 members is about 17 KB, so that reading it costs 60 B/s.
+// defaultSnapshotPeriod is well below the log's retention, which is hours. A snapshot of 53 members
+// takes about 17 KB, so that each member reads 60 B/s.
 const defaultSnapshotPeriod = 5 * time.Minute
 
-// snapshotRetry keeps a leader whose appends get lost from flooding the stream.
+// snapshotRetry limits how often a leader whose appends get lost writes snapshots.
 const snapshotRetry = 10 * time.Second
 
-// snapshots is when the stream last got a snapshot and what it still keeps.
-type snapshots struct {
-	at      time.Time
-	covers  galenastair.Offset
-	first   galenastair.Offset
-	written time.Time
+// snapshotTracker tracks the last snapshot in the stream and the first record that is kept.
+type snapshotTracker struct {
+	seenAt    time.Time
+	covers    galenastair.Offset
+	first     galenastair.Offset
+	writtenAt time.Time
 }
 
-func (s *snapshots) seen(now time.Time, covers galenastair.Offset) {
-	s.at = now
+func (s *snapshotTracker) observe(now time.Time, covers galenastair.Offset) {
+	s.seenAt = now
 	s.covers = max(s.covers, covers)
 }
 
-func (s *snapshots) kept(first galenastair.Offset) { s.first = max(s.first, first) }
+func (s *snapshotTracker) setFirst(first galenastair.Offset) { s.first = max(s.first, first) }
 
-// due says whether the stream needs a snapshot: periodically, and at once when
-// the records after the last one have begun to expire, as after a long outage.
-func (s *snapshots) due(now time.Time, period time.Duration) bool {
-	if now.Sub(s.written) < min(snapshotRetry, period) {
+// due reports whether a snapshot is needed: periodically, and at once if records after the last
+// snapshot have begun to expire, as after a long outage.
+func (s *snapshotTracker) due(now time.Time, period time.Duration) bool {
+	if now.Sub(s.writtenAt) < min(snapshotRetry, period) {
 		return false
 	}
-	return now.Sub(s.at) >= period || s.covers < s.first
+	return now.Sub(s.seenAt) >= period || s.covers < s.first
 }
 
-// tickSnapshot lets the leader write a snapshot of all folds of the stream.
+// tickSnapshot writes a snapshot of all state machines, if this instance leads and one is due.
 func (r *Runtime) tickSnapshot(now time.Time) {
-	if !r.snapshots.due(now, r.snapshotPeriod) || !r.Status().Leads(now) || !r.node.logFresh(now) {
+	if !r.snapshots.due(now, r.snapshotPeriod) || !r.Status().Leads(now) || !r.node.logContactRecent(now) {
 		return
 	}
-	r.snapshots.written = now
+	r.snapshots.writtenAt = now
 	body, err := r.snapshot()
 	if err != nil {
-		_ = level.Error(r.logger).Log("msg", "no snapshot", "err", err)
+		_ = level.Error(r.logger).Log("msg", "cannot encode snapshot", "err", err)
 		return
 	}
 	r.node.append(KindSnapshot, body)
@@ -62,7 +62,7 @@
 		return Snapshot{}, err
 	}
 	body := Snapshot{Covers: state.Offset, Membership: raw, Sections: make(map[string]json.RawMessage)}
-	for _, f := range r.folds {
+	for _, f := range r.stateMachines {
 		if body.Sections[f.Name()], err = f.Snapshot(); err != nil {
 			return Snapshot{}, err
 		}
@@ -70,20 +70,20 @@
 	return body, nil
 }
 
-// checkSnapshot compares a snapshot with the own fold where nothing has changed
-// since. A difference means that two programs fold the stream differently; it is
-// told to operators, since neither can know who is right.
+// checkSnapshot compares a snapshot with this instance's own state, if no change has been applied
+// since. A difference means that two versions of the program apply the stream differently. It is
+// only reported to the operator, since the instance cannot know which one is right.
 func (r *Runtime) checkSnapshot(now time.Time, rec galenastair.LogRecord) {
 	snap := decodeSnapshot(rec)
 	if snap == nil {
 		return
 	}
-	r.snapshots.seen(now, snap.Covers)
+	r.snapshots.observe(now, snap.Covers)
 	state := r.node.State()
 	own, err := state.Snapshot()
-	if err != nil || state.Last > snap.Covers || bytes.Equal(own, snap.Membership) {
+	if err != nil || state.LastApplied > snap.Covers || bytes.Equal(own, snap.Membership) {
 		return
 	}
 	r.metrics.mismatches.Inc()
-	_ = level.Error(r.logger).Log("msg", "a snapshot differs from the own fold", "offset", rec.Offset)
+	_ = level.Error(r.logger).Log("msg", "snapshot differs from the local state", "offset", rec.Offset)
 }
--- a/member/runtime_test.go
+++ b/member/runtime_test.go
@@ -15,18 +15,18 @@
 	"galenastair/control"
 )
 
-// quick is DefaultTiming at a tenth, so that tests of real time end soon.
-func quick() Timing {
+// fastTiming is DefaultTiming scaled to a tenth, to keep tests in real time short.
+func fastTiming() Timing {
 	t := DefaultTiming()
 	for _, d := range []*time.Duration{
-		&t.Heartbeat, &t.Timeout, &t.Lease, &t.Promise, &t.Outage, &t.Renew, &t.Retry, &t.Absence, &t.Probe, &t.Spread,
+		&t.HeartbeatInterval, &t.CallTimeout, &t.LeaseDuration, &t.GrantDuration, &t.OutageLeaseDuration, &t.RenewAfter, &t.AppendRetryInterval, &t.DeadAfter, &t.ProbeInterval, &t.GossipDuration,
 	} {
 		*d /= 10
 	}
 	return t
 }
 
-// instance is one runtime with its loop and its HTTP server.
+// instance is a runtime with its control loop and HTTP server.
 type instance struct {
 	*Runtime
 	server *httptest.Server
@@ -36,10 +36,10 @@
 
 func startInstance(t *testing.T, l galenastair.Log, name string, zone int, opts ...Option) *instance {
 	t.Helper()
-	return startAt(t, "127.0.0.1:0", l, name, zone, opts...)
+	return startInstanceAt(t, "127.0.0.1:0", l, name, zone, opts...)
 }
 
-func startAt(t *testing.T, at string, l galenastair.Log, name string, zone int, opts ...Option) *instance {
+func startInstanceAt(t *testing.T, at string, l galenastair.Log, name string, zone int, opts ...Option) *instance {
 	t.Helper()
 	listener, err := net.Listen("tcp", at)
 	if err != nil {
@@ -52,7 +52,7 @@
 	address := listener.Addr().String()
 	opts = append([]Option{
 		WithInstance(galenastair.InstanceID(name), galenastair.AvailabilityZone(fmt.Sprint("z", zone)), address),
-		WithRegion("here"), WithLoop(loop), WithTiming(quick()),
+		WithRegion("here"), WithLoop(loop), WithTiming(fastTiming()),
 	}, opts...)
 	in.Runtime = New(l, opts...)
 	in.server.Config.Handler = in.Handler()
@@ -65,7 +65,7 @@
 	return in
 }
 
-// kill ends an instance without a word, as kill -9 does.
+// kill ends an instance abruptly, as kill -9 does.
 func (in *instance) kill() {
 	if in.cancel == nil {
 		return
@@ -78,7 +78,7 @@
 	in.server.Close()
 }
 
-// eventually waits on real time, since these tests drive real connections.
+// eventually waits up to 10 s of real time for a condition.
 func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	began := time.Now()
@@ -98,14 +98,14 @@
 	return len(s.View.Ring)
 }
 
-func TestOneInstanceFoundsARing(t *testing.T) {
+func TestSingleInstanceBootstraps(t *testing.T) {
 	is := is.New(t)
 	a := startInstance(t, newFakeLog(), "a", 1)
-	eventually(t, "a founds a ring", func() bool { return a.members() == 1 })
+	eventually(t, "a starts a ring", func() bool { return a.members() == 1 })
 	s, now := a.Status(), time.Now()
 	is.True(s.Leads(now))
 	is.True(s.Serves("any", 0, now))
-	is.True(!s.Serves("any", 1, now)) // a ring of one has one slot
+	is.True(!s.Serves("any", 1, now)) // a ring of one member has one slot
 	is.NoErr(a.Leave(t.Context()))
 	is.True(!a.Status().Holds(time.Now()))
 	a.cancel()
--- a/member/schedule_test.go
+++ b/member/schedule_test.go
@@ -30,7 +30,7 @@
 	faultKinds
 )
 
-// fault is one thing that goes wrong, or changes, at a true time.
+// fault is a failure or a change of membership at a true time.
 type fault struct {
 	Kind faultKind
 	At   time.Duration
@@ -43,7 +43,7 @@
 	return fmt.Sprintf("%s(%d)@%v+%v", names[f.Kind], f.Slot, f.At, f.For)
 }
 
-func (m *model) at(slot int) *process {
+func (m *model) processAt(slot int) *process {
 	for i := len(m.procs) - 1; i >= 0; i-- {
 		if m.procs[i].slot == slot && !m.procs[i].dead {
 			return m.procs[i]
@@ -52,15 +52,15 @@
 	return nil
 }
 
-func (m *model) apply(f fault) {
+func (m *model) inject(f fault) {
 	until := m.now + f.For
-	p := m.at(f.Slot)
+	p := m.processAt(f.Slot)
 	switch {
 	case f.Kind == logOutage:
 		m.logDown = true
 		m.after(f.For, func() { m.logDown = false })
 	case f.Kind == slowAppends:
-		m.slow = until
+		m.slowAppendsUntil = until
 	case p == nil:
 		if f.Kind == restart || f.Kind == join {
 			m.start(f.Slot)
@@ -71,59 +71,59 @@
 		p.dead = true
 		m.start(f.Slot)
 	case f.Kind == pauseProcess:
-		p.paused = until
+		p.pausedUntil = until
 	case f.Kind == lag:
-		p.lagging = until
+		p.laggingUntil = until
 	case f.Kind == cutLog:
-		p.offLog = until
+		p.logCutUntil = until
 	case f.Kind == cutNet:
-		p.offNet = until
+		p.netCutUntil = until
 	case f.Kind == isolate:
-		p.apart = until
+		p.isolatedUntil = until
 	case f.Kind == partition:
-		p.apart = until
-		if q := m.at((f.Slot + 1) % 4); q != nil {
-			q.apart = until
+		p.isolatedUntil = until
+		if q := m.processAt((f.Slot + 1) % 4); q != nil {
+			q.isolatedUntil = until
 		}
 	case f.Kind == leave:
-		m.wake(p, func() { p.Leave(p.clock(m)) })
+		m.runWhenAwake(p, func() { p.Leave(p.localTime(m)) })
 		m.after(3*time.Second, func() { p.dead = p.dead || p.Left() })
 	}
 }
 
-// schedule is a run of the model: members that start, and faults.
+// schedule is a run of the model: the members at the start, and the faults.
 type schedule struct {
 	Seed    uint64
 	Members int
 	Faults  []fault
 }
 
-// modelTiming has a shorter promise for outages, so that one ends within a run.
+// modelTiming shortens the lease for outages so that it ends within a run.
 func modelTiming() Timing {
 	t := DefaultTiming()
-	t.Outage = 20 * time.Second
+	t.OutageLeaseDuration = 20 * time.Second
 	return t
 }
 
-// quiet is how long a run goes on after its faults; a fresh ring takes the longest.
-const quiet = 150 * time.Second
+// convergenceLimit is how long a run may take to converge after its faults; starting a new ring takes longest.
+const convergenceLimit = 150 * time.Second
 
-func (s schedule) play(r rules, t Timing) *model {
+func (s schedule) run(r rules, t Timing) *model {
 	m := newModel(r, t, s.Seed)
 	end := 10 * time.Second
 	for i := range s.Members {
 		m.after(time.Duration(i)*100*time.Millisecond, func() { m.start(i) })
 	}
 	for _, f := range s.Faults {
-		m.after(f.At, func() { m.apply(f) })
+		m.after(f.At, func() { m.inject(f) })
 		end = max(end, f.At+f.For)
 	}
 	m.run(end)
-	for m.failure == "" && m.now < end+quiet && !m.settledRing() {
+	for m.failure == "" && m.now < end+convergenceLimit && !m.converged() {
 		m.run(m.now + 5*time.Second)
 	}
-	if m.failure == "" && !m.settledRing() {
-		m.failure = fmt.Sprintf("dead members stay in the ring, or living ones outside: %d", len(m.truth.Ring))
+	if m.failure == "" && !m.converged() {
+		m.failure = fmt.Sprintf("dead members remain in the ring, or living ones are not in it: %d members", len(m.logState.Ring))
 	}
 	return m
 }
@@ -146,21 +146,20 @@
 	})
 }
 
-// A caller's request is counted by two instances that both believe they hold its
-// organisation's share, or an order goes out from two leaders: that is what two
-// holders of a duty mean. Any order of crashes, pauses, lag, cuts, outages, late
-// appends, joins and leaves may lead there; this draws them at random.
+// If a role had two owners, two instances would both count a request against an organisation's share,
+// or two leaders would send orders. No sequence of crashes, pauses, lag, partitions, outages, late
+// appends, joins and leaves may lead to that. This test draws sequences at random.
 func TestRulesHoldOverRandomSchedules(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		s := drawSchedule(4).Draw(t, "schedule")
-		if m := s.play(rules{}, modelTiming()); m.failure != "" {
+		if m := s.run(rules{}, modelTiming()); m.failure != "" {
 			t.Fatal(m.failure)
 		}
 	})
 }
 
-// TestRulesHoldOverManySeeds is the long form for make proof; MEMBER_SEEDS says how many.
+// Runs the number of random schedules given by MEMBER_SEEDS, for make proof.
 func TestRulesHoldOverManySeeds(t *testing.T) {
 	seeds, _ := strconv.Atoi(os.Getenv("MEMBER_SEEDS"))
 	var lapses, joins, held atomic.Int64
@@ -169,7 +168,7 @@
 	for seed := range seeds {
 		s := drawSchedule(4).Example(seed)
 		group.Go(func() error {
-			m := s.play(rules{}, modelTiming())
+			m := s.run(rules{}, modelTiming())
 			lapses.Add(m.stats.lapses)
 			joins.Add(m.stats.joins)
 			held.Add(m.stats.held)
--- a/member/settling.go
+++ b/member/settling.go
@@ -8,21 +8,22 @@
 	"galenastair"
 )
 
-// Duty names the member that serves something in a given ring; it depends on nothing else.
+// OwnerFunc returns the member of a ring that owns a role, such as leader or a slot of a key. It
+// must depend on nothing but the view.
 type Duty func(View) (Member, bool)
 
-// LeaderDuty is the duty of the member that joined first.
-func LeaderDuty(v View) (Member, bool) { return v.Leader() }
+// LeaderOf is the OwnerFunc of the leader role: the member that joined first.
+func LeaderOf(v View) (Member, bool) { return v.Leader() }
 
-// SlotDuty is the duty of the member at a place in the ranking for a key.
+// SlotOwner returns the OwnerFunc of a slot of a key: the member at that rank for the key.
 func SlotDuty(key string, slot int) Duty {
 	return func(v View) (Member, bool) {
-		return pick(v.Ring, key, slot)
+		return memberAtRank(v.Ring, key, slot)
 	}
 }
 
-// watchDuty is the duty of watching one incarnation.
-func watchDuty(inc Incarnation) Duty {
+// watcherOf returns the OwnerFunc of the watch over an incarnation.
+func watcherOf(inc Incarnation) Duty {
 	return func(v View) (Member, bool) {
 		if len(v.Ring) == 1 {
 			return Member{}, false
@@ -31,69 +32,69 @@
 	}
 }
 
-// word is the knowledge that a member has folded an epoch, and when it was learnt.
-type word struct {
+// ack records that a member has applied an epoch, and when this member learnt of it.
+type ack struct {
 	epoch galenastair.Epoch
 	at    time.Time
 }
 
-// settling is what one member knows about the members that served a duty before it.
+// ownerHistory decides when a member may act in a role that an earlier ring gave to another member.
 //
-// Members fold the log at different times, so an old owner may act on an old
-// ring long after a new epoch stands in the log. The rule for every duty alike:
-// walk the kept rings; each earlier owner must have folded the epoch that moved
-// the duty away from it (its word), or have been removed by a record that this
-// member has folded; and then the delay must pass.
+// Members apply the log at different times, so a previous owner may act on an old ring long after
+// a record of the log has moved the role. The same rule holds for every role: in each kept view,
+// the owner must have acknowledged the epoch that moved the role away from it, or must have been
+// removed from the ring by a record that this member has applied. Then the delay must pass.
 //
-// Why that is safe: an owner acts only while it holds its lease and its own fold
-// still names it. After its word its fold no longer names it, and if a later
-// epoch names it again, that epoch is either kept here, and waited for, or newer
-// than this member's ring, and then that owner waits for this member's word. A
-// lapse is recorded only after the lease has ended; a leave only after the leaver
-// has stopped. The delay is the time that a promise runs, so promises given in
-// the last moment before the word or the lapse have ended too, and a pause
-// between an owner's check and its act is covered up to the same length.
+// This is safe for the following reasons. An owner acts only while it holds its lease and its own
+// applied state names it as the owner. Once it has acknowledged the epoch, its state no longer
+// names it. If a later epoch names it again, that epoch is either kept here and waited for too, or
+// is newer than this member's ring, in which case the owner waits for this member's ack. A Lapse is
+// recorded only after the lease has ended, and a Leave only after the member has stopped acting.
+// The delay is as long as a grant runs, so grants made just before the ack or the Lapse have ended
+// as well. It also covers a pause of up to that length between an owner's check and its action.
 //
-// A word is one number for each member, however many duties it has: thousands of
-// duties cost no further message.
-type settling struct {
+// A member acknowledges with one number, however many roles it has, so thousands of roles need no
+// additional messages.
+type ownerHistory struct {
 	self  Incarnation
 	delay time.Duration
-	// views holds the rings whose owners may not all be settled, oldest first, and the present one.
+	// views holds the rings whose owners may not all have released their roles, oldest first, and
+	// the current one last.
 	views []View
-	// words holds, by member, what was learnt in the last delay and the newest before it.
-	words map[Incarnation][]word
-	// gone holds when this member folded the end of another.
-	gone map[Incarnation]time.Time
-	// floor is the epoch that all members must have folded when older rings are
-	// not known, and since when they are not.
-	floor galenastair.Epoch
-	since time.Time
-	rules rules
+	// acks holds, by member, the acks received within the last delay and the newest before that.
+	acks map[Incarnation][]ack
+	// removedAt holds when this member applied the removal of another.
+	removedAt map[Incarnation]time.Time
+	// floorEpoch is the epoch that all members must have applied because the rings before it are
+	// not known; zero if none. They have been unknown since startedAt.
+	floorEpoch galenastair.Epoch
+	startedAt  time.Time
+	rules      rules
 }
 
-// settled returns since when this member may serve a duty that its ring gives it.
-func (s *settling) settled(d Duty) (time.Time, bool) {
-	return s.settledWithout(d, s.delay, nil)
+// servableSince returns since when this member may act in a role that its current ring gives it.
+func (s *ownerHistory) servableSince(ownerOf Duty) (time.Time, bool) {
+	return s.releasedSince(ownerOf, s.delay, nil)
 }
 
-// settledWithout is settled with a delay of its own, and without the word of
-// members known to be dead since a moment.
-func (s *settling) settledWithout(d Duty, delay time.Duration, dead map[Incarnation]time.Time) (time.Time, bool) {
-	ready, ok := s.floorPassed()
+// releasedSince returns since when all previous owners of a role have released it, with a given
+// delay after each release. It does not wait for the acks of the members in dead, which maps them
+// to the time at which they were found dead.
+func (s *ownerHistory) releasedSince(ownerOf Duty, delay time.Duration, dead map[Incarnation]time.Time) (time.Time, bool) {
+	ready, ok := s.floorReleasedAt()
 	if !ok {
 		return ready, false
 	}
 	for i := 0; i+1 < len(s.views); i++ {
-		owner, ok := d(s.views[i])
+		owner, ok := ownerOf(s.views[i])
 		if !ok || owner.Incarnation == s.self {
 			continue
 		}
-		next, ok := d(s.views[i+1])
+		next, ok := ownerOf(s.views[i+1])
 		if ok && next.Incarnation == owner.Incarnation {
 			continue
 		}
-		at, ok := s.released(owner.Incarnation, s.views[i+1])
+		at, ok := s.releasedAt(owner.Incarnation, s.views[i+1])
 		if !ok {
 			at, ok = dead[owner.Incarnation]
 		}
@@ -105,38 +106,38 @@
 	return ready, true
 }
 
-// released returns when this member learnt that an owner no longer acts on a ring before moved.
-func (s *settling) released(owner Incarnation, moved View) (time.Time, bool) {
-	if at, ok := s.gone[owner]; ok {
+// releasedAt returns when this member learnt that an owner no longer acts on any ring before moved.
+func (s *ownerHistory) releasedAt(owner Incarnation, moved View) (time.Time, bool) {
+	if at, ok := s.removedAt[owner]; ok {
 		return at, true
 	}
-	if s.rules.settleByTimeAlone {
-		return s.since, true
+	if s.rules.takeOverByTimeOnly {
+		return s.startedAt, true
 	}
 	need := moved.Epoch
-	if s.rules.countAnyWord {
+	if s.rules.acceptAnyAck {
 		need = 0
 	}
-	for _, w := range s.words[owner] {
-		if w.epoch >= need {
-			return w.at, true
+	for _, a := range s.acks[owner] {
+		if a.epoch >= need {
+			return a.at, true
 		}
 	}
 	return time.Time{}, false
 }
 
-// floorPassed covers rings older than the kept ones: whoever served a duty in
-// one of them has either folded the oldest kept epoch or is gone.
-func (s *settling) floorPassed() (time.Time, bool) {
-	if s.floor == 0 {
+// floorReleasedAt covers the rings older than the kept ones. An owner in one of those has either
+// acknowledged the oldest kept epoch or left the ring.
+func (s *ownerHistory) floorReleasedAt() (time.Time, bool) {
+	if s.floorEpoch == 0 {
 		return time.Time{}, true
 	}
-	ready := s.since.Add(s.delay)
+	ready := s.startedAt.Add(s.delay)
 	for _, m := range s.views[len(s.views)-1].Ring {
-		if m.Incarnation == s.self || galenastair.Epoch(m.Incarnation) >= s.floor {
+		if m.Incarnation == s.self || galenastair.Epoch(m.Incarnation) >= s.floorEpoch {
 			continue
 		}
-		at, ok := s.released(m.Incarnation, View{Epoch: s.floor})
+		at, ok := s.releasedAt(m.Incarnation, View{Epoch: s.floorEpoch})
 		if !ok {
 			return ready, false
 		}
@@ -145,100 +146,100 @@
 	return ready, true
 }
 
-// newSettling starts from a fold whose earlier readings are not known: whoever
-// left it did so at now for all that this member knows.
-func newSettling(st *State, delay time.Duration, now time.Time) *settling {
-	s := &settling{
-		delay: delay, views: st.Views(), since: now, rules: st.rules,
-		words: make(map[Incarnation][]word), gone: make(map[Incarnation]time.Time),
+// newOwnerHistory starts from a state whose earlier history is not known. Members that have been
+// removed before count as removed now.
+func newOwnerHistory(st *State, delay time.Duration, now time.Time) *ownerHistory {
+	s := &ownerHistory{
+		delay: delay, views: st.Views(), startedAt: now, rules: st.rules,
+		acks: make(map[Incarnation][]ack), removedAt: make(map[Incarnation]time.Time),
 	}
-	if len(st.Changes) == keptChanges {
-		s.floor = st.Changes[0].Epoch
+	if len(st.Changes) == maxChanges {
+		s.floorEpoch = st.Changes[0].Epoch
 	}
 	for _, v := range s.views {
 		for _, m := range v.Ring {
 			if st.index(m.Incarnation) < 0 {
-				s.gone[m.Incarnation] = now
+				s.removedAt[m.Incarnation] = now
 			}
 		}
 	}
 	return s
 }
 
-// clone returns a copy that a status may keep; rings and word lists are shared, never written.
-func (s *settling) clone() *settling {
+// clone returns a copy for a status. Rings and lists of acks are shared, since they are never modified.
+func (s *ownerHistory) clone() *ownerHistory {
 	c := *s
 	c.views = slices.Clone(s.views)
-	c.words = maps.Clone(s.words)
-	c.gone = maps.Clone(s.gone)
+	c.acks = maps.Clone(s.acks)
+	c.removedAt = maps.Clone(s.removedAt)
 	return &c
 }
 
-// noteFolded notes that a member has folded an epoch and says whether that is news.
-func (s *settling) noteFolded(inc Incarnation, epoch galenastair.Epoch, now time.Time) bool {
-	known := s.words[inc]
+// recordAck records that a member has applied an epoch. It reports whether that was unknown.
+func (s *ownerHistory) recordAck(inc Incarnation, epoch galenastair.Epoch, now time.Time) bool {
+	known := s.acks[inc]
 	if len(known) > 0 && known[len(known)-1].epoch >= epoch {
 		return false
 	}
-	kept := make([]word, 0, len(known)+1)
-	for i, w := range known {
+	kept := make([]ack, 0, len(known)+1)
+	for i, a := range known {
 		old := i+1 < len(known) && !now.Before(known[i+1].at.Add(s.delay))
 		if !old {
-			kept = append(kept, w)
+			kept = append(kept, a)
 		}
 	}
-	s.words[inc] = append(kept, word{epoch, now})
+	s.acks[inc] = append(kept, ack{epoch, now})
 	return true
 }
 
-// wordOf returns the newest epoch that a member is known to have folded.
-func (s *settling) wordOf(inc Incarnation) galenastair.Epoch {
-	known := s.words[inc]
+// ackedEpoch returns the newest epoch that a member is known to have applied.
+func (s *ownerHistory) ackedEpoch(inc Incarnation) galenastair.Epoch {
+	known := s.acks[inc]
 	if len(known) == 0 {
 		return 0
 	}
 	return known[len(known)-1].epoch
 }
 
-// enter notes a new ring and who left with it.
-func (s *settling) enter(v View, now time.Time) {
+// addView adds a new ring and records which members it no longer has.
+func (s *ownerHistory) addView(v View, now time.Time) {
 	before := s.views[len(s.views)-1]
 	for _, m := range before.Ring {
 		if v.index(m.Incarnation) < 0 {
-			s.gone[m.Incarnation] = now
+			s.removedAt[m.Incarnation] = now
 		}
 	}
 	s.views = append(s.views, v)
 	s.prune(now)
 }
 
-// prune forgets the rings and floors that every member has passed, so that a steady ring costs one view.
-func (s *settling) prune(now time.Time) {
-	if at, ok := s.floorPassed(); ok && !now.Before(at) {
-		s.floor = 0
+// prune drops the views and the floor that every member has released, so that a stable ring keeps one view.
+func (s *ownerHistory) prune(now time.Time) {
+	if at, ok := s.floorReleasedAt(); ok && !now.Before(at) {
+		s.floorEpoch = 0
 	}
-	for len(s.views) > 1 && s.passed(now) {
+	for len(s.views) > 1 && s.oldestReleased(now) {
 		s.views = s.views[1:]
 	}
-	for inc, at := range s.gone {
-		if !s.named(inc) && !now.Before(at.Add(s.delay)) {
-			delete(s.gone, inc)
+	for inc, at := range s.removedAt {
+		if !s.inAnyView(inc) && !now.Before(at.Add(s.delay)) {
+			delete(s.removedAt, inc)
 		}
 	}
 	present := s.views[len(s.views)-1].Epoch
-	for inc := range s.words {
-		if galenastair.Epoch(inc) <= present && !s.named(inc) {
-			delete(s.words, inc)
+	for inc := range s.acks {
+		if galenastair.Epoch(inc) <= present && !s.inAnyView(inc) {
+			delete(s.acks, inc)
 		}
 	}
 }
 
-func (s *settling) passed(now time.Time) bool {
+func (s *ownerHistory) oldestReleased(now time.Time) bool {
 	for _, m := range s.views[0].Ring {
 		if m.Incarnation == s.self {
 			continue
 		}
-		at, ok := s.released(m.Incarnation, s.views[1])
+		at, ok := s.releasedAt(m.Incarnation, s.views[1])
 		if !ok || now.Before(at.Add(s.delay)) {
 			return false
 		}
@@ -246,7 +247,7 @@
 	return true
 }
 
-func (s *settling) named(inc Incarnation) bool {
+func (s *ownerHistory) inAnyView(inc Incarnation) bool {
 	for _, v := range s.views {
 		if v.index(inc) >= 0 {
 			return true
--- a/member/snapshot.go
+++ b/member/snapshot.go
@@ -18,15 +18,14 @@
 	Changes []Change
 }
 
-// Snapshot returns the state as the membership section of a snapshot record;
-// equal states give equal bytes.
+// Snapshot returns the membership section of a snapshot record. Equal states give equal bytes.
 func (s *State) Snapshot() (json.RawMessage, error) {
-	raw, err := json.Marshal(snapshot{s.Epoch, s.Ring, s.Fence, s.Last, s.Changes})
+	raw, err := json.Marshal(snapshot{s.Epoch, s.Ring, s.Fence, s.LastApplied, s.Changes})
 	return raw, eris.Wrap(err, "encode membership")
 }
 
-// Restore replaces the state by the membership section of a snapshot that covers
-// the records before an offset.
+// Restore replaces the state by the membership section of a snapshot that covers the records before
+// an offset.
 func (s *State) Restore(covers galenastair.Offset, raw json.RawMessage) error {
 	var snap snapshot
 	if err := json.Unmarshal(raw, &snap); err != nil {
@@ -34,12 +33,12 @@
 	}
 	*s = State{
 		View: View{Epoch: snap.Epoch, Ring: snap.Ring}, Fence: snap.Fence,
-		Offset: covers, Last: snap.Last, Changes: snap.Changes, rules: s.rules,
+		Offset: covers, LastApplied: snap.Last, Changes: snap.Changes, rules: s.rules,
 	}
 	return nil
 }
 
-// Views returns the rings of the kept epochs, oldest first and the present one last.
+// Views returns the rings of the kept epochs, oldest first, with the current one last.
 func (s *State) Views() []View {
 	views := []View{s.View}
 	ring := slices.Clone(s.Ring)
--- a/member/state.go
+++ b/member/state.go
@@ -7,53 +7,54 @@
 	"galenastair"
 )
 
-// Verdict says what the fold made of a record.
-type Verdict string
+// ApplyResult is the outcome of applying a record to the state.
+type ApplyResult string
 
-// The verdicts on a record.
+// The outcomes of applying a record.
 const (
-	// Applied says that the record took effect.
-	Applied Verdict = "Applied"
-	// Void says that the record was judged by the state at its offset and had no effect.
-	Void Verdict = "Void"
-	// Foreign says that the record is of a kind that membership does not know.
-	Foreign Verdict = "Foreign"
+	// Applied means that the record took effect.
+	Applied ApplyResult = "Applied"
+	// NoEffect means that the state at the record's offset made the record invalid.
+	NoEffect ApplyResult = "Void"
+	// UnknownKind means that the record is not a membership record.
+	UnknownKind ApplyResult = "Foreign"
 )
 
-// keptChanges bounds the changes in a snapshot. A joiner needs them to know who
-// served a duty before it; 32 cover an availability zone of 13 members that dies
-// and comes back, and cost about 6 KB. A joiner that needs more waits until all
-// members have folded the oldest (see settling).
-const keptChanges = 32
+// maxChanges bounds the changes in a snapshot. A joining instance needs them to know which
+// members held a role before it. 32 changes cover an availability zone of 13 members that fails
+// and comes back, and take about 6 KB. An instance that needs older ones waits until all members
+// have applied the oldest kept change (see ownerHistory.floorReleasedAt).
+const maxChanges = 32
 
-// Placed is a member and its place in the ring.
-type Placed struct {
+// RingEntry is a member and its index in the ring.
+type RingEntry struct {
 	Index  int
 	Member Member
 }
 
-// Change is what one epoch did to the ring.
+// Change is the difference between the rings of two consecutive epochs.
 type Change struct {
 	Epoch    galenastair.Epoch
-	Removed  []Placed
-	Inserted []Placed
+	Removed  []RingEntry
+	Inserted []RingEntry
 }
 
-// State is the fold of the membership records of a control stream; equal records give equal states.
+// State is the result of applying the membership records of a control stream in order. It is
+// deterministic: instances that applied the same records have equal states.
 type State struct {
 	View
 	Fence galenastair.Fence
-	// Offset is the last record folded, plus one.
+	// Offset is the offset of the last applied record, plus one.
 	Offset galenastair.Offset
-	// Last is the last record that took effect, renewals included, plus one.
-	Last galenastair.Offset
-	// Changes holds the newest changes, oldest first.
+	// LastApplied is the offset of the last record that took effect, renewals included, plus one.
+	LastApplied galenastair.Offset
+	// Changes holds the most recent changes, oldest first.
 	Changes []Change
 
 	rules rules
 }
 
-// Leader returns who leads, its incarnation and its fencing number; all are zero in an empty ring.
+// Leader returns the leader's id, incarnation and fencing number; all are zero if the ring is empty.
 func (s *State) Leader() (galenastair.InstanceID, Incarnation, galenastair.Fence) {
 	m, ok := s.View.Leader()
 	if !ok {
@@ -62,52 +63,54 @@
 	return m.ID, m.Incarnation, s.Fence
 }
 
-// Apply folds the record at an offset and says what it did.
-func (s *State) Apply(offset galenastair.Offset, rec galenastair.Record) Verdict {
+// Apply applies the record at an offset.
+func (s *State) Apply(offset galenastair.Offset, rec galenastair.Record) ApplyResult {
 	s.Offset = offset + 1
-	verdict := s.judge(offset, rec)
-	if verdict == Applied {
-		s.Last = offset + 1
+	result := s.applyByKind(offset, rec)
+	if result == Applied {
+		s.LastApplied = offset + 1
 	}
-	return verdict
+	return result
 }
 
-func (s *State) judge(offset galenastair.Offset, rec galenastair.Record) Verdict {
+func (s *State) applyByKind(offset galenastair.Offset, rec galenastair.Record) ApplyResult {
 	switch rec.Kind {
-	case KindFound:
-		return fold(rec, func(f Found) bool { return s.found(offset, f) })
+	case KindBootstrap:
+		return decodeAndApply(rec, func(f Bootstrap) bool { return s.bootstrap(offset, f) })
 	case KindJoin:
-		return fold(rec, func(j Join) bool { return s.join(offset, j) })
+		return decodeAndApply(rec, func(j Join) bool { return s.join(offset, j) })
 	case KindLeave:
-		return fold(rec, func(l Leave) bool { return s.leave(offset, l) })
+		return decodeAndApply(rec, func(l Leave) bool { return s.leave(offset, l) })
 	case KindLapse:
-		return fold(rec, func(l Lapse) bool { return s.lapse(offset, l) })
+		return decodeAndApply(rec, func(l Lapse) bool { return s.lapse(offset, l) })
 	case KindRenew:
-		return fold(rec, func(r Renew) bool { return s.renew(offset, r) })
+		return decodeAndApply(rec, func(r Renew) bool { return s.renew(offset, r) })
 	default:
-		return Foreign
+		return UnknownKind
 	}
 }
 
-// fold decodes a body; one that cannot be read is void for every reader alike.
-func fold[T any](rec galenastair.Record, apply func(T) bool) Verdict {
+// decodeAndApply decodes the body of a record and applies it. A body that cannot be decoded has no
+// effect, on any instance.
+func decodeAndApply[T any](rec galenastair.Record, apply func(T) bool) ApplyResult {
 	var body T
 	if err := json.Unmarshal(rec.Body, &body); err != nil {
-		return Void
+		return NoEffect
 	}
 	if !apply(body) {
-		return Void
+		return NoEffect
 	}
 	return Applied
 }
 
-// found starts a fresh ring. It names the last record folded by its author, so
-// that a renewal or a change by a member thought dead makes it void.
+// bootstrap starts a new ring of one member. The record names the last record that its author has
+// applied, so that it has no effect if a member presumed dead has written a renewal or a change
+// since.
 //
-// The epoch jumps to the offset: each epoch takes a record, so this is above
-// every earlier epoch even if the records that made them have expired.
-func (s *State) found(offset galenastair.Offset, f Found) bool {
-	if f.Epoch != s.Epoch || f.Last != s.Last {
+// The new epoch is derived from the offset. Each epoch takes at least one record, so it is higher
+// than every earlier epoch, even if the records of those have expired.
+func (s *State) bootstrap(offset galenastair.Offset, f Bootstrap) bool {
+	if f.Epoch != s.Epoch || f.Last != s.LastApplied {
 		return false
 	}
 	epoch := max(s.Epoch+1, galenastair.Epoch(offset)+1)
@@ -115,26 +118,26 @@
 		ID: f.ID, Incarnation: Incarnation(epoch), AvailabilityZone: f.AvailabilityZone,
 		PeerAddress: f.PeerAddress, Token: f.Token,
 	}
-	change := Change{Epoch: epoch, Inserted: []Placed{{Member: m}}}
+	change := Change{Epoch: epoch, Inserted: []RingEntry{{Member: m}}}
 	for i, old := range s.Ring {
-		change.Removed = append(change.Removed, Placed{Index: i, Member: old})
+		change.Removed = append(change.Removed, RingEntry{Index: i, Member: old})
 	}
 	s.advance(offset, change, []Member{m})
 	return true
 }
 
-// join inserts a member before its admitter. The record must name the duty that
-// the admitter holds at this offset. Without that check a second joiner, or the
-// late copy of an admission, would enter unknown to the watcher whose duty it
-// takes; a member alone on its ring would go on without a promise beside it.
+// join inserts a member before its admitter. The record must name the watch that the admitter has
+// at this offset. Without that check a second join, or a delayed copy of one, would insert a member
+// that the watcher whose place it takes does not know of, and a sole member would go on acting
+// without a lease although the ring has another member.
 func (s *State) join(offset galenastair.Offset, j Join) bool {
 	at := s.index(j.Admitter)
-	if at < 0 || s.taken(j.ID, j.PeerAddress) {
+	if at < 0 || s.hasIDOrAddress(j.ID, j.PeerAddress) {
 		return false
 	}
 	watched, _ := s.Watched(j.Admitter)
 	current := watched.Incarnation == j.Watched && watched.WatchedSince == j.WatchedSince
-	if !current && !s.rules.acceptStaleAdmission {
+	if !current && !s.rules.acceptStaleJoin {
 		return false
 	}
 	epoch := s.Epoch + 1
@@ -143,7 +146,7 @@
 		PeerAddress: j.PeerAddress, Token: j.Token,
 	}
 	ring := slices.Insert(slices.Clone(s.Ring), at, m)
-	s.advance(offset, Change{Epoch: epoch, Inserted: []Placed{{at, m}}}, ring)
+	s.advance(offset, Change{Epoch: epoch, Inserted: []RingEntry{{at, m}}}, ring)
 	return true
 }
 
@@ -156,9 +159,9 @@
 	return true
 }
 
-// lapse removes a member that its present watcher declares. It names the watch
-// and the last renewal that the author knew: a newer renewal keeps the member,
-// and a late copy of the record finds another watch.
+// lapse removes a member that its current watcher has declared lapsed. The record names the watch
+// and the last renewal that its author has applied. A newer renewal keeps the member in the ring,
+// and a delayed copy of the record has no effect since the watch has changed by then.
 func (s *State) lapse(offset galenastair.Offset, l Lapse) bool {
 	at := s.index(l.Incarnation)
 	if at < 0 || len(s.Ring) == 1 {
@@ -169,7 +172,7 @@
 	if watcher.Incarnation != l.Watcher || m.WatchedSince != l.WatchedSince {
 		return false
 	}
-	if m.Renewal != l.Renewal && !s.rules.lapseOverRenewal {
+	if m.Renewal != l.Renewal && !s.rules.lapseDespiteRenewal {
 		return false
 	}
 	s.remove(offset, at)
@@ -187,13 +190,13 @@
 }
 
 func (s *State) remove(offset galenastair.Offset, at int) {
-	gone := Placed{at, s.Ring[at]}
+	removed := RingEntry{at, s.Ring[at]}
 	ring := slices.Delete(slices.Clone(s.Ring), at, at+1)
-	s.advance(offset, Change{Epoch: s.Epoch + 1, Removed: []Placed{gone}}, ring)
+	s.advance(offset, Change{Epoch: s.Epoch + 1, Removed: []RingEntry{removed}}, ring)
 }
 
-// advance makes a changed ring the next epoch; rings are never written in place,
-// since statuses share them.
+// advance makes a changed ring the next epoch. Published statuses share the rings, so a ring is
+// never modified in place.
 func (s *State) advance(offset galenastair.Offset, c Change, ring []Member) {
 	before := s.View
 	_, leader, _ := s.Leader()
@@ -209,7 +212,7 @@
 		s.Fence = galenastair.Fence(offset)
 	}
 	s.Changes = append(slices.Clone(s.Changes), c)
-	if extra := len(s.Changes) - keptChanges; extra > 0 {
+	if extra := len(s.Changes) - maxChanges; extra > 0 {
 		s.Changes = s.Changes[extra:]
 	}
 }
--- a/member/status.go
+++ b/member/status.go
@@ -6,111 +6,113 @@
 	"galenastair"
 )
 
-// Status is what one member knows at one moment; it is immutable and meant for traffic to read.
+// Status is an immutable snapshot of what this instance knows about the membership. Request
+// handling reads it without going through the control loop.
 type Status struct {
-	// Self is this instance; its incarnation is zero while it is no member.
+	// Self is this instance; its incarnation is zero while it is not a member.
 	Self   Member
 	View   View
 	Leader Member
 	Fence  galenastair.Fence
-	// Offset is the last record of the control stream that was folded, plus one.
+	// Offset is the offset of the last applied record of the control stream, plus one.
 	Offset galenastair.Offset
 	Fleet  Fleet
 	// LogContact is when this instance last read the log to its end; zero if never.
 	LogContact time.Time
 
-	lease    lease
-	settling *settling
-	contact  time.Duration
+	lease            lease
+	history          *ownerHistory
+	logContactMaxAge time.Duration
 }
 
-// lease is how long this member may act.
+// lease bounds how long this member may act.
 type lease struct {
 	until time.Time
-	// alone is set while the member needs nobody's promise.
-	alone   bool
-	stopped bool
+	// soleMember is set while the ring has no other member, so that no lease is needed.
+	soleMember bool
+	stopped    bool
 }
 
 func (l lease) holds(now time.Time) bool {
-	return !l.stopped && (l.alone || now.Before(l.until))
+	return !l.stopped && (l.soleMember || now.Before(l.until))
 }
 
-// Holds says whether this instance is a member whose lease runs at now.
+// Holds reports whether this instance is a member that holds its lease at now.
 //
-// It is meant to be checked right before each act that needs the lease. A pause
-// of the process between the check and the act can still carry the act past the
-// lease; the successor's delay (see settling) covers a pause up to Promise long
-// after the lease's end, and fencing numbers or claims must cover a longer one.
+// Check it right before each action that needs the lease. If the process pauses between the check
+// and the action, the action can still happen after the lease has ended. The delay of the next
+// owner (see ownerHistory) covers pauses of up to Timing.GrantDuration after the end of the lease;
+// fencing numbers or claims must cover longer ones.
 func (s *Status) Holds(now time.Time) bool {
 	return s.Self.Incarnation != 0 && s.lease.holds(now)
 }
 
-// LeaseEnds returns when the lease ends; it is zero for a member that needs nobody's promise.
+// LeaseEnds returns when the lease ends; it is zero for a sole member, which needs no lease.
 func (s *Status) LeaseEnds() time.Time {
-	if s.lease.alone {
+	if s.lease.soleMember {
 		return time.Time{}
 	}
 	return s.lease.until
 }
 
-// Owner returns the member whose duty a slot of a key is in the present ring.
+// Owner returns the member that owns a slot of a key in the current ring.
 func (s *Status) Owner(key string, slot int) (Member, bool) {
 	return SlotDuty(key, slot)(s.View)
 }
 
-// Owners returns the members of the first slots of a key; there are fewer in a smaller ring.
+// Owners returns the owners of the first slots of a key. There are fewer than slots in a smaller ring.
 func (s *Status) Owners(key string, slots int) []Member {
 	ranked := Rank(s.View.Ring, key)
 	return ranked[:min(slots, len(ranked))]
 }
 
-// Serves says whether this instance may serve a slot of a key at now: the present
-// ring gives it the duty, its lease runs, and every earlier owner is settled.
+// Serves reports whether this instance may serve a slot of a key at now: the current ring gives it
+// the slot, its lease runs, and every previous owner has released the slot.
 func (s *Status) Serves(key string, slot int, now time.Time) bool {
 	return s.ServesDuty(SlotDuty(key, slot), now)
 }
 
-// ServesSince returns since when this instance may serve a slot of a key; lease apart.
+// ServesSince returns since when this instance may serve a slot of a key, regardless of its lease.
 func (s *Status) ServesSince(key string, slot int) (time.Time, bool) {
-	return s.dutySince(SlotDuty(key, slot))
+	return s.actsSince(SlotDuty(key, slot))
 }
 
-// Leads says whether this instance may act as leader at now.
+// Leads reports whether this instance may act as leader at now.
 //
-// A leader does not wait for a pause of the one before, whose lease has ended: orders that it
-// sends on waking are refused for their fence, or stand in the log and are reckoned with (see
-// ledger). Models that have lost their copies wait for the next leader.
+// A new leader does not add the delay that covers a paused predecessor. Orders that the predecessor
+// sends after it resumes are either refused because of their fencing number, or are in the log and
+// taken into account by the new leader (see package ledger). Waiting would leave models that have
+// lost their copies without a leader for longer.
 func (s *Status) Leads(now time.Time) bool {
 	if !s.Holds(now) {
 		return false
 	}
-	owner, ok := LeaderDuty(s.View)
+	owner, ok := LeaderOf(s.View)
 	if !ok || owner.Incarnation != s.Self.Incarnation {
 		return false
 	}
-	since, ok := s.settling.settledWithout(LeaderDuty, 0, nil)
+	since, ok := s.history.releasedSince(LeaderOf, 0, nil)
 	return ok && !now.Before(since)
 }
 
-// ServesDuty says whether this instance may serve a duty at now.
-func (s *Status) ServesDuty(d Duty, now time.Time) bool {
+// ActsAs reports whether this instance may act as the owner of a role at now.
+func (s *Status) ServesDuty(ownerOf Duty, now time.Time) bool {
 	if !s.Holds(now) {
 		return false
 	}
-	since, ok := s.dutySince(d)
+	since, ok := s.actsSince(ownerOf)
 	return ok && !now.Before(since)
 }
 
-func (s *Status) dutySince(d Duty) (time.Time, bool) {
-	owner, ok := d(s.View)
+func (s *Status) actsSince(ownerOf Duty) (time.Time, bool) {
+	owner, ok := ownerOf(s.View)
 	if !ok || s.Self.Incarnation == 0 || owner.Incarnation != s.Self.Incarnation {
 		return time.Time{}, false
 	}
-	return s.settling.settled(d)
+	return s.history.servableSince(ownerOf)
 }
 
-// Settled says whether every member is known to have folded the present epoch.
-func (s *Status) Settled() bool {
-	return s.settling == nil || len(s.settling.views) == 1
+// Converged reports whether every member is known to have applied the current epoch.
+func (s *Status) Converged() bool {
+	return s.history == nil || len(s.history.views) == 1
 }
--- a/member/status_test.go
+++ b/member/status_test.go
@@ -11,8 +11,8 @@
 	"galenastair"
 )
 
-// bigNode is a node of a ring of 53 that has just settled its last change.
-func bigNode(t testing.TB) *Node {
+// largeNode returns a node of a ring of 53 members that has converged.
+func largeNode(t testing.TB) *Node {
 	s := &State{}
 	apply := func(kind galenastair.RecordKind, body any) {
 		rec, err := NewRecord("i", kind, body)
@@ -20,11 +20,11 @@
 			t.Fatal(kind, err)
 		}
 	}
-	members := someMembers(53, 2)
+	members := testMembers(53, 2)
 	for i, m := range members {
 		m.PeerAddress, m.Token = "10.0.0.1:"+string(m.ID), "a-token-as-long-as-a-uuid-is-in-text"+string(m.ID)
 		if i == 0 {
-			apply(KindFound, Found{ID: m.ID, AvailabilityZone: m.AvailabilityZone, PeerAddress: m.PeerAddress, Token: m.Token})
+			apply(KindBootstrap, Bootstrap{ID: m.ID, AvailabilityZone: m.AvailabilityZone, PeerAddress: m.PeerAddress, Token: m.Token})
 			continue
 		}
 		first := s.Ring[len(s.Ring)-1]
@@ -40,17 +40,17 @@
 		t.Fatal(err)
 	}
 	for _, m := range s.Ring {
-		n.MergeNews(modelStart, News{From: m.Incarnation, Folded: s.Epoch, LogAge: -1})
+		n.MergeGossip(modelStart, Gossip{From: m.Incarnation, Applied: s.Epoch, LogAge: -1})
 	}
 	n.Tick(modelStart.Add(time.Minute))
 	return n
 }
 
-// A member that restores a snapshot must know the same as one that folded the
-// records: two snapshots of one offset are identical, and old rings come back.
+// A member that restores a snapshot must have the same state as one that applied the records: their
+// next snapshots are identical, and the earlier rings can be reconstructed.
 func TestSnapshotKeepsStateAndRings(t *testing.T) {
 	is := is.New(t)
-	n := bigNode(t)
+	n := largeNode(t)
 	raw, err := n.State().Snapshot()
 	is.NoErr(err)
 	var again State
@@ -59,38 +59,38 @@
 	is.NoErr(err)
 	is.Equal(string(raw), string(back))
 	views := again.Views()
-	is.Equal(len(views), keptChanges+1)
-	is.Equal(len(views[0].Ring), 53-keptChanges)
-	is.True(n.Status(modelStart).Settled())
+	is.Equal(len(views), maxChanges+1)
+	is.Equal(len(views[0].Ring), 53-maxChanges)
+	is.True(n.Status(modelStart).Converged())
 	t.Logf("snapshot of 53 members: %d bytes", len(raw))
 }
 
-func TestFoldSkipsOtherRecords(t *testing.T) {
+func TestApplyIgnoresOtherRecords(t *testing.T) {
 	is := is.New(t)
 	s := &State{}
-	is.Equal(s.Apply(1, galenastair.Record{Kind: "Order", Body: json.RawMessage(`{}`)}), Foreign)
-	is.Equal(s.Apply(2, galenastair.Record{Kind: KindJoin, Body: json.RawMessage(`[`)}), Void)
+	is.Equal(s.Apply(1, galenastair.Record{Kind: "Order", Body: json.RawMessage(`{}`)}), UnknownKind)
+	is.Equal(s.Apply(2, galenastair.Record{Kind: KindJoin, Body: json.RawMessage(`[`)}), NoEffect)
 	is.Equal(s.Offset, galenastair.Offset(3))
-	is.Equal(s.Last, galenastair.Offset(0))
+	is.Equal(s.LastApplied, galenastair.Offset(0))
 }
 
-// BenchmarkStatus is what each heartbeat costs to publish at 53 members.
+// BenchmarkStatus measures the status that is published after each heartbeat, at 53 members.
 func BenchmarkStatus(b *testing.B) {
-	n := bigNode(b)
+	n := largeNode(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		n.Status(modelStart)
 	}
 }
 
-// BenchmarkNodeMemory reports the heap of one node at 53 members.
+// BenchmarkNodeMemory reports the heap size of a node at 53 members.
 func BenchmarkNodeMemory(b *testing.B) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	nodes := make([]*Node, 0, 100)
 	for range 100 {
-		nodes = append(nodes, bigNode(b))
+		nodes = append(nodes, largeNode(b))
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
