--- a/member/walk_test.go
+++ b/member/walk_test.go
@@ -11,9 +11,9 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// walkFaults are the single steps of the exhaustive walk over three members and
-// one that joins; six seconds are longer than a lease and its promise.
-func walkFaults() []fault {
+// sequenceFaults returns the faults of the exhaustive test, for three members and one that joins. They
+// last six seconds, which is longer than a lease and its grant.
+func sequenceFaults() []fault {
 	const long = 6 * time.Second
 	out := []fault{{logOutage, 0, 0, long}, {slowAppends, 0, 0, long}, {join, 0, 3, 0}}
 	for slot := range 3 {
@@ -24,16 +24,16 @@
 	return out
 }
 
-// walkOffsets put a step into the middle of what the one before has started:
-// at once, before a lapse, around its appending, and after the takeover.
-var walkOffsets = []time.Duration{0, 2 * time.Second, 4500 * time.Millisecond, 9 * time.Second}
+// sequenceOffsets place a fault relative to the one before: at once, before a lapse, around its
+// append, and after the takeover.
+var sequenceOffsets = []time.Duration{0, 2 * time.Second, 4500 * time.Millisecond, 9 * time.Second}
 
-// walk calls f with every sequence of faults up to a length.
-func walk(prefix []fault, depth int, offsets []time.Duration, f func([]fault)) {
+// forEachSequence calls f with every sequence of faults up to a length.
+func forEachSequence(prefix []fault, depth int, offsets []time.Duration, f func([]fault)) {
 	if depth == 0 {
 		return
 	}
-	for _, next := range walkFaults() {
+	for _, next := range sequenceFaults() {
 		here, from := offsets, 8*time.Second
 		if len(prefix) == 0 {
 			here = here[:1]
@@ -44,17 +44,17 @@
 			next.At = from + offset
 			seq := slices.Concat(prefix, []fault{next})
 			f(seq)
-			walk(seq, depth-1, offsets, f)
+			forEachSequence(seq, depth-1, offsets, f)
 		}
 	}
 }
 
-// TestWalk plays every sequence of two faults over three members, the second at
-// once or around the lapse that the first leads to; with MEMBER_WALK set, as in
-// make proof, sequences of that length at all offsets.
-func TestWalk(t *testing.T) {
+// Runs every sequence of two faults over three members, with the second at once or around the lapse
+// that the first causes. MEMBER_WALK sets the length of the sequences and selects all offsets, as in
+// make proof.
+func TestRulesHoldOverFaultSequences(t *testing.T) {
 	t.Parallel()
-	offsets := walkOffsets
+	offsets := sequenceOffsets
 	depth, err := strconv.Atoi(os.Getenv("MEMBER_WALK"))
 	if err != nil {
 		depth = 2
@@ -63,9 +63,9 @@
 	var played, lapses atomic.Int64
 	var group errgroup.Group
 	group.SetLimit(4)
-	walk(nil, depth, offsets, func(faults []fault) {
+	forEachSequence(nil, depth, offsets, func(faults []fault) {
 		group.Go(func() error {
-			m := schedule{Seed: 1, Members: 3, Faults: faults}.play(rules{}, modelTiming())
+			m := schedule{Seed: 1, Members: 3, Faults: faults}.run(rules{}, modelTiming())
 			played.Add(1)
 			lapses.Add(m.stats.lapses)
 			if m.failure != "" {
