--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -9,18 +9,19 @@
 )
 
 const (
-	// retryView is when to come back to an instance without a fresh view: its balancer
-	// has taken it out by then, and others serve.
-	retryView = 500 * time.Millisecond
-	// leastRetry and mostRetry bound what a caller is told: below, it comes back into
-	// the same moment; above, it would rather give up.
-	leastRetry = 100 * time.Millisecond
-	mostRetry  = 5 * time.Second
-	// mostPriority is the last rank that backend servers know.
-	mostPriority = 9
+	// catalogRetryAfter is the Retry-After of an instance without a current configuration.
+	// By then the load balancer has stopped sending to it and other instances serve.
+	catalogRetryAfter = 500 * time.Millisecond
+	// minRetryAfter and maxRetryAfter bound the Retry-After of an organisation over its
+	// quota and of overload. A caller that retries sooner meets the same conditions, and
+	// one that is asked to wait longer gives up.
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 5 * time.Second
+	// maxPriority is the least urgent level that backend servers accept.
+	maxPriority = 9
 )
 
-// admission is what a request was admitted by.
+// admission is the configuration that a request was admitted under.
 type admission struct {
 	route        *catalog.Route
 	organisation *catalog.Organisation
@@ -28,65 +29,66 @@
 	age          time.Duration
 }
 
-func (a admission) name() galenastair.Organisation {
+func (a admission) organisationName() galenastair.Organisation {
 	if a.organisation == nil {
 		return ""
 	}
 	return a.organisation.Name
 }
 
-// priority is the organisation's if it has one, or else the route's.
+// priority returns the organisation's priority if it has one, or else the route's.
 func (a admission) priority() int {
 	p := a.route.Priority
 	if a.organisation != nil && a.organisation.HasPriority {
 		p = a.organisation.Priority
 	}
-	return min(max(p, 0), mostPriority)
+	return min(max(p, 0), maxPriority)
 }
 
-// authorise finds a request's route and organisation in the view in force. A view that is too
-// old, as of an instance that is cut off or was suspended, may hold a withdrawn key and admits
-// none.
+// authorise looks up a request's route and organisation in the current catalog. An
+// instance that lost its connection to the store or was suspended may have an outdated
+// catalog that still holds a withdrawn key, so a catalog older than MaxCatalogAge
+// admits no key.
 func (g *Gateway) authorise(c *Call) (admission, error) {
-	view, age := g.views.View()
-	if view == nil {
-		return admission{}, galenastair.Refuse(galenastair.ErrConfiguration, retryView, "none yet")
+	current, age := g.catalogSource.View()
+	if current == nil {
+		return admission{}, galenastair.Refuse(galenastair.ErrConfiguration, catalogRetryAfter, "not loaded yet")
 	}
 	fresh := age < g.settings.ViewLife
-	a := admission{version: view.Version, age: age}
-	a.route = view.Match(c.Host, c.Path)
+	a := admission{version: current.Version, age: age}
+	a.route = current.Match(c.Host, c.Path)
 	if a.route == nil {
 		if !fresh {
-			return a, galenastair.Refuse(galenastair.ErrConfiguration, retryView, "too old to know the route")
+			return a, galenastair.Refuse(galenastair.ErrConfiguration, catalogRetryAfter, "configuration too old to match the route")
 		}
-		return a, galenastair.Refuse(galenastair.ErrNotFound, 0, "route")
+		return a, galenastair.Refuse(galenastair.ErrNotFound, 0, "no route matches")
 	}
-	if !view.NeedsKey(a.route) {
+	if !current.NeedsKey(a.route) {
 		return a, nil
 	}
 	if !fresh {
-		return a, galenastair.Refuse(galenastair.ErrConfiguration, retryView, "too old to know the key")
+		return a, galenastair.Refuse(galenastair.ErrConfiguration, catalogRetryAfter, "configuration too old to verify the key")
 	}
 	if c.Key == "" {
 		return a, galenastair.Refuse(galenastair.ErrKeyMissing, 0, "")
 	}
-	a.organisation = view.ByKey(c.Key)
+	a.organisation = current.ByKey(c.Key)
 	if a.organisation == nil {
 		return a, galenastair.Refuse(galenastair.ErrKeyUnknown, 0, "")
 	}
 	return a, nil
 }
 
-// charge takes a request's cost from its organisation's quota.
+// charge deducts a request's cost from its organisation's quota.
 func (g *Gateway) charge(ctx context.Context, a admission, h galenastair.Hints) error {
 	if a.organisation == nil || a.organisation.Rate <= 0 {
 		return nil
 	}
 	cost := a.organisation.Cost(h.Prompt+h.Output, h.Counted)
-	if g.quota.Take(g.clock.Now(), a.name(), cost) || g.quota.Borrow(ctx, a.name(), cost) {
+	if g.quota.Take(g.clock.Now(), a.organisationName(), cost) || g.quota.Borrow(ctx, a.organisationName(), cost) {
 		return nil
 	}
-	return galenastair.Refuse(galenastair.ErrRateExceeded, retryAfter(g.quota.Wait(a.name(), cost)), "")
+	return galenastair.Refuse(galenastair.ErrRateExceeded, clampRetryAfter(g.quota.Wait(a.organisationName(), cost)), "")
 }
 
-func retryAfter(d time.Duration) time.Duration { return min(mostRetry, max(leastRetry, d)) }
+func clampRetryAfter(d time.Duration) time.Duration { return min(maxRetryAfter, max(minRetryAfter, d)) }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -14,112 +14,115 @@
 )
 
 const (
-	// wholeBytes is the most of an answer that is read to its end before its caller
-	// gets any of it: until then a cut one can be had again, or refused, cleanly.
-	wholeBytes = 256 << 10
-	// readBytes is what is read of an answer at a time.
-	readBytes = 8 << 10
+	// maxBufferedBytes bounds the response that is read to its end before the caller gets
+	// any of it. Until then a truncated response can be retried or replaced by an error.
+	maxBufferedBytes = 256 << 10
+	// readBufferBytes is the size of one read from a response body.
+	readBufferBytes = 8 << 10
 )
 
-// errServer says that a backend server answered with a failure of its own.
-var errServer = eris.New("the backend server answered with a failure")
+// errBackendFailure reports a response with an error status of the backend server.
+var errBackendFailure = eris.New("the backend server returned an error status")
 
-// attempt sends the request to one backend server and passes its answer on.
-func (r *run) attempt(ctx context.Context, choice pool.Choice) error {
-	// the key may have been withdrawn, or this process suspended, while it waited
-	if _, err := r.g.authorise(&r.call); err != nil {
+// attempt sends the request to one backend server and forwards the response.
+func (r *activeRequest) attempt(ctx context.Context, choice pool.Choice) error {
+	// The key may have been withdrawn, or this process suspended, while the request waited.
+	if _, err := r.g.authorise(&r.req); err != nil {
 		return err
 	}
 	now := r.g.clock.Now()
-	flight := r.g.pool.Begin(now, choice.ID, r.query())
+	flight := r.g.pool.Begin(now, choice.ID, r.poolQuery())
 	r.tried = append(r.tried, choice.ID)
 	r.sends++
-	r.g.logger.Log("event", "route", "request", r.call.ID, "server", choice.ID, "zone", choice.AvailabilityZone, "reason", choice.Reason,
+	r.g.logger.Log("event", "route", "request", r.req.ID, "server", choice.ID, "zone", choice.AvailabilityZone, "reason", choice.Reason,
 		"candidates", choice.Candidates, "foretold", choice.Foretold, "cached", int64(choice.Cached), "send", r.sends)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(context.Canceled)
-	stop := r.watch(cancel, choice)
+	stop := r.cancelIfSilent(cancel, choice)
 	defer stop()
-	answer, err := r.g.backend.Call(ctx, choice.Address, r.backendCall(choice, now))
+	resp, err := r.g.backend.Call(ctx, choice.Address, r.backendCall(choice, now))
 	if err != nil {
-		return r.failed(ctx, flight, err)
+		return r.handleFailure(ctx, flight, err)
 	}
-	defer answer.Body.Close()
-	if answer.Limit > 0 || !answer.Declined {
-		r.g.pool.NoteLimit(r.g.clock.Now(), choice.ID, answer.Limit, now)
+	defer resp.Body.Close()
+	if resp.Limit > 0 || !resp.Declined {
+		r.g.pool.NoteLimit(r.g.clock.Now(), choice.ID, resp.Limit, now)
 	}
-	if answer.Declined {
-		return r.declined(flight, choice, answer)
+	if resp.Declined {
+		return r.handleDecline(flight, choice, resp)
 	}
 	r.runs++
-	if r.headed && answer.Status/100 != 2 {
-		// passed on, the error would end the caller's answer as if it were whole
+	if r.wroteHeader && resp.Status/100 != 2 {
+		// If the error body were forwarded, the caller would take its response for complete.
 		flight.End(r.g.clock.Now(), pool.Erred)
-		return eris.Wrapf(errServer, "status %d to a resumed stream", answer.Status)
+		return eris.Wrapf(errBackendFailure, "status %d for a resumed stream", resp.Status)
 	}
-	if !r.admission.route.Kind.Streamed() || answer.Status/100 != 2 {
-		return r.plain(ctx, flight, answer, stop)
+	if !r.admission.route.Kind.Streamed() || resp.Status/100 != 2 {
+		return r.forwardResponse(ctx, flight, resp, stop)
 	}
-	return r.stream(ctx, flight, answer, stop)
+	return r.forwardStream(ctx, flight, resp, stop)
 }
 
-func (r *run) backendCall(choice pool.Choice, now time.Time) galenastair.BackendCall {
+func (r *activeRequest) backendCall(choice pool.Choice, now time.Time) galenastair.BackendCall {
 	c := galenastair.BackendCall{
-		ID:           r.call.ID,
-		Method:       r.call.Method,
-		Target:       r.call.Target,
-		Host:         r.call.Host,
-		Header:       r.call.Header,
-		Body:         r.call.Body,
+		ID:           r.req.ID,
+		Method:       r.req.Method,
+		Target:       r.req.Target,
+		Host:         r.req.Host,
+		Header:       r.req.Header,
+		Body:         r.req.Body,
 		Expect:       choice.ID,
-		Organisation: r.admission.name(),
+		Organisation: r.admission.organisationName(),
 		Left:         max(0, r.deadline.Sub(now)),
 		Priority:     -1,
-		After:        r.call.After,
+		After:        r.req.After,
 		Usable:       func() bool { return r.g.pool.Usable(r.g.clock.Now(), choice.ID) },
 	}
-	if r.call.Hints.Model != "" {
+	if r.req.Hints.Model != "" {
 		c.Priority = r.admission.priority()
 	}
-	if r.events.last != "" {
-		c.After = r.events.last
+	if r.events.lastEventID != "" {
+		c.After = r.events.lastEventID
 	}
 	return c
 }
 
 const (
-	// streamSilence and plainSilence are the least times without any answer after
-	// which a request that may be repeated is sent elsewhere. A first event takes
-	// some 0.1 to 0.5 s on a busy engine, a plain answer some 20 ms.
-	streamSilence = 900 * time.Millisecond
-	plainSilence  = 150 * time.Millisecond
-	// silenceFactor is how many times longer than foretold a silence must last.
+	// minStreamSilence and minPlainSilence are the shortest times without a response after
+	// which a repeatable request is sent to another backend server. The first event takes
+	// 0.1 to 0.5 s on a busy engine, a response that is no stream about 20 ms.
+	minStreamSilence = 900 * time.Millisecond
+	minPlainSilence  = 150 * time.Millisecond
+	// silenceFactor is the multiple of the estimated response time after which a backend
+	// server counts as silent.
 	silenceFactor = 4
 )
 
-// watch ends an attempt that stays without any answer for too long, if the request may
-// be sent elsewhere. It is made for one backend server that has gone dark or hangs
-// among sound ones. The returned function ends the watch.
-func (r *run) watch(cancel context.CancelCauseFunc, choice pool.Choice) func() bool {
+// cancelIfSilent cancels an attempt that gets no response for too long, if the request may
+// be sent to another backend server. Without it, requests to one unreachable or hung
+// backend server would fail although others could serve them. The returned function stops
+// the timer.
+func (r *activeRequest) cancelIfSilent(cancel context.CancelCauseFunc, choice pool.Choice) func() bool {
 	route := r.admission.route
 	if !route.Kind.Repeatable() || r.runs+1 >= route.Attempts || choice.Candidates < 2 {
 		return func() bool { return true }
 	}
-	least := plainSilence
+	minSilence := minPlainSilence
 	if route.Kind.Streamed() {
-		least = streamSilence
+		minSilence = minStreamSilence
 	}
-	left := r.deadline.Sub(r.g.clock.Now())
-	wait := max(least, silenceFactor*choice.Foretold)
-	if wait > left/2 {
+	remaining := r.deadline.Sub(r.g.clock.Now())
+	wait := max(minSilence, silenceFactor*choice.Foretold)
+	if wait > remaining/2 {
 		return func() bool { return true }
 	}
 	t := time.AfterFunc(wait, func() { cancel(galenastair.ErrSilent) })
 	return t.Stop
 }
 
-// failed takes in an attempt without an answer.
-func (r *run) failed(ctx context.Context, flight *pool.Flight, err error) error {
+// handleFailure reports an attempt without a response to the pool, and counts it as a run
+// if the request may have reached the backend server.
+func (r *activeRequest) handleFailure(ctx context.Context, flight *pool.Flight, err error) error {
 	now := r.g.clock.Now()
 	switch {
 	case errors.Is(err, galenastair.ErrAbsent):
@@ -142,48 +145,50 @@
 	return err
 }
 
-// declined takes in a backend server's word that it did not run the request.
-func (r *run) declined(flight *pool.Flight, choice pool.Choice, answer *galenastair.BackendAnswer) error {
+// handleDecline handles a response that states that the backend server did not run the
+// request.
+func (r *activeRequest) handleDecline(flight *pool.Flight, choice pool.Choice, resp *galenastair.BackendAnswer) error {
 	result := pool.Full
-	if answer.Elsewhere {
+	if resp.Elsewhere {
 		result = pool.Neutral
-		if r.call.Hints.Model != "" {
-			r.g.pool.RemoveModel(r.g.clock.Now(), choice.ID, r.call.Hints.Model)
+		if r.req.Hints.Model != "" {
+			r.g.pool.RemoveModel(r.g.clock.Now(), choice.ID, r.req.Hints.Model)
 		}
 	}
 	flight.End(r.g.clock.Now(), result)
-	return eris.Wrapf(galenastair.ErrDeclined, "%s: status %d", choice.ID, answer.Status)
+	return eris.Wrapf(galenastair.ErrDeclined, "%s: status %d", choice.ID, resp.Status)
 }
 
-// plain passes on an answer that is no stream, read whole first if it is short.
-func (r *run) plain(ctx context.Context, flight *pool.Flight, answer *galenastair.BackendAnswer, stop func() bool) error {
-	data, err := io.ReadAll(io.LimitReader(answer.Body, wholeBytes+1))
+// forwardResponse forwards a response that is no stream. A body of up to maxBufferedBytes
+// is read completely first.
+func (r *activeRequest) forwardResponse(ctx context.Context, flight *pool.Flight, resp *galenastair.BackendAnswer, stop func() bool) error {
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBytes+1))
 	stop()
 	now := r.g.clock.Now()
 	flight.Started(now)
 	if err != nil {
-		return r.cut(ctx, flight, err)
+		return r.handleTruncation(ctx, flight, err)
 	}
-	failure := answer.Status >= http.StatusInternalServerError
-	if failure && r.mayRunAgain() {
+	failure := resp.Status >= http.StatusInternalServerError
+	if failure && r.mayRetryFailure() {
 		flight.End(now, pool.Erred)
-		return eris.Wrapf(errServer, "status %d", answer.Status)
+		return eris.Wrapf(errBackendFailure, "status %d", resp.Status)
 	}
-	r.first, r.status = now, answer.Status
+	r.firstByteAt, r.status = now, resp.Status
 	length := int64(len(data))
-	if length > wholeBytes {
+	if length > maxBufferedBytes {
 		length = -1
 	}
-	r.headed = true
-	err = r.sink.Head(answer.Status, answer.Header, length)
+	r.wroteHeader = true
+	err = r.w.Head(resp.Status, resp.Header, length)
 	if err == nil {
-		err = r.sink.Write(data)
+		err = r.w.Write(data)
 	}
 	if err == nil && length < 0 {
-		err = r.copyRest(answer.Body)
+		err = r.copyBody(resp.Body)
 	}
 	if err != nil {
-		return r.cut(ctx, flight, err)
+		return r.handleTruncation(ctx, flight, err)
 	}
 	result := pool.Succeeded
 	if failure {
@@ -194,19 +199,19 @@
 	return nil
 }
 
-// mayRunAgain says whether a failure of a backend server is worth another one's try.
-func (r *run) mayRunAgain() bool {
+// mayRetryFailure reports whether an error status may be retried on another backend server.
+func (r *activeRequest) mayRetryFailure() bool {
 	route := r.admission.route
-	return route.Kind.Repeatable() && !r.headed && r.runs < route.Attempts
+	return route.Kind.Repeatable() && !r.wroteHeader && r.runs < route.Attempts
 }
 
-func (r *run) copyRest(body io.Reader) error {
-	buf := make([]byte, readBytes)
+func (r *activeRequest) copyBody(body io.Reader) error {
+	buf := make([]byte, readBufferBytes)
 	for {
 		n, err := body.Read(buf)
 		if n > 0 {
-			if err := r.sink.Write(buf[:n]); err != nil {
-				return errLeft
+			if err := r.w.Write(buf[:n]); err != nil {
+				return errCallerGone
 			}
 		}
 		if errors.Is(err, io.EOF) {
@@ -218,75 +223,76 @@
 	}
 }
 
-// cut takes in an answer that broke off.
-func (r *run) cut(ctx context.Context, flight *pool.Flight, err error) error {
+// handleTruncation reports a response that broke off to the pool.
+func (r *activeRequest) handleTruncation(ctx context.Context, flight *pool.Flight, err error) error {
 	result := pool.Failed
-	if errors.Is(err, errLeft) || ctx.Err() != nil && !errors.Is(context.Cause(ctx), galenastair.ErrSilent) {
+	if errors.Is(err, errCallerGone) || ctx.Err() != nil && !errors.Is(context.Cause(ctx), galenastair.ErrSilent) {
 		result = pool.Neutral
 	}
 	flight.End(r.g.clock.Now(), result)
 	return err
 }
 
-// stream passes on a stream event by event. The caller gets whole events only, so that
-// another backend server can go on behind the last one in the same answer.
-func (r *run) stream(ctx context.Context, flight *pool.Flight, answer *galenastair.BackendAnswer, stop func() bool) error {
-	buf := make([]byte, readBytes)
-	begun := false
+// forwardStream forwards a stream event by event. The caller gets complete events only, so
+// that another backend server can continue the same response after the last one.
+func (r *activeRequest) forwardStream(ctx context.Context, flight *pool.Flight, resp *galenastair.BackendAnswer, stop func() bool) error {
+	buf := make([]byte, readBufferBytes)
+	started := false
 	for {
-		n, err := answer.Body.Read(buf)
-		if n > 0 && !begun {
-			begun = true
+		n, err := resp.Body.Read(buf)
+		if n > 0 && !started {
+			started = true
 			stop()
 			flight.Started(r.g.clock.Now())
 		}
-		if whole := r.events.cut(buf[:n]); len(whole) > 0 {
-			if err := r.pass(answer, whole); err != nil {
+		if complete := r.events.split(buf[:n]); len(complete) > 0 {
+			if err := r.writeEvents(resp, complete); err != nil {
 				flight.End(r.g.clock.Now(), pool.Neutral)
-				return errLeft
+				return errCallerGone
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			return r.streamEnded(flight, answer)
+			return r.finishStream(flight, resp)
 		}
 		if err != nil {
-			r.events.drop()
-			return r.cut(ctx, flight, err)
+			r.events.discardPartial()
+			return r.handleTruncation(ctx, flight, err)
 		}
 	}
 }
 
-func (r *run) streamEnded(flight *pool.Flight, answer *galenastair.BackendAnswer) error {
+func (r *activeRequest) finishStream(flight *pool.Flight, resp *galenastair.BackendAnswer) error {
 	now := r.g.clock.Now()
-	if r.events.cutShort() {
-		r.events.drop()
+	if r.events.hasPartial() {
+		r.events.discardPartial()
 		flight.End(now, pool.Failed)
-		return eris.Wrap(galenastair.ErrAnswerCut, "the last event has no end")
+		return eris.Wrap(galenastair.ErrAnswerCut, "the stream ended inside an event")
 	}
 	flight.End(now, pool.Succeeded)
 	r.g.poison.Succeeded(r.digest)
-	if r.headed {
+	if r.wroteHeader {
 		return nil
 	}
-	return r.pass(answer, nil)
+	return r.writeEvents(resp, nil)
 }
 
-// pass gives whole events to the caller, the head of the first answer before them.
-func (r *run) pass(answer *galenastair.BackendAnswer, whole []byte) error {
-	if !r.headed {
-		r.headed = true
-		r.first, r.status = r.g.clock.Now(), answer.Status
-		if err := r.sink.Head(answer.Status, answer.Header, -1); err != nil {
+// writeEvents writes complete events to the caller, preceded by the header of the first
+// response.
+func (r *activeRequest) writeEvents(resp *galenastair.BackendAnswer, complete []byte) error {
+	if !r.wroteHeader {
+		r.wroteHeader = true
+		r.firstByteAt, r.status = r.g.clock.Now(), resp.Status
+		if err := r.w.Head(resp.Status, resp.Header, -1); err != nil {
 			return err
 		}
 	}
-	if len(whole) == 0 {
+	if len(complete) == 0 {
 		return nil
 	}
 	now := r.g.clock.Now()
-	if !r.passed.IsZero() {
-		r.pause = max(r.pause, now.Sub(r.passed))
+	if !r.lastWriteAt.IsZero() {
+		r.longestPause = max(r.longestPause, now.Sub(r.lastWriteAt))
 	}
-	r.passed = now
-	return r.sink.Write(whole)
+	r.lastWriteAt = now
+	return r.w.Write(complete)
 }
--- a/gateway/bed_test.go
+++ b/gateway/bed_test.go
@@ -17,16 +17,16 @@
 	"galenastair/ratelimit"
 )
 
-// script answers one call of a backend server.
+// script answers one request to a backend server.
 type script func(ctx context.Context, c galenastair.BackendCall) (*galenastair.BackendAnswer, error)
 
-// backend plays scripts in order and keeps what it was sent.
-type backend struct {
+// fakeBackend runs its scripts in order and records the requests.
+type fakeBackend struct {
 	scripts []script
 	calls   []galenastair.BackendCall
 }
 
-func (b *backend) Call(ctx context.Context, _ string, c galenastair.BackendCall) (*galenastair.BackendAnswer, error) {
+func (b *fakeBackend) Call(ctx context.Context, _ string, c galenastair.BackendCall) (*galenastair.BackendAnswer, error) {
 	b.calls = append(b.calls, c)
 	if len(b.calls) > len(b.scripts) {
 		return nil, galenastair.ErrNotSent
@@ -34,10 +34,10 @@
 	return b.scripts[len(b.calls)-1](ctx, c)
 }
 
-// cutBody is a body that breaks off behind its text.
-type cutBody struct{ io.Reader }
+// truncatedBody is a body that ends with ErrAnswerCut.
+type truncatedBody struct{ io.Reader }
 
-func (c cutBody) Read(p []byte) (int, error) {
+func (c truncatedBody) Read(p []byte) (int, error) {
 	n, err := c.Reader.Read(p)
 	if errors.Is(err, io.EOF) {
 		return n, galenastair.ErrAnswerCut
@@ -45,143 +45,145 @@
 	return n, err
 }
 
-func (cutBody) Close() error { return nil }
+func (truncatedBody) Close() error { return nil }
 
-func whole(status int, text string) script {
+func respond(status int, text string) script {
 	return func(context.Context, galenastair.BackendCall) (*galenastair.BackendAnswer, error) {
 		return &galenastair.BackendAnswer{Status: status, Header: http.Header{"X-From": {text}}, Body: io.NopCloser(strings.NewReader(text))}, nil
 	}
 }
 
-func cut(text string) script {
+func truncate(text string) script {
 	return func(context.Context, galenastair.BackendCall) (*galenastair.BackendAnswer, error) {
-		return &galenastair.BackendAnswer{Status: 200, Header: http.Header{}, Body: cutBody{strings.NewReader(text)}}, nil
+		return &galenastair.BackendAnswer{Status: 200, Header: http.Header{}, Body: truncatedBody{strings.NewReader(text)}}, nil
 	}
 }
 
-func declined() script {
+func decline() script {
 	return func(context.Context, galenastair.BackendCall) (*galenastair.BackendAnswer, error) {
 		return &galenastair.BackendAnswer{Status: 503, Header: http.Header{}, Declined: true, Body: io.NopCloser(strings.NewReader(""))}, nil
 	}
 }
 
-func failing(err error) script {
+func failWith(err error) script {
 	return func(context.Context, galenastair.BackendCall) (*galenastair.BackendAnswer, error) { return nil, err }
 }
 
-// silent answers nothing until its caller gives up.
-func silent(ctx context.Context, _ galenastair.BackendCall) (*galenastair.BackendAnswer, error) {
+// hang sends no response until the context ends.
+func hang(ctx context.Context, _ galenastair.BackendCall) (*galenastair.BackendAnswer, error) {
 	<-ctx.Done()
 	return nil, context.Cause(ctx)
 }
 
-// caller keeps what it was given.
-type caller struct {
-	status int
-	heads  int
-	body   strings.Builder
+// recordedResponse is a ResponseWriter that records the response.
+type recordedResponse struct {
+	status       int
+	headerWrites int
+	body         strings.Builder
 }
 
-func (c *caller) Head(status int, _ http.Header, _ int64) error {
+func (c *recordedResponse) Head(status int, _ http.Header, _ int64) error {
 	c.status = status
-	c.heads++
+	c.headerWrites++
 	return nil
 }
 
-func (c *caller) Write(p []byte) error {
+func (c *recordedResponse) Write(p []byte) error {
 	c.body.Write(p)
 	return nil
 }
 
-type views struct {
+type fakeCatalogSource struct {
 	catalog *catalog.Catalog
 	age     time.Duration
-	// first comes while a request waits for it.
-	first *catalog.Catalog
+	// initial becomes the catalog in WaitReady if there is none yet.
+	initial *catalog.Catalog
 }
 
-func (v *views) Await(context.Context) {
+func (v *fakeCatalogSource) Await(context.Context) {
 	if v.catalog == nil {
-		v.catalog = v.first
+		v.catalog = v.initial
 	}
 }
 
-func (v *views) View() (*catalog.Catalog, time.Duration) { return v.catalog, v.age }
+func (v *fakeCatalogSource) View() (*catalog.Catalog, time.Duration) { return v.catalog, v.age }
 
-type quotas struct{ refuse bool }
+type fakeQuota struct{ refuse bool }
 
-func (q *quotas) Take(time.Time, galenastair.Organisation, float64) bool { return !q.refuse }
-func (q *quotas) Borrow(context.Context, galenastair.Organisation, float64) bool {
+func (q *fakeQuota) Take(time.Time, galenastair.Organisation, float64) bool { return !q.refuse }
+func (q *fakeQuota) Borrow(context.Context, galenastair.Organisation, float64) bool {
 	return false
 }
-func (q *quotas) Wait(galenastair.Organisation, float64) time.Duration { return 700 * time.Millisecond }
+func (q *fakeQuota) Wait(galenastair.Organisation, float64) time.Duration {
+	return 700 * time.Millisecond
+}
 
-type placement struct {
-	promise planner.Promise
-	needs   int
+type fakePlacement struct {
+	promise  planner.Promise
+	requests int
 }
 
-func (p *placement) Need(context.Context, galenastair.ModelName) (planner.Promise, error) {
-	p.needs++
+func (p *fakePlacement) Need(context.Context, galenastair.ModelName) (planner.Promise, error) {
+	p.requests++
 	return p.promise, nil
 }
-func (p *placement) Asked(galenastair.ModelName, time.Duration) {}
+func (p *fakePlacement) Asked(galenastair.ModelName, time.Duration) {}
 
-// limits gives its verdicts in order, and grants at once behind the last.
-type limits struct {
+// fakeLimiter returns its verdicts in order, and then admits every request at once.
+type fakeLimiter struct {
 	verdicts []ratelimit.Verdict
-	asked    []ratelimit.Limit
+	calls    []ratelimit.Limit
 }
 
-func (l *limits) Admit(_ context.Context, limit ratelimit.Limit, _ time.Duration) ratelimit.Verdict {
-	l.asked = append(l.asked, limit)
-	if len(l.asked) > len(l.verdicts) {
+func (l *fakeLimiter) Admit(_ context.Context, limit ratelimit.Limit, _ time.Duration) ratelimit.Verdict {
+	l.calls = append(l.calls, limit)
+	if len(l.calls) > len(l.verdicts) {
 		return ratelimit.Verdict{Granted: true}
 	}
-	return l.verdicts[len(l.asked)-1]
+	return l.verdicts[len(l.calls)-1]
 }
 
-// bed is a gateway between one caller and scripted backend servers.
-type bed struct {
-	gateway   *Gateway
-	backend   *backend
-	views     *views
-	quotas    *quotas
-	placement *placement
-	pool      *pool.Pool
-	limits    *limits
-	closing   bool
+// testEnv is a gateway with scripted backend servers and fake dependencies.
+type testEnv struct {
+	gateway       *Gateway
+	backend       *fakeBackend
+	catalogSource *fakeCatalogSource
+	quota         *fakeQuota
+	placement     *fakePlacement
+	pool          *pool.Pool
+	limiter       *fakeLimiter
+	draining      bool
 }
 
 const (
-	testKey  = "key-of-org"
-	life     = 4 * time.Second
-	testHost = "a.example"
+	testKey       = "key-of-org"
+	maxCatalogAge = 4 * time.Second
+	testHost      = "a.example"
 )
 
-func newBed(scripts ...script) *bed {
-	b := &bed{
-		backend:   &backend{scripts: scripts},
-		views:     &views{catalog: testCatalog()},
-		quotas:    &quotas{},
-		placement: &placement{},
-		pool:      pool.New("z1"),
-		limits:    &limits{},
+func newTestEnv(scripts ...script) *testEnv {
+	b := &testEnv{
+		backend:       &fakeBackend{scripts: scripts},
+		catalogSource: &fakeCatalogSource{catalog: testCatalog()},
+		quota:         &fakeQuota{},
+		placement:     &fakePlacement{},
+		pool:          pool.New("z1"),
+		limiter:       &fakeLimiter{},
 	}
 	b.addServers()
 	b.gateway = New(Settings{
-		ViewLife: life, RetryRatio: 0.2, RetrySlack: 50,
+		ViewLife: maxCatalogAge, RetryRatio: 0.2, RetrySlack: 50,
 		Fleet:   func() int { return 1 },
-		Closing: func() bool { return b.closing },
+		Closing: func() bool { return b.draining },
 	}, Ports{
-		Views: b.views, Pool: b.pool, Backend: b.backend, Quota: b.quotas, Placement: b.placement, Limits: b.limits,
+		Views: b.catalogSource, Pool: b.pool, Backend: b.backend, Quota: b.quota, Placement: b.placement, Limits: b.limiter,
 		Poison: claim.NewPoison(nil, claim.WithTrials(3, time.Minute)),
 	})
 	return b
 }
 
 // addServers registers three servers of each service.
-func (b *bed) addServers() {
+func (b *testEnv) addServers() {
 	for _, id := range []galenastair.BackendServerID{"s1", "s2", "s3"} {
 		b.pool.Set(time.Now(), pool.Server{ID: id, Service: "writer", Address: string(id), AvailabilityZone: "z1", Slots: 8,
 			Models: []galenastair.EngineModel{{Name: "m"}}})
@@ -204,7 +206,7 @@
 	})
 }
 
-func testCall(path string) Call {
+func testRequest(path string) Call {
 	c := Call{ID: "r1", Method: http.MethodPost, Host: testHost, Target: path, Path: path, Header: http.Header{},
 		Body: []byte("body"), Key: galenastair.HashKey(testKey), Left: 2 * time.Second, Received: time.Now()}
 	if strings.Contains(path, "stream") {
@@ -213,9 +215,9 @@
 	return c
 }
 
-func (b *bed) serve(t *testing.T, path string) (*caller, bool, error) {
+func (b *testEnv) serve(t *testing.T, path string) (*recordedResponse, bool, error) {
 	t.Helper()
-	to := &caller{}
-	headed, err := b.gateway.Serve(t.Context(), testCall(path), to)
-	return to, headed, err
+	to := &recordedResponse{}
+	wroteHeader, err := b.gateway.Serve(t.Context(), testRequest(path), to)
+	return to, wroteHeader, err
 }
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -7,31 +7,31 @@
 	"galenastair"
 )
 
-// Call is one request as its caller sent it.
+// Request is one request as its caller sent it.
 type Call struct {
 	ID     galenastair.RequestID
 	Method string
 	Host   string
-	// Target is path and query as sent; Path is the part before the query.
+	// Target is the path and query as sent; Path is the part before the query.
 	Target string
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Key is empty if the caller sent none.
+	// Key is the hash of the caller's API key, empty if it sent none.
 	Key   galenastair.KeyHash
 	Hints galenastair.Hints
-	// Left is how long the caller will wait from Received on; 0 if it did not say.
+	// Timeout is how long the caller waits from Received on, 0 if it did not say.
 	Left time.Duration
-	// After is the id of the last event that the caller has of this stream.
+	// LastEventID is the id of the last event of this stream that the caller has received.
 	After    string
 	Received time.Time
 }
 
-// Sink takes an answer on its way to the caller.
+// ResponseWriter sends a response to the caller.
 type Sink interface {
-	// Head sends status and headers; it is called once at most. Length is that of the
-	// body, or -1 if it is not known.
+	// WriteHeader sends the status and headers; it is called at most once. Length is the
+	// length of the body, or -1 if unknown.
 	Head(status int, h http.Header, length int64) error
-	// Write sends a part of the body at once.
+	// Write sends a part of the body without delay.
 	Write(p []byte) error
 }
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -10,57 +10,58 @@
 )
 
 const (
-	// mostNeeds bounds how often one request asks for a place: once, and once more
-	// where the place was gone on arrival.
-	mostNeeds = 2
-	// serveMargin is kept of the time left when a request waits for a load: the answer
-	// takes some time too.
-	serveMargin = 400 * time.Millisecond
-	// retryModel is the least time after which to come back for a model without a copy.
-	retryModel = 1500 * time.Millisecond
-	// retryAdapter is when to come back for an adapter without a place: the planner
-	// changes hands within some seconds, a place gets free sooner.
-	retryAdapter = 600 * time.Millisecond
-	// retryNoServer is when to come back to a service without any backend server.
-	retryNoServer = time.Second
+	// maxPlacementRequests bounds how often one request asks the planner for a backend
+	// server: once, and once more if that server no longer held the model.
+	maxPlacementRequests = 2
+	// responseMargin is the part of the remaining time that is reserved for the response
+	// when a request waits for a model to load.
+	responseMargin = 400 * time.Millisecond
+	// minModelRetryAfter is the shortest Retry-After for a model that no backend server holds.
+	minModelRetryAfter = 1500 * time.Millisecond
+	// adapterRetryAfter is the Retry-After when the planner provides no backend server. A
+	// new planner is elected within a few seconds, and an adapter slot is freed sooner.
+	adapterRetryAfter = 600 * time.Millisecond
+	// noServerRetryAfter is the Retry-After for a service without any backend server.
+	noServerRetryAfter = time.Second
 )
 
-// choose picks the backend server of the next attempt. A choice without a server means
-// that something has changed and the next call may find one.
-func (r *run) choose(ctx context.Context) (pool.Choice, error) {
+// chooseServer picks the backend server of the next attempt. A choice with an empty ID means
+// that the state of the pool has changed and the caller should try again.
+func (r *activeRequest) chooseServer(ctx context.Context) (pool.Choice, error) {
 	if err := ctx.Err(); err != nil {
 		return pool.Choice{}, context.Cause(ctx)
 	}
 	now := r.g.clock.Now()
-	choice, ok := r.g.pool.Choose(now, r.query())
+	choice, ok := r.g.pool.Choose(now, r.poolQuery())
 	if ok {
-		if err := r.tooLate(now, choice); err != nil {
+		if err := r.checkQueueTime(now, choice); err != nil {
 			return choice, err
 		}
-		return r.admit(ctx, now, choice)
+		return r.awaitLimit(ctx, now, choice)
 	}
 	switch choice.Reason {
 	case pool.ReasonDeferred:
-		return pool.Choice{}, r.deferred(ctx, choice)
+		return pool.Choice{}, r.handleDeferred(ctx, choice)
 	case pool.ReasonNoServer:
-		return choice, galenastair.Refuse(galenastair.ErrNoBackendServer, retryNoServer, string(r.service))
+		return choice, galenastair.Refuse(galenastair.ErrNoBackendServer, noServerRetryAfter, string(r.service))
 	case pool.ReasonNoModel:
-		return pool.Choice{}, r.place(ctx)
+		return pool.Choice{}, r.requestPlacement(ctx)
 	}
-	return choice, galenastair.Refuse(galenastair.ErrNoBackendServer, retryFull, choice.Reason)
+	return choice, galenastair.Refuse(galenastair.ErrNoBackendServer, overloadRetryAfter, choice.Reason)
 }
 
-// admit asks for a turn at a backend server that has named a limit. One that takes no more in
-// the time that the request can wait is left out of the next choice.
-func (r *run) admit(ctx context.Context, now time.Time, c pool.Choice) (pool.Choice, error) {
+// awaitLimit waits for admission to a backend server that advertises a rate limit. If it
+// admits no more requests in the time that this one can wait, it is excluded from the next
+// choice.
+func (r *activeRequest) awaitLimit(ctx context.Context, now time.Time, c pool.Choice) (pool.Choice, error) {
 	if c.Limit.PerSecond == 0 {
 		return c, nil
 	}
-	patience := max(0, min(r.admission.route.Aim-c.Foretold, r.deadline.Sub(now)/2))
-	v := r.g.limits.Admit(ctx, c.Limit, patience)
-	r.g.logger.Log("event", "limit", "request", r.call.ID, "server", c.ID, "limit", c.Limit.PerSecond, "age", c.Limit.Age, "granted", v.Granted, "wait", v.Wait)
+	maxWait := max(0, min(r.admission.route.Aim-c.Foretold, r.deadline.Sub(now)/2))
+	v := r.g.limiter.Admit(ctx, c.Limit, maxWait)
+	r.g.logger.Log("event", "limit", "request", r.req.ID, "server", c.ID, "limit", c.Limit.PerSecond, "age", c.Limit.Age, "granted", v.Granted, "wait", v.Wait)
 	if !v.Granted {
-		r.g.pool.Defer(r.g.clock.Now(), c.ID, v.Wait-patience)
+		r.g.pool.Defer(r.g.clock.Now(), c.ID, v.Wait-maxWait)
 		return pool.Choice{}, nil
 	}
 	if v.Wait == 0 {
@@ -75,47 +76,48 @@
 	return c, nil
 }
 
-// deferred has a model whose engines are all at their limits placed elsewhere. Without a place
-// in time the caller comes back when one of them has room.
-func (r *run) deferred(ctx context.Context, c pool.Choice) error {
-	if r.call.Hints.Model != "" && r.needed < mostNeeds && r.place(ctx) == nil {
+// handleDeferred asks the planner to load the model on another engine, as all that hold it
+// are at their rate limits. Without one in time, the request is refused with the time at
+// which the first of them admits requests again.
+func (r *activeRequest) handleDeferred(ctx context.Context, c pool.Choice) error {
+	if r.req.Hints.Model != "" && r.placementRequests < maxPlacementRequests && r.requestPlacement(ctx) == nil {
 		return nil
 	}
-	left := r.deadline.Sub(r.g.clock.Now())
-	return galenastair.Refuse(galenastair.ErrOverloaded, retryAfter(min(c.Wait, left/3)), c.Reason)
+	remaining := r.deadline.Sub(r.g.clock.Now())
+	return galenastair.Refuse(galenastair.ErrOverloaded, clampRetryAfter(min(c.Wait, remaining/3)), c.Reason)
 }
 
-// tooLate refuses a request that can't be served in its time. It is made for an
-// overload of engines: prompts wait longer than their callers, so each that is sent all
-// the same is read in vain and makes the next ones late as well.
-func (r *run) tooLate(now time.Time, c pool.Choice) error {
-	left := r.deadline.Sub(now)
-	if c.Foretold < left || r.sends > 0 || r.call.Hints.Model == "" {
+// checkQueueTime refuses a request that can't be answered before its deadline. When engines
+// are overloaded, prompts wait longer than their callers do: without this check engines
+// would process prompts whose callers have gone, which delays the following ones as well.
+func (r *activeRequest) checkQueueTime(now time.Time, c pool.Choice) error {
+	remaining := r.deadline.Sub(now)
+	if c.Foretold < remaining || r.sends > 0 || r.req.Hints.Model == "" {
 		return nil
 	}
-	return galenastair.Refuse(galenastair.ErrOverloaded, retryAfter(min(c.Foretold-left/2, left/3)), "queues are longer than its time")
+	return galenastair.Refuse(galenastair.ErrOverloaded, clampRetryAfter(min(c.Foretold-remaining/2, remaining/3)), "expected queue time exceeds the deadline")
 }
 
-// place asks the planner for a place for the request's model or adapter, and waits for
-// it where the time suffices.
-func (r *run) place(ctx context.Context) error {
-	name := r.call.Hints.Model
-	r.needed++
-	if r.needed > mostNeeds {
-		return galenastair.Refuse(galenastair.ErrNoBackendServer, retryAdapter, "its place was gone")
+// requestPlacement asks the planner for a backend server that holds or loads the request's
+// model or adapter, and waits until it is loaded if the deadline permits.
+func (r *activeRequest) requestPlacement(ctx context.Context) error {
+	name := r.req.Hints.Model
+	r.placementRequests++
+	if r.placementRequests > maxPlacementRequests {
+		return galenastair.Refuse(galenastair.ErrNoBackendServer, adapterRetryAfter, "the promised copy is gone")
 	}
 	promise, err := r.g.placement.Need(ctx, name)
 	if err != nil {
-		r.g.logger.Log("event", "need", "request", r.call.ID, "model", name, "err", err)
-		return galenastair.Refuse(galenastair.ErrNoBackendServer, retryAdapter, "the planner can't be asked")
+		r.g.logger.Log("event", "need", "request", r.req.ID, "model", name, "err", err)
+		return galenastair.Refuse(galenastair.ErrNoBackendServer, adapterRetryAfter, "the planner could not be reached")
 	}
-	left := r.deadline.Sub(r.g.clock.Now())
-	r.g.logger.Log("event", "need", "request", r.call.ID, "model", name, "server", promise.Server, "ready", promise.Ready, "left", left)
+	remaining := r.deadline.Sub(r.g.clock.Now())
+	r.g.logger.Log("event", "need", "request", r.req.ID, "model", name, "server", promise.Server, "ready", promise.Ready, "left", remaining)
 	if promise.Server == "" {
-		return galenastair.Refuse(galenastair.ErrNoBackendServer, min(max(retryModel, promise.Ready), left/3), "no copy is there or coming")
+		return galenastair.Refuse(galenastair.ErrNoBackendServer, min(max(minModelRetryAfter, promise.Ready), remaining/3), "no copy is loaded or being loaded")
 	}
-	if promise.Ready > left-serveMargin {
-		return galenastair.Refuse(galenastair.ErrNoBackendServer, min(promise.Ready, left/3), "its copy comes too late")
+	if promise.Ready > remaining-responseMargin {
+		return galenastair.Refuse(galenastair.ErrNoBackendServer, min(promise.Ready, remaining/3), "the model would be loaded too late")
 	}
 	if !timer.Wait(ctx, promise.Ready) {
 		return context.Cause(ctx)
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -1,9 +1,9 @@
-// Package gateway carries requests that it does not understand: it knows a request's
-// route, organisation, deadline and hints, and passes path, body and answer on as they
-// are. It decides whether a request is admitted, where it is sent, whether it may be
-// sent once more, and what its caller is told.
+// Package gateway is a reverse proxy that does not interpret request bodies. It uses a
+// request's route, organisation, deadline and hints, and forwards path, body and response
+// unchanged. It decides whether a request is admitted, which backend server it is sent to,
+// whether it may be retried, and which error its caller receives.
 //
-// Decisions are in methods that open no socket; the backend servers, the planner and
-// the store's view come in through interfaces. Each request costs its body, 4 to 10 KB
-// of buffers, and one goroutine of the HTTP server.
+// The methods that decide open no socket: the backend servers, the planner and the
+// configuration are reached through interfaces. Each request uses memory for its body,
+// 4 to 10 KB of buffers, and one goroutine of the HTTP server.
 package gateway
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -2,34 +2,35 @@
 
 import "bytes"
 
-// events cuts a stream of server-sent events into whole ones and remembers the last id.
-type events struct {
+// eventSplitter splits a stream of server-sent events at event boundaries and keeps the
+// id of the last complete event.
+type eventSplitter struct {
 	partial []byte
-	// last is the id of the last whole event; it is where a resumed stream goes on.
-	last string
+	// lastEventID is the id of the last complete event, after which a stream is resumed.
+	lastEventID string
 }
 
-// mostEvent bounds one event; a stream whose event is longer is passed on uncut.
-const mostEvent = 1 << 20
+// maxEventBytes bounds the buffering of one event. A longer one is forwarded in parts.
+const maxEventBytes = 1 << 20
 
-// cut takes in bytes and returns the whole events that they complete.
-func (e *events) cut(p []byte) []byte {
+// split appends p to the buffer, and removes and returns the complete events.
+func (e *eventSplitter) split(p []byte) []byte {
 	e.partial = append(e.partial, p...)
-	end := lastEnd(e.partial)
+	end := lastEventEnd(e.partial)
 	if end == 0 {
-		if len(e.partial) < mostEvent {
+		if len(e.partial) < maxEventBytes {
 			return nil
 		}
 		end = len(e.partial)
 	}
-	whole := bytes.Clone(e.partial[:end])
+	complete := bytes.Clone(e.partial[:end])
 	e.partial = append(e.partial[:0], e.partial[end:]...)
-	e.note(whole)
-	return whole
+	e.recordLastID(complete)
+	return complete
 }
 
-// lastEnd returns the offset behind the last blank line.
-func lastEnd(p []byte) int {
+// lastEventEnd returns the offset after the last blank line, 0 if there is none.
+func lastEventEnd(p []byte) int {
 	end := 0
 	if i := bytes.LastIndex(p, []byte("\n\n")); i >= 0 {
 		end = i + 2
@@ -40,16 +41,16 @@
 	return end
 }
 
-func (e *events) note(whole []byte) {
-	for line := range bytes.Lines(whole) {
+func (e *eventSplitter) recordLastID(complete []byte) {
+	for line := range bytes.Lines(complete) {
 		if id, ok := bytes.CutPrefix(bytes.TrimRight(line, "\r\n"), []byte("id:")); ok {
-			e.last = string(bytes.TrimSpace(id))
+			e.lastEventID = string(bytes.TrimSpace(id))
 		}
 	}
 }
 
-// drop forgets an event that was cut: the next run sends it again from its beginning.
-func (e *events) drop() { e.partial = e.partial[:0] }
+// discardPartial discards an incomplete event; a resumed stream repeats it from its start.
+func (e *eventSplitter) discardPartial() { e.partial = e.partial[:0] }
 
-// cutShort says whether an event has begun and not ended.
-func (e *events) cutShort() bool { return len(bytes.TrimSpace(e.partial)) > 0 }
+// hasPartial reports whether the buffer holds the start of an event.
+func (e *eventSplitter) hasPartial() bool { return len(bytes.TrimSpace(e.partial)) > 0 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -17,71 +17,78 @@
 	"galenastair/ratelimit"
 )
 
-// Views gives the configuration in force and how long ago the store confirmed that
-// there is no newer one; nil before the first.
+// CatalogSource provides the configuration.
 type Views interface {
+	// Current returns the current configuration, nil before the first one was read, and
+	// how long ago the store confirmed that there is no newer one.
 	View() (*catalog.Catalog, time.Duration)
-	// Await waits for the first configuration of an instance that has just started.
+	// WaitReady waits, for a limited time after the start of the instance, until the first
+	// configuration was read.
 	Await(context.Context)
 }
 
-// Quota charges organisations.
+// Quota charges requests to the rate limits of organisations.
 type Quota interface {
+	// Take charges the cost if the organisation has enough quota, and returns whether it did.
 	Take(now time.Time, o galenastair.Organisation, cost float64) bool
-	// Borrow asks for what is missing and charges if it was lent.
+	// Borrow asks for the missing quota. If it is granted, Borrow charges the cost and
+	// returns true.
 	Borrow(ctx context.Context, o galenastair.Organisation, cost float64) bool
+	// Wait returns the time until the organisation has quota for the cost.
 	Wait(o galenastair.Organisation, cost float64) time.Duration
 }
 
-// Placement finds a place for models and adapters that no backend server is known to hold.
+// Placement has models and adapters loaded that no backend server is known to hold.
 type Placement interface {
+	// EnsureLoaded asks for a backend server that holds the model or will load it.
 	Need(ctx context.Context, name galenastair.ModelName) (planner.Promise, error)
-	// Asked notes the engine time of a request for the planner's forecast.
+	// RecordDemand adds the expected engine time of a request to the planner's forecast.
 	Asked(name galenastair.ModelName, work time.Duration)
 }
 
-// Limits admits requests to backend servers that have named a limit.
+// Limiter admits requests to backend servers that advertise a rate limit.
 type Limits interface {
-	Admit(ctx context.Context, l ratelimit.Limit, patience time.Duration) ratelimit.Verdict
+	Admit(ctx context.Context, l ratelimit.Limit, maxWait time.Duration) ratelimit.Verdict
 }
 
-// Settings are the bounds that the platform sets.
+// Settings holds the limits that the platform sets and the state of this instance.
 type Settings struct {
-	// ViewLife is how old a view may be by which a key is admitted.
+	// MaxCatalogAge is the greatest age of a configuration that may admit a key.
 	ViewLife time.Duration
-	// RetryRatio is the part of the requests for a service that may be sent once more,
-	// and RetrySlack what may be beyond that, over all instances.
+	// RetryRatio is the share of the requests to a service that may be retried.
+	// RetrySlack is the number of retries permitted beyond it, over all instances.
 	RetryRatio float64
 	RetrySlack float64
-	// Fleet returns the number of instances.
+	// InstanceCount returns the number of instances.
 	Fleet func() int
-	// Closing says that this instance ends within seconds.
+	// Draining reports whether this instance shuts down within seconds.
 	Closing func() bool
 }
 
-// retryUse is the part of the retry bounds that instances use: they count their own
-// sends only, and a client's window may straddle two of theirs.
-const retryUse = 0.7
+// retryBudgetUse is the share of the platform's retry limits that the instances use
+// together. They count only their own sends, and the time window in which a client counts
+// retries may overlap two of theirs, so the full share could exceed the limit.
+const retryBudgetUse = 0.7
 
-// Gateway carries requests.
+// Gateway forwards requests to backend servers.
 type Gateway struct {
-	settings  Settings
-	views     Views
-	pool      *pool.Pool
-	backend   galenastair.Backend
-	quota     Quota
-	placement Placement
-	limits    Limits
-	poison    *claim.Poison
-	clock     galenastair.Clock
-	logger    log.Logger
-	recorder  Recorder
+	settings      Settings
+	catalogSource Views
+	pool          *pool.Pool
+	backend       galenastair.Backend
+	quota         Quota
+	placement     Placement
+	limiter       Limits
+	poison        *claim.Poison
+	clock         galenastair.Clock
+	logger        log.Logger
+	recorder      Recorder
 
 	mu      sync.Mutex
 	budgets map[galenastair.ServiceName]*dispatch.RetryBudget
 }
 
-// Ports are what a gateway works with; all are needed.
+// Dependencies are the components that a Gateway uses; all are required.
 type Ports struct {
 	Views     Views
 	Pool      *pool.Pool
@@ -92,33 +99,33 @@
 	Poison    *claim.Poison
 }
 
-// Option varies a Gateway.
+// Option configures a Gateway.
 type Option func(*Gateway)
 
-// WithLogger says where decisions are logged.
+// WithLogger sets the logger for routing decisions and finished requests.
 func WithLogger(l log.Logger) Option { return func(g *Gateway) { g.logger = l } }
 
-// WithClock replaces the machine's clock.
+// WithClock replaces the system clock.
 func WithClock(c galenastair.Clock) Option { return func(g *Gateway) { g.clock = c } }
 
-// WithRecorder says who counts how requests end.
+// WithRecorder sets the recorder of finished requests.
 func WithRecorder(r Recorder) Option { return func(g *Gateway) { g.recorder = r } }
 
-// New returns a gateway over its ports.
+// New returns a gateway with the given dependencies.
 func New(s Settings, p Ports, opts ...Option) *Gateway {
 	g := &Gateway{
-		settings:  s,
-		views:     p.Views,
-		pool:      p.Pool,
-		backend:   p.Backend,
-		quota:     p.Quota,
-		placement: p.Placement,
-		limits:    p.Limits,
-		poison:    p.Poison,
-		clock:     galenastair.SystemClock{},
-		logger:    log.NewNopLogger(),
-		recorder:  noRecorder{},
-		budgets:   map[galenastair.ServiceName]*dispatch.RetryBudget{},
+		settings:      s,
+		catalogSource: p.Views,
+		pool:          p.Pool,
+		backend:       p.Backend,
+		quota:         p.Quota,
+		placement:     p.Placement,
+		limiter:       p.Limits,
+		poison:        p.Poison,
+		clock:         galenastair.SystemClock{},
+		logger:        log.NewNopLogger(),
+		recorder:      noRecorder{},
+		budgets:       map[galenastair.ServiceName]*dispatch.RetryBudget{},
 	}
 	for _, o := range opts {
 		o(g)
@@ -126,29 +133,29 @@
 	return g
 }
 
-// budget returns the retry budget of a service. Each instance spends a share of its
-// own traffic and its part of the slack, so that all together keep the bound without a
-// message.
+// budget returns the retry budget of a service. Each instance may retry a share of its
+// own traffic, and uses its part of RetrySlack, so that all instances together stay within
+// the limit without exchanging messages.
 func (g *Gateway) budget(s galenastair.ServiceName) *dispatch.RetryBudget {
 	b := g.budgets[s]
 	if b == nil {
 		b = dispatch.NewRetryBudget()
 		g.budgets[s] = b
 	}
-	b.SetBounds(retryUse*g.settings.RetryRatio, retryUse*g.settings.RetrySlack/float64(max(1, g.settings.Fleet())))
+	b.SetBounds(retryBudgetUse*g.settings.RetryRatio, retryBudgetUse*g.settings.RetrySlack/float64(max(1, g.settings.Fleet())))
 	return b
 }
 
-func (g *Gateway) earn(s galenastair.ServiceName) {
+func (g *Gateway) earnRetry(s galenastair.ServiceName) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.budget(s).Earn()
 }
 
-func (g *Gateway) maySpend(s galenastair.ServiceName) bool {
+func (g *Gateway) spendRetry(s galenastair.ServiceName) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.budget(s).Spend()
 }
 
-func draw() float64 { return rand.Float64() }
+func randomFraction() float64 { return rand.Float64() }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -13,54 +13,54 @@
 	"galenastair/planner"
 )
 
-// A bid's backend server closes the connection after it has read the bid. The bid may
-// stand: sent once more, it would bind the buyer twice. The caller is told that nothing
-// is known.
+// A backend server closes the connection after it has read a bid, so the bid may have taken
+// effect. A retry could bind the buyer twice; the caller gets the outcome Unknown instead.
 func TestBidThatMayHaveRunIsSentOnce(t *testing.T) {
 	is := is.New(t)
-	b := newBed(failing(galenastair.ErrAnswerCut), whole(200, "second"))
-	_, headed, err := b.serve(t, "/bid/1")
+	b := newTestEnv(failWith(galenastair.ErrAnswerCut), respond(200, "second"))
+	_, wroteHeader, err := b.serve(t, "/bid/1")
 	is.Equal(len(b.backend.calls), 1)
-	is.True(!headed)
+	is.True(!wroteHeader)
 	var r *galenastair.Refusal
 	is.True(errors.As(err, &r))
 	is.Equal(r.Outcome, galenastair.Unknown)
 	is.Equal(r.Status(), http.StatusBadGateway)
 }
 
-// A backend server leaves while the connection to it is made, and gets the request all the same.
-func TestServerThatLeavesWhileItIsDialledGetsNothing(t *testing.T) {
+// A backend server starts to leave while the connection to it is established. Without the
+// check of Usable the request would still be sent to it.
+func TestServerLeavingDuringDialGetsNoRequest(t *testing.T) {
 	is := is.New(t)
-	var b *bed
+	var b *testEnv
 	dialled := func(_ context.Context, c galenastair.BackendCall) (*galenastair.BackendAnswer, error) {
 		is.True(c.Usable())
 		b.pool.Remove(c.Expect)
 		is.True(!c.Usable())
 		return nil, galenastair.ErrNotSent
 	}
-	b = newBed(dialled, whole(200, "done"))
+	b = newTestEnv(dialled, respond(200, "done"))
 	to, _, err := b.serve(t, "/bid/1")
 	is.NoErr(err)
 	is.Equal(to.body.String(), "done")
 }
 
-// A bid's answer is cut on the way. It has run, and must not run again.
-func TestBidWithCutAnswerIsSentOnce(t *testing.T) {
+// The response to a bid is truncated. The bid has run and must not run again.
+func TestBidWithTruncatedResponseIsSentOnce(t *testing.T) {
 	is := is.New(t)
-	b := newBed(cut("half"), whole(200, "second"))
+	b := newTestEnv(truncate("half"), respond(200, "second"))
 	to, _, err := b.serve(t, "/bid/1")
 	is.True(err != nil)
 	is.Equal(len(b.backend.calls), 1)
-	is.Equal(to.heads, 0)
+	is.Equal(to.headerWrites, 0)
 }
 
-// A backend server that says that it has not run a bid leaves it free for another; so
-// does one that could not be reached at all.
-func TestBidThatHasNotRunGoesElsewhere(t *testing.T) {
-	for name, first := range map[string]script{"declined": declined(), "not sent": failing(galenastair.ErrNotSent)} {
+// A bid may be sent to another backend server if the first one states that it did not run
+// it, or could not be reached.
+func TestBidThatHasNotRunIsRetried(t *testing.T) {
+	for name, first := range map[string]script{"declined": decline(), "not sent": failWith(galenastair.ErrNotSent)} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBed(first, whole(200, "done"))
+			b := newTestEnv(first, respond(200, "done"))
 			to, _, err := b.serve(t, "/bid/1")
 			is.NoErr(err)
 			is.Equal(to.body.String(), "done")
@@ -69,10 +69,10 @@
 	}
 }
 
-// All servers decline: the refusal says that the request has not run, and when to come.
+// All servers decline: the refusal has the outcome NotRun and a Retry-After.
 func TestRefusalAfterDeclinesSaysNotRun(t *testing.T) {
 	is := is.New(t)
-	b := newBed(declined(), declined(), declined(), declined())
+	b := newTestEnv(decline(), decline(), decline(), decline())
 	_, _, err := b.serve(t, "/bid/1")
 	var r *galenastair.Refusal
 	is.True(errors.As(err, &r))
@@ -81,28 +81,28 @@
 	is.True(r.RetryAfter > 0)
 }
 
-// A read fails at one server and is answered by another within its route's attempts.
-func TestReadGoesToAnotherServer(t *testing.T) {
+// A read that fails at one server is retried at another within its route's attempts.
+func TestReadIsRetriedOnAnotherServer(t *testing.T) {
 	for name, first := range map[string]script{
-		"error": whole(500, "failed"), "cut": cut("half"), "crossed": failing(galenastair.ErrCrossed), "silent": silent,
+		"error": respond(500, "failed"), "cut": truncate("half"), "crossed": failWith(galenastair.ErrCrossed), "silent": hang,
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBed(first, whole(200, "page"))
+			b := newTestEnv(first, respond(200, "page"))
 			to, _, err := b.serve(t, "/read/1")
 			is.NoErr(err)
 			is.Equal(to.status, 200)
 			is.Equal(to.body.String(), "page")
-			is.Equal(to.heads, 1)
+			is.Equal(to.headerWrites, 1)
 		})
 	}
 }
 
-// A read that fails everywhere ends with the last server's own failure, and visits no
-// more servers than the route allows.
+// A read that fails at every server returns the last server's error response after as many
+// attempts as the route allows.
 func TestReadStopsAtItsAttempts(t *testing.T) {
 	is := is.New(t)
-	b := newBed(whole(500, "first"), whole(500, "second"), whole(200, "third"))
+	b := newTestEnv(respond(500, "first"), respond(500, "second"), respond(200, "third"))
 	to, _, err := b.serve(t, "/read/1")
 	is.NoErr(err)
 	is.Equal(to.status, 500)
@@ -110,53 +110,55 @@
 	is.Equal(len(b.backend.calls), 2)
 }
 
-// An engine dies in the middle of an event. The stream goes on at another engine behind
-// the last whole event: its caller sees one answer without a gap or a piece twice.
-func TestStreamGoesOnElsewhere(t *testing.T) {
+// An engine crashes in the middle of an event. Another engine continues the stream after
+// the last complete event, and the caller sees one response without a gap or a duplicate.
+func TestStreamResumesOnAnotherServer(t *testing.T) {
 	is := is.New(t)
-	b := newBed(cut("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda"), whole(200, "id: 3\ndata: c\n\n"))
-	to, headed, err := b.serve(t, "/stream/1")
+	b := newTestEnv(truncate("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda"), respond(200, "id: 3\ndata: c\n\n"))
+	to, wroteHeader, err := b.serve(t, "/stream/1")
 	is.NoErr(err)
-	is.True(headed)
-	is.Equal(to.heads, 1)
+	is.True(wroteHeader)
+	is.Equal(to.headerWrites, 1)
 	is.Equal(to.body.String(), "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n")
 	is.Equal(b.backend.calls[0].After, "")
 	is.Equal(b.backend.calls[1].After, "2")
 }
 
-// A stream's first engine crashes in mid-answer; the second answers with an error. The
-// error's body was appended, and the caller got a short answer framed as whole.
-func TestResumedStreamThatFailsLooksCut(t *testing.T) {
+// A stream's first engine crashes during the response, and the second returns an error
+// status. Appending the error body would give the caller a truncated response that is
+// framed as complete.
+func TestFailedResumedStreamIsTruncated(t *testing.T) {
 	is := is.New(t)
-	b := newBed(cut("id: 1\ndata: a\n\n"), whole(500, "failed"))
-	to, headed, err := b.serve(t, "/stream/1")
-	is.True(headed)
+	b := newTestEnv(truncate("id: 1\ndata: a\n\n"), respond(500, "failed"))
+	to, wroteHeader, err := b.serve(t, "/stream/1")
+	is.True(wroteHeader)
 	is.True(err != nil)
-	is.Equal(to.heads, 1)
+	is.Equal(to.headerWrites, 1)
 	is.Equal(to.body.String(), "id: 1\ndata: a\n\n")
 }
 
-// A stream whose connection ends as it should, but in the middle of an event, is cut.
-func TestStreamThatEndsInAnEventIsCut(t *testing.T) {
+// A stream that ends in the middle of an event is truncated, even if its connection was
+// closed cleanly.
+func TestStreamEndingInsideEventIsTruncated(t *testing.T) {
 	is := is.New(t)
-	b := newBed(whole(200, "id: 1\ndata: a\n\nid: 2\nda"))
-	to, headed, err := b.serve(t, "/once-stream/1")
-	is.True(headed)
+	b := newTestEnv(respond(200, "id: 1\ndata: a\n\nid: 2\nda"))
+	to, wroteHeader, err := b.serve(t, "/once-stream/1")
+	is.True(wroteHeader)
 	is.True(errors.Is(err, galenastair.ErrAnswerCut))
 	is.Equal(to.body.String(), "id: 1\ndata: a\n\n")
 	is.Equal(len(b.backend.calls), 1)
 }
 
-// An instance that has lost the store knows neither that a key was withdrawn nor that
-// one was given: it must refuse as not run, and not say that the key is unknown.
-func TestOldViewAdmitsNoKey(t *testing.T) {
-	for name, v := range map[string]*views{
-		"none yet": {}, "too old": {catalog: testCatalog(), age: life},
+// An instance that can't reach the store does not learn of withdrawn or new keys. It must
+// refuse with the outcome NotRun, and not report the key as unknown.
+func TestOutdatedCatalogAdmitsNoKey(t *testing.T) {
+	for name, v := range map[string]*fakeCatalogSource{
+		"not loaded": {}, "too old": {catalog: testCatalog(), age: maxCatalogAge},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBed(whole(200, "page"))
-			b.gateway.views = v
+			b := newTestEnv(respond(200, "page"))
+			b.gateway.catalogSource = v
 			_, _, err := b.serve(t, "/read/1")
 			var r *galenastair.Refusal
 			is.True(errors.As(err, &r))
@@ -167,54 +169,55 @@
 	}
 }
 
-// A request waits for its adapter while its key is withdrawn: it must not be sent.
+// The configuration becomes too old while a request waits for its adapter, so that its key
+// may have been withdrawn: the request must not be sent.
 func TestKeyIsCheckedAgainBeforeSending(t *testing.T) {
 	is := is.New(t)
-	b := newBed(whole(200, "id: 1\ndata: a\n\n"))
+	b := newTestEnv(respond(200, "id: 1\ndata: a\n\n"))
 	b.placement.promise = planner.Promise{Server: "s1", Ready: 50 * time.Millisecond}
-	b.gateway.placement = needing{b.placement, func() { b.views.age = life }}
-	call := testCall("/stream/1")
+	b.gateway.placement = hookedPlacement{b.placement, func() { b.catalogSource.age = maxCatalogAge }}
+	call := testRequest("/stream/1")
 	call.Hints.Model = "m/a1"
-	_, err := b.gateway.Serve(t.Context(), call, &caller{})
+	_, err := b.gateway.Serve(t.Context(), call, &recordedResponse{})
 	is.True(errors.Is(err, galenastair.ErrConfiguration))
 	is.Equal(len(b.backend.calls), 0)
 }
 
-// needing does something while a request waits for its place.
-type needing struct {
-	*placement
-	then func()
+// hookedPlacement calls onRequest before each placement request.
+type hookedPlacement struct {
+	*fakePlacement
+	onRequest func()
 }
 
-func (n needing) Need(ctx context.Context, name galenastair.ModelName) (planner.Promise, error) {
-	n.then()
-	return n.placement.Need(ctx, name)
+func (n hookedPlacement) Need(ctx context.Context, name galenastair.ModelName) (planner.Promise, error) {
+	n.onRequest()
+	return n.fakePlacement.Need(ctx, name)
 }
 
-// An adapter that no server holds is fetched while its caller waits; the request then
-// goes to the server that was promised.
-func TestAdapterIsFetchedOnDemand(t *testing.T) {
+// An adapter that no server holds is loaded while the caller waits; the request is then
+// sent to the promised server.
+func TestAdapterIsLoadedOnDemand(t *testing.T) {
 	is := is.New(t)
-	b := newBed(whole(200, "id: 1\ndata: a\n\n"))
+	b := newTestEnv(respond(200, "id: 1\ndata: a\n\n"))
 	b.placement.promise = planner.Promise{Server: "s2", Ready: 5 * time.Millisecond}
-	call := testCall("/stream/1")
+	call := testRequest("/stream/1")
 	call.Hints.Model = "m/a1"
-	to := &caller{}
+	to := &recordedResponse{}
 	_, err := b.gateway.Serve(t.Context(), call, to)
 	is.NoErr(err)
 	is.Equal(b.backend.calls[0].Expect, galenastair.BackendServerID("s2"))
-	is.Equal(b.placement.needs, 1)
+	is.Equal(b.placement.requests, 1)
 }
 
-// A model that will be there too late is refused at once, with the time to come back.
-func TestModelThatComesTooLateIsRefusedAtOnce(t *testing.T) {
+// A request for a model that will be loaded too late is refused at once, with a Retry-After.
+func TestModelLoadedTooLateIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
-	b := newBed()
+	b := newTestEnv()
 	b.placement.promise = planner.Promise{Server: "s2", Ready: 5 * time.Second}
-	call := testCall("/stream/1")
+	call := testRequest("/stream/1")
 	call.Hints.Model = "other"
 	begun := time.Now()
-	_, err := b.gateway.Serve(t.Context(), call, &caller{})
+	_, err := b.gateway.Serve(t.Context(), call, &recordedResponse{})
 	var r *galenastair.Refusal
 	is.True(errors.As(err, &r))
 	is.Equal(r.Outcome, galenastair.NotRun)
@@ -222,34 +225,35 @@
 	is.True(time.Since(begun) < 200*time.Millisecond)
 }
 
-// A model has no copy, and a load takes six seconds. Its caller was told to come back after
-// one and a half, was refused again and gave up; it is told the time of a load now, as far as
-// a third of its own time goes.
-func TestModelWithoutACopyIsWorthAskingForAfterALoad(t *testing.T) {
+// No server holds a model, and loading it takes six seconds. With a fixed Retry-After of
+// 1.5 s callers were refused again and gave up. Retry-After must cover the load, up to a
+// third of the caller's remaining time.
+func TestRetryAfterCoversModelLoad(t *testing.T) {
 	is := is.New(t)
-	b := newBed()
-	call := testCall("/stream/1")
+	b := newTestEnv()
+	call := testRequest("/stream/1")
 	call.Hints.Model = "other"
-	b.views.catalog.Match(call.Host, call.Path).Timeout = time.Minute
+	b.catalogSource.catalog.Match(call.Host, call.Path).Timeout = time.Minute
 	retry := func(ready, left time.Duration) time.Duration {
 		b.placement.promise = planner.Promise{Ready: ready}
 		call.Left, call.Received = left, time.Now()
-		_, err := b.gateway.Serve(t.Context(), call, &caller{})
+		_, err := b.gateway.Serve(t.Context(), call, &recordedResponse{})
 		var r *galenastair.Refusal
 		is.True(errors.As(err, &r))
 		is.Equal(r.Outcome, galenastair.NotRun)
 		return r.RetryAfter.Round(100 * time.Millisecond)
 	}
-	is.Equal(retry(0, 30*time.Second), retryModel)
+	is.Equal(retry(0, 30*time.Second), minModelRetryAfter)
 	is.Equal(retry(3*time.Second, 30*time.Second), 3*time.Second)
 	is.Equal(retry(6*time.Second, 3*time.Second), time.Second)
 }
 
-// An organisation over its quota is told when there is room again; nothing is sent.
+// A request over its organisation's quota is refused with the time until quota is
+// available, and nothing is sent.
 func TestOverQuotaIsRefused(t *testing.T) {
 	is := is.New(t)
-	b := newBed(whole(200, "page"))
-	b.quotas.refuse = true
+	b := newTestEnv(respond(200, "page"))
+	b.quota.refuse = true
 	_, _, err := b.serve(t, "/read/1")
 	var r *galenastair.Refusal
 	is.True(errors.As(err, &r))
@@ -258,26 +262,26 @@
 	is.Equal(len(b.backend.calls), 0)
 }
 
-// A caller leaves while its read waits at a dark server: the read goes nowhere else.
+// A caller closes its connection while its read waits at an unresponsive server: the read
+// is not retried.
 func TestCallerThatLeavesEndsTheRequest(t *testing.T) {
 	is := is.New(t)
-	b := newBed(silent, whole(200, "page"))
+	b := newTestEnv(hang, respond(200, "page"))
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(20*time.Millisecond, cancel)
-	_, err := b.gateway.Serve(ctx, testCall("/read/1"), &caller{})
-	is.True(errors.Is(err, errLeft))
+	_, err := b.gateway.Serve(ctx, testRequest("/read/1"), &recordedResponse{})
+	is.True(errors.Is(err, errCallerGone))
 	is.Equal(len(b.backend.calls), 1)
 }
 
-// An instance is stopped while a bid waits at a backend server, for longer than the stop may
-// take. The bid may have run: it is sent nowhere else and its caller is not told that it
-// has not; the server is not to blame.
-func TestStopEndsARequestTruthfully(t *testing.T) {
+// An instance is stopped while a bid waits at a backend server for longer than the shutdown
+// may take. The bid may have run: it is not retried, and the caller gets the outcome Unknown.
+func TestStopReportsOutcomeUnknown(t *testing.T) {
 	is := is.New(t)
-	b := newBed(silent, whole(200, "done"))
+	b := newTestEnv(hang, respond(200, "done"))
 	ctx, cancel := context.WithCancelCause(t.Context())
 	time.AfterFunc(20*time.Millisecond, func() { cancel(galenastair.ErrStopping) })
-	_, err := b.gateway.Serve(ctx, testCall("/bid/1"), &caller{})
+	_, err := b.gateway.Serve(ctx, testRequest("/bid/1"), &recordedResponse{})
 	var r *galenastair.Refusal
 	is.True(errors.As(err, &r))
 	is.True(errors.Is(r, galenastair.ErrStopping))
@@ -285,25 +289,25 @@
 	is.Equal(len(b.backend.calls), 1)
 }
 
-// A request's time runs out at a dark server. It gets its final answer then, and that
-// does not claim that the request has not run.
-func TestTimeoutIsToldAtOnce(t *testing.T) {
+// A request times out at an unresponsive server. The caller gets a 504 at its deadline, and
+// not a refusal with the outcome NotRun, as the request may have run.
+func TestTimeoutIsReportedAtDeadline(t *testing.T) {
 	is := is.New(t)
-	b := newBed(silent)
-	call := testCall("/bid/1")
+	b := newTestEnv(hang)
+	call := testRequest("/bid/1")
 	call.Left = 100 * time.Millisecond
-	_, err := b.gateway.Serve(t.Context(), call, &caller{})
+	_, err := b.gateway.Serve(t.Context(), call, &recordedResponse{})
 	var r *galenastair.Refusal
 	is.True(errors.As(err, &r))
 	is.Equal(r.Status(), http.StatusGatewayTimeout)
 	is.True(time.Since(call.Received) < 300*time.Millisecond)
 }
 
-// A request that crashes whatever runs it comes again and again: after three crashed
-// servers it is refused, and the others are spared.
-func TestRequestThatKillsIsRefused(t *testing.T) {
+// A request that crashes every server is sent repeatedly. After three crashed servers it is
+// refused, so that the others keep running.
+func TestRequestThatCrashesServersIsRefused(t *testing.T) {
 	is := is.New(t)
-	b := newBed(failing(galenastair.ErrAnswerCut), failing(galenastair.ErrAnswerCut), failing(galenastair.ErrAnswerCut), whole(200, "x"))
+	b := newTestEnv(failWith(galenastair.ErrAnswerCut), failWith(galenastair.ErrAnswerCut), failWith(galenastair.ErrAnswerCut), respond(200, "x"))
 	for range 6 {
 		_, _, err := b.serve(t, "/bid/1")
 		is.True(err != nil)
@@ -311,30 +315,30 @@
 	is.Equal(len(b.backend.calls), 3)
 }
 
-// All servers of a service fail: retries stay a share of the traffic, or they would
-// multiply the load on servers that are down under it.
-func TestRetriesKeepTheirBudget(t *testing.T) {
+// All servers of a service fail. Retries must stay a share of the traffic, or they would
+// multiply the load on servers that fail because of it.
+func TestRetriesStayWithinBudget(t *testing.T) {
 	is := is.New(t)
 	const requests = 400
 	scripts := make([]script, 3*requests)
 	for i := range scripts {
-		scripts[i] = failing(galenastair.ErrCrossed)
+		scripts[i] = failWith(galenastair.ErrCrossed)
 	}
-	b := newBed(scripts...)
+	b := newTestEnv(scripts...)
 	for i := range requests {
-		call := testCall("/read/1")
+		call := testRequest("/read/1")
 		call.Body = []byte{byte(i), byte(i >> 8)}
-		_, _ = b.gateway.Serve(t.Context(), call, &caller{})
+		_, _ = b.gateway.Serve(t.Context(), call, &recordedResponse{})
 	}
 	is.True(len(b.backend.calls)-requests <= int(0.2*requests)+50)
 	is.True(len(b.backend.calls) > requests)
 }
 
-// An instance that is about to end takes no stream, which would be cut by its end.
-func TestClosingInstanceTakesNoStream(t *testing.T) {
+// An instance that is about to shut down accepts no stream, as the shutdown would truncate it.
+func TestDrainingInstanceRefusesStreams(t *testing.T) {
 	is := is.New(t)
-	b := newBed(whole(200, "page"))
-	b.closing = true
+	b := newTestEnv(respond(200, "page"))
+	b.draining = true
 	_, _, err := b.serve(t, "/stream/1")
 	is.True(errors.Is(err, galenastair.ErrStopping))
 	to, _, err := b.serve(t, "/read/1")
@@ -342,12 +346,12 @@
 	is.Equal(to.status, 200)
 }
 
-// An instance that has just started refuses all that come before it has read the
-// configuration, a moment later.
+// Requests arrive while an instance starts. Without a wait for the first configuration it
+// would refuse all that arrive before it has read it.
 func TestFirstRequestsWaitForTheConfiguration(t *testing.T) {
 	is := is.New(t)
-	b := newBed(whole(200, "page"))
-	b.views.first, b.views.catalog = b.views.catalog, nil
+	b := newTestEnv(respond(200, "page"))
+	b.catalogSource.initial, b.catalogSource.catalog = b.catalogSource.catalog, nil
 	to, _, err := b.serve(t, "/read/1")
 	is.NoErr(err)
 	is.Equal(to.status, 200)
--- a/gateway/limit_test.go
+++ b/gateway/limit_test.go
@@ -17,56 +17,56 @@
 	"galenastair/ratelimit"
 )
 
-// limited answers whole and names a limit.
-func limited(context.Context, galenastair.BackendCall) (*galenastair.BackendAnswer, error) {
+// respondWithLimit sends a complete response that advertises a rate limit.
+func respondWithLimit(context.Context, galenastair.BackendCall) (*galenastair.BackendAnswer, error) {
 	return &galenastair.BackendAnswer{Status: 200, Header: http.Header{}, Limit: 1, Body: io.NopCloser(strings.NewReader("done"))}, nil
 }
 
-// leaveOne leaves one backend server of each service, s1 and ps1.
-func (b *bed) leaveOne() {
+// keepOneServer removes all backend servers but one of each service, s1 and ps1.
+func (b *testEnv) keepOneServer() {
 	for _, other := range []galenastair.BackendServerID{"s2", "s3"} {
 		b.pool.Remove(other)
 		b.pool.Remove("p" + other)
 	}
 }
 
-// A server names a limit, and requests go on to it without asking.
-func TestLimitIsAskedForBeforeEachSend(t *testing.T) {
+// After a server has advertised a rate limit, each request to it must pass the limiter.
+func TestLimiterIsAskedBeforeEachSend(t *testing.T) {
 	is := is.New(t)
-	b := newBed(limited, limited, whole(200, "done"), whole(200, "done"))
-	b.leaveOne()
+	b := newTestEnv(respondWithLimit, respondWithLimit, respond(200, "done"), respond(200, "done"))
+	b.keepOneServer()
 	for range 4 {
 		_, _, err := b.serve(t, "/bid/1")
 		is.NoErr(err)
 	}
-	// the third answer names none any more
-	is.Equal(len(b.limits.asked), 2)
-	is.Equal(b.limits.asked[0].Server, galenastair.BackendServerID("ps1"))
-	is.Equal(b.limits.asked[0].PerSecond, 1.0)
+	// The third response advertises no limit any more.
+	is.Equal(len(b.limiter.calls), 2)
+	is.Equal(b.limiter.calls[0].Server, galenastair.BackendServerID("ps1"))
+	is.Equal(b.limiter.calls[0].PerSecond, 1.0)
 }
 
-// A server that declines a request names no limit, as its queue is full, and the limit that it
-// has named ends.
+// A server whose queue is full declines a request without advertising its limit. The decline
+// must not end the limit that it advertised before.
 func TestDeclineDoesNotEndALimit(t *testing.T) {
 	is := is.New(t)
-	b := newBed(limited, declined(), whole(200, "done"), whole(200, "done"))
-	b.leaveOne()
+	b := newTestEnv(respondWithLimit, decline(), respond(200, "done"), respond(200, "done"))
+	b.keepOneServer()
 	for range 4 {
 		_, _, _ = b.serve(t, "/bid/1")
 	}
-	// the answer to the third request ends it
-	is.Equal(len(b.limits.asked), 2)
+	// The response to the third request ends the limit.
+	is.Equal(len(b.limiter.calls), 2)
 }
 
-// The only server takes no more in the request's time: the request is held and then refused, or
-// refused without a time to come back.
-func TestNoTurnInTimeIsRefusedAtOnce(t *testing.T) {
+// The only server admits no more requests before the deadline. The request must be refused at
+// once and with a Retry-After, not held until its deadline.
+func TestExhaustedLimitIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
-	b := newBed(limited)
-	b.leaveOne()
+	b := newTestEnv(respondWithLimit)
+	b.keepOneServer()
 	_, _, err := b.serve(t, "/bid/1")
 	is.NoErr(err)
-	b.limits.verdicts = []ratelimit.Verdict{{Wait: 1900 * time.Millisecond}}
+	b.limiter.verdicts = []ratelimit.Verdict{{Wait: 1900 * time.Millisecond}}
 	begun := time.Now()
 	_, _, err = b.serve(t, "/bid/1")
 	is.True(time.Since(begun) < 100*time.Millisecond)
@@ -78,49 +78,49 @@
 	is.Equal(len(b.backend.calls), 1)
 }
 
-// A turn within the request's time is waited for.
-func TestTurnIsWaitedFor(t *testing.T) {
+// A request waits if the server admits it before the deadline.
+func TestRequestWaitsForLimit(t *testing.T) {
 	is := is.New(t)
-	b := newBed(limited, limited)
-	b.leaveOne()
+	b := newTestEnv(respondWithLimit, respondWithLimit)
+	b.keepOneServer()
 	_, _, err := b.serve(t, "/bid/1")
 	is.NoErr(err)
-	b.limits.verdicts = []ratelimit.Verdict{{Granted: true, Wait: 150 * time.Millisecond}}
+	b.limiter.verdicts = []ratelimit.Verdict{{Granted: true, Wait: 150 * time.Millisecond}}
 	begun := time.Now()
 	_, _, err = b.serve(t, "/bid/1")
 	is.NoErr(err)
 	is.True(time.Since(begun) >= 150*time.Millisecond)
 }
 
-// The only engine of a model is at its limit: the planner is not asked, and the request is
-// refused although another engine has the model within its time.
-func TestModelAtItsLimitIsAskedForElsewhere(t *testing.T) {
+// The only engine with a model is at its rate limit. The planner must be asked for another
+// one, as that can hold the model before the deadline.
+func TestModelAtLimitIsLoadedElsewhere(t *testing.T) {
 	is := is.New(t)
 	answer := func(_ context.Context, c galenastair.BackendCall) (*galenastair.BackendAnswer, error) {
 		return &galenastair.BackendAnswer{Status: 200, Header: http.Header{}, Limit: 1, Body: io.NopCloser(strings.NewReader("id: 1\ndata: a\n\n"))}, nil
 	}
-	b := newBed(answer, answer)
-	b.leaveOne()
+	b := newTestEnv(answer, answer)
+	b.keepOneServer()
 	_, _, err := b.serve(t, "/stream/1")
 	is.NoErr(err)
 	b.pool.Set(time.Now(), pool.Server{ID: "s2", Service: "writer", Address: "s2", AvailabilityZone: "z1", Slots: 8})
-	b.limits.verdicts = []ratelimit.Verdict{{Wait: time.Minute}}
+	b.limiter.verdicts = []ratelimit.Verdict{{Wait: time.Minute}}
 	b.placement.promise = planner.Promise{Server: "s2"}
 	_, _, err = b.serve(t, "/stream/1")
 	is.NoErr(err)
-	is.Equal(b.placement.needs, 1)
+	is.Equal(b.placement.requests, 1)
 	is.Equal(b.backend.calls[1].Expect, galenastair.BackendServerID("s2"))
 }
 
-// A server without a turn is passed by while another has the model.
-func TestServerWithoutATurnIsPassedBy(t *testing.T) {
+// A server at its rate limit is skipped while another one can serve the request.
+func TestServerAtLimitIsSkipped(t *testing.T) {
 	is := is.New(t)
-	b := newBed(limited, whole(200, "done"), whole(200, "done"))
-	b.leaveOne()
+	b := newTestEnv(respondWithLimit, respond(200, "done"), respond(200, "done"))
+	b.keepOneServer()
 	_, _, err := b.serve(t, "/bid/1")
 	is.NoErr(err)
 	b.addServers()
-	b.limits.verdicts = []ratelimit.Verdict{{Wait: time.Minute}}
+	b.limiter.verdicts = []ratelimit.Verdict{{Wait: time.Minute}}
 	for range 2 {
 		to, _, err := b.serve(t, "/bid/1")
 		is.NoErr(err)
--- a/gateway/record.go
+++ b/gateway/record.go
@@ -7,28 +7,29 @@
 	"galenastair/catalog"
 )
 
-// Ending is how one request ended, for logs and metrics.
+// RequestSummary describes a finished request, for logs and metrics.
 type Ending struct {
 	ID           galenastair.RequestID
 	Organisation galenastair.Organisation
 	Kind         catalog.Kind
 	Route        string
 	Status       int
-	// Code is empty for an answer of a backend server.
+	// Code is the error code, empty if a backend server's response was forwarded.
 	Code    galenastair.Code
 	Outcome galenastair.Outcome
-	Sends   int
-	// First is the time to the answer's head or first event, zero if none came.
+	// Sends counts how often the request was sent to a backend server.
+	Sends int
+	// TimeToFirstByte is the time to the response header or first event, zero if none came.
 	First time.Duration
 	Total time.Duration
-	// Whole says that the caller was given a whole answer.
+	// Complete reports whether the caller received a complete response.
 	Whole bool
 }
 
-// Recorder counts how requests end.
+// Recorder records finished requests and retries.
 type Recorder interface {
 	RequestEnded(e Ending)
-	// Retried counts one more send of a request, and why.
+	// Retried counts a retry and its reason.
 	Retried(reason string)
 }
 
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -11,96 +11,98 @@
 	"galenastair/pool"
 )
 
-// errLeft says that the caller closed its connection.
-var errLeft = errors.New("the caller left")
+// errCallerGone reports that the caller closed its connection.
+var errCallerGone = errors.New("the caller closed its connection")
 
-// run is one request under way.
-type run struct {
+// activeRequest is the state of one request while it is served.
+type activeRequest struct {
 	g         *Gateway
-	call      Call
-	sink      Sink
+	req       Call
+	w         Sink
 	admission admission
 	service   galenastair.ServiceName
 	digest    claim.Digest
 	deadline  time.Time
-	begun     time.Time
+	startedAt time.Time
 
 	tried []galenastair.BackendServerID
-	// sends counts what was sent, runs what may have run.
+	// sends counts the attempts; runs counts those that a backend server may have executed.
 	sends int
 	runs  int
-	// headed says that the caller has the head of an answer.
-	headed bool
-	first  time.Time
-	// passed is when the caller last got events, and pause the longest time between two such.
-	passed time.Time
-	pause  time.Duration
-	events events
-	needed int
-	status int
+	// wroteHeader reports whether the caller has received a response header.
+	wroteHeader bool
+	firstByteAt time.Time
+	// lastWriteAt is when the caller last got events; longestPause is the longest time
+	// between two such writes.
+	lastWriteAt       time.Time
+	longestPause      time.Duration
+	events            eventSplitter
+	placementRequests int
+	status            int
 }
 
-// Serve carries one request. A nil error means that the sink got a whole answer. A
-// *galenastair.Refusal is what the caller is to be told instead, unless headed is
-// true: then the answer must be broken off so that it does not look whole.
-func (g *Gateway) Serve(ctx context.Context, c Call, sink Sink) (headed bool, err error) {
-	r := &run{g: g, call: c, sink: sink, begun: c.Received}
+// Serve handles one request. A nil error means that w got a complete response. Otherwise
+// the error is a *galenastair.Refusal to be sent to the caller. If wroteHeader is true, the
+// response has begun: it must be aborted instead, so that the caller sees it as truncated.
+func (g *Gateway) Serve(ctx context.Context, c Call, w Sink) (wroteHeader bool, err error) {
+	r := &activeRequest{g: g, req: c, w: w, startedAt: c.Received}
 	err = r.serve(ctx)
 	if err != nil {
-		err = r.refusal(err)
+		err = r.toRefusal(err)
 	}
 	r.record(err)
-	return r.headed, err
+	return r.wroteHeader, err
 }
 
-func (r *run) serve(ctx context.Context) error {
-	r.g.views.Await(ctx)
-	a, err := r.g.authorise(&r.call)
+func (r *activeRequest) serve(ctx context.Context) error {
+	r.g.catalogSource.Await(ctx)
+	a, err := r.g.authorise(&r.req)
 	r.admission = a
 	if err != nil {
 		return err
 	}
 	if a.route.Kind.Streamed() && r.g.settings.Closing() {
-		// a stream takes seconds, and would be cut by this instance's end
-		return galenastair.Refuse(galenastair.ErrStopping, leastRetry, "")
+		// A stream takes seconds, and the shutdown of this instance would truncate it.
+		return galenastair.Refuse(galenastair.ErrStopping, minRetryAfter, "")
 	}
-	r.service = a.route.Choose(draw())
-	r.digest = claim.DigestOf(a.name(), r.call.Method+" "+r.call.Target, r.call.Body)
+	r.service = a.route.Choose(randomFraction())
+	r.digest = claim.DigestOf(a.organisationName(), r.req.Method+" "+r.req.Target, r.req.Body)
 	if err := r.g.poison.Allow(r.g.clock.Now(), r.digest); err != nil {
-		return galenastair.Refuse(galenastair.ErrOverloaded, mostRetry, "it stopped the backend servers that ran it")
+		return galenastair.Refuse(galenastair.ErrOverloaded, maxRetryAfter, "identical requests crashed the backend servers")
 	}
-	if err := r.g.charge(ctx, a, r.call.Hints); err != nil {
+	if err := r.g.charge(ctx, a, r.req.Hints); err != nil {
 		return err
 	}
-	if r.call.Hints.Model != "" {
-		r.g.placement.Asked(r.call.Hints.Model, r.g.pool.EngineTime(r.query()))
+	if r.req.Hints.Model != "" {
+		r.g.placement.Asked(r.req.Hints.Model, r.g.pool.EngineTime(r.poolQuery()))
 	}
-	r.g.earn(r.service)
-	r.deadline = r.begun.Add(r.patience())
+	r.g.earnRetry(r.service)
+	r.deadline = r.startedAt.Add(r.timeout())
 	ctx, cancel := context.WithDeadlineCause(ctx, r.deadline, context.DeadlineExceeded)
 	defer cancel()
-	return r.attempts(ctx)
+	return r.serveWithRetries(ctx)
 }
 
-// patience is how long the request may take: the caller's time or the route's.
-func (r *run) patience() time.Duration {
+// timeout returns how long the request may take: the caller's or the route's timeout,
+// whichever is shorter.
+func (r *activeRequest) timeout() time.Duration {
 	p := r.admission.route.Timeout
-	if r.call.Left > 0 && (p <= 0 || r.call.Left < p) {
-		p = r.call.Left
+	if r.req.Left > 0 && (p <= 0 || r.req.Left < p) {
+		p = r.req.Left
 	}
 	if p <= 0 {
-		p = defaultPatience
+		p = defaultTimeout
 	}
 	return p
 }
 
-// defaultPatience is used where neither the caller nor the route says one.
-const defaultPatience = 30 * time.Second
+// defaultTimeout applies where neither the caller nor the route sets a timeout.
+const defaultTimeout = 30 * time.Second
 
-// attempts sends the request until it is answered or may not be sent again.
-func (r *run) attempts(ctx context.Context) error {
+// serveWithRetries sends the request until it is answered or may not be retried.
+func (r *activeRequest) serveWithRetries(ctx context.Context) error {
 	for {
-		choice, err := r.choose(ctx)
+		choice, err := r.chooseServer(ctx)
 		if err != nil {
 			return err
 		}
@@ -111,46 +113,47 @@
 		if err == nil {
 			return nil
 		}
-		if stop := r.next(ctx, err); stop != nil {
+		if stop := r.checkRetry(ctx, err); stop != nil {
 			return stop
 		}
 	}
 }
 
-// next returns nil if the request may be sent once more, or else what it ends with. One that may
-// not be repeated is not sent again once it may have run, and all retries of a service come out
-// of a share of its traffic, so that they do not multiply an overload.
-func (r *run) next(ctx context.Context, err error) error {
+// checkRetry returns nil if the request may be retried, or else the error that it ends with.
+// A request that is not repeatable is not sent again once it may have run. Retries are
+// limited to a share of the traffic of their service, so that they do not multiply an
+// overload.
+func (r *activeRequest) checkRetry(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return err
 	}
 	kind := r.admission.route.Kind
 	clean := errors.Is(err, galenastair.ErrNotSent) || errors.Is(err, galenastair.ErrDeclined)
 	if !clean {
-		if !kind.Repeatable() || r.headed && kind != catalog.ResumableStream {
+		if !kind.Repeatable() || r.wroteHeader && kind != catalog.ResumableStream {
 			return err
 		}
 		if r.runs >= r.admission.route.Attempts {
 			return err
 		}
 	}
-	if r.sends >= r.admission.route.Attempts+extraSends {
+	if r.sends >= r.admission.route.Attempts+maxExtraSends {
 		return err
 	}
-	// one that was not sent did not arrive: it costs no budget
-	if !errors.Is(err, galenastair.ErrNotSent) && !r.g.maySpend(r.service) {
+	// An attempt that was not sent put no load on a backend server and costs no budget.
+	if !errors.Is(err, galenastair.ErrNotSent) && !r.g.spendRetry(r.service) {
 		return err
 	}
-	r.g.recorder.Retried(reasonOf(err))
-	r.g.logger.Log("event", "retry", "request", r.call.ID, "service", r.service, "sends", r.sends, "runs", r.runs, "cause", err)
+	r.g.recorder.Retried(retryReason(err))
+	r.g.logger.Log("event", "retry", "request", r.req.ID, "service", r.service, "sends", r.sends, "runs", r.runs, "cause", err)
 	return nil
 }
 
-// extraSends bounds the servers that a request visits beyond the route's attempts when
-// they decline it: a few full ones say little about the rest, many say that all are.
-const extraSends = 2
+// maxExtraSends bounds the sends beyond the route's attempts when backend servers decline a
+// request. After a few full servers another may have room; after many, all are probably full.
+const maxExtraSends = 2
 
-func reasonOf(err error) string {
+func retryReason(err error) string {
 	switch {
 	case errors.Is(err, galenastair.ErrNotSent):
 		return "NotSent"
@@ -166,38 +169,38 @@
 	return "Failed"
 }
 
-// query is what the pool needs to know.
-func (r *run) query() pool.Query {
+// poolQuery returns the request's properties by which the pool chooses a backend server.
+func (r *activeRequest) poolQuery() pool.Query {
 	return pool.Query{
 		Service: r.service,
-		Hints:   r.call.Hints,
+		Hints:   r.req.Hints,
 		Aim:     r.admission.route.Aim,
 		Once:    !r.admission.route.Kind.Repeatable(),
 		Exclude: r.tried,
 	}
 }
 
-// refusal turns what ended the request into what its caller is told.
-func (r *run) refusal(err error) *galenastair.Refusal {
-	var told *galenastair.Refusal
+// toRefusal converts the error that ended the request into the one sent to the caller.
+func (r *activeRequest) toRefusal(err error) *galenastair.Refusal {
+	var refused *galenastair.Refusal
 	outcome := galenastair.NotRun
 	if r.runs > 0 {
 		outcome = galenastair.Unknown
 	}
 	switch {
-	case errors.As(err, &told):
-		return told.After(outcome)
+	case errors.As(err, &refused):
+		return refused.After(outcome)
 	case errors.Is(err, galenastair.ErrStopping):
-		return &galenastair.Refusal{Cause: galenastair.ErrStopping, Outcome: outcome, RetryAfter: leastRetry}
+		return &galenastair.Refusal{Cause: galenastair.ErrStopping, Outcome: outcome, RetryAfter: minRetryAfter}
 	case errors.Is(err, context.Canceled):
-		return &galenastair.Refusal{Cause: errLeft, Outcome: outcome}
+		return &galenastair.Refusal{Cause: errCallerGone, Outcome: outcome}
 	case errors.Is(err, context.DeadlineExceeded):
 		if outcome == galenastair.NotRun {
-			return galenastair.Refuse(galenastair.ErrOverloaded, retryFull, "no backend server had room in time")
+			return galenastair.Refuse(galenastair.ErrOverloaded, overloadRetryAfter, "no backend server had capacity in time")
 		}
 		return &galenastair.Refusal{Cause: galenastair.ErrTimeout, Outcome: outcome}
 	case outcome == galenastair.NotRun:
-		return galenastair.Refuse(galenastair.ErrOverloaded, retryFull, err.Error())
+		return galenastair.Refuse(galenastair.ErrOverloaded, overloadRetryAfter, err.Error())
 	case errors.Is(err, galenastair.ErrAnswerCut):
 		return &galenastair.Refusal{Cause: galenastair.ErrAnswerCut, Outcome: outcome, Detail: err.Error()}
 	default:
@@ -205,49 +208,49 @@
 	}
 }
 
-// retryFull is when to come back to backend servers that had no room: some rounds of a
-// batch, in which requests end and make room.
-const retryFull = 300 * time.Millisecond
+// overloadRetryAfter is the Retry-After when no backend server had capacity. In this time
+// an engine runs several batch steps, in which requests end and free slots.
+const overloadRetryAfter = 300 * time.Millisecond
 
-func (r *run) record(err error) {
+func (r *activeRequest) record(err error) {
 	now := r.g.clock.Now()
 	e := Ending{
-		ID:           r.call.ID,
-		Organisation: r.admission.name(),
+		ID:           r.req.ID,
+		Organisation: r.admission.organisationName(),
 		Status:       r.status,
 		Outcome:      galenastair.Ran,
 		Sends:        r.sends,
-		Total:        now.Sub(r.begun),
+		Total:        now.Sub(r.startedAt),
 		Whole:        err == nil,
 	}
 	if r.admission.route != nil {
 		e.Kind, e.Route = r.admission.route.Kind, r.admission.route.Name
 	}
-	if !r.first.IsZero() {
-		e.First = r.first.Sub(r.begun)
+	if !r.firstByteAt.IsZero() {
+		e.First = r.firstByteAt.Sub(r.startedAt)
 	}
-	var told *galenastair.Refusal
-	if errors.As(err, &told) {
-		e.Code, e.Outcome = codeOf(told), told.Outcome
-		if !r.headed {
-			e.Status = told.Status()
+	var refused *galenastair.Refusal
+	if errors.As(err, &refused) {
+		e.Code, e.Outcome = errorCode(refused), refused.Outcome
+		if !r.wroteHeader {
+			e.Status = refused.Status()
 		}
 	}
 	r.g.recorder.RequestEnded(e)
 	event := "answered"
 	if err != nil {
 		event = "refused"
-		if r.headed {
+		if r.wroteHeader {
 			event = "broken off"
 		}
 	}
 	r.g.logger.Log("event", event, "request", e.ID, "organisation", e.Organisation, "route", e.Route, "status", e.Status,
-		"code", e.Code, "outcome", e.Outcome, "sends", e.Sends, "runs", r.runs, "first", e.First, "total", e.Total, "pause", r.pause,
-		"version", r.admission.version, "age", r.admission.age, "model", r.call.Hints.Model, "tokens", int64(r.call.Hints.Prompt+r.call.Hints.Output), "cause", err)
+		"code", e.Code, "outcome", e.Outcome, "sends", e.Sends, "runs", r.runs, "first", e.First, "total", e.Total, "pause", r.longestPause,
+		"version", r.admission.version, "age", r.admission.age, "model", r.req.Hints.Model, "tokens", int64(r.req.Hints.Prompt+r.req.Hints.Output), "cause", err)
 }
 
-func codeOf(r *galenastair.Refusal) galenastair.Code {
-	if errors.Is(r, errLeft) {
+func errorCode(r *galenastair.Refusal) galenastair.Code {
+	if errors.Is(r, errCallerGone) {
 		return "CallerLeft"
 	}
 	return r.Code()
