--- a/dispatch/backlog.go
+++ b/dispatch/backlog.go
@@ -5,31 +5,31 @@
 	"galenastair/queue"
 )
 
-// entitledShare is how much of the mean backlog, in seconds of its own rate, an
-// organisation may have waiting and still count as within its share. Half of it
-// tells those that send as contracted from those that make the backlog, and at a
-// saturation that all cause alike it entitles nobody.
-const entitledShare = 0.5
+// withinShareFactor is the fraction of the mean backlog below which the backlog of an
+// organisation counts as within its share. Backlogs are compared in seconds of contract
+// rate. Half of the mean separates organisations that send at their contract rate from
+// those that cause the backlog; if all cause it alike, none is within its share.
+const withinShareFactor = 0.5
 
-// waitingShare is what one organisation has waiting on this entry.
-type waitingShare struct {
+// queuedShare sums up the waiting requests of one organisation on this instance.
+type queuedShare struct {
 	cost   float64
 	weight float64
 	items  int
 }
 
-// backlog sums up what waits on an entry, over all models.
+// backlog sums up the waiting requests of an instance, over all models.
 type backlog struct {
-	waiting map[galenastair.Organisation]*waitingShare
-	cost    float64
-	weight  float64
+	queued map[galenastair.Organisation]*queuedShare
+	cost   float64
+	weight float64
 }
 
 func (b *backlog) add(it *queue.Item) {
-	w := b.waiting[it.Organisation]
+	w := b.queued[it.Organisation]
 	if w == nil {
-		w = &waitingShare{weight: max(1, float64(it.Weight))}
-		b.waiting[it.Organisation] = w
+		w = &queuedShare{weight: max(1, float64(it.Weight))}
+		b.queued[it.Organisation] = w
 		b.weight += w.weight
 	}
 	w.items++
@@ -38,7 +38,7 @@
 }
 
 func (b *backlog) remove(it *queue.Item) {
-	w := b.waiting[it.Organisation]
+	w := b.queued[it.Organisation]
 	if w == nil {
 		return
 	}
@@ -47,18 +47,18 @@
 	b.cost -= float64(it.Cost)
 	if w.items == 0 {
 		b.weight -= w.weight
-		delete(b.waiting, it.Organisation)
+		delete(b.queued, it.Organisation)
 	}
 }
 
-// exceeds says whether an organisation makes the backlog that others wait in.
-func (b *backlog) exceeds(o galenastair.Organisation) bool {
-	w := b.waiting[o]
-	return w != nil && len(b.waiting) > 1 && !b.entitles(o)
+// overShare reports whether an organisation causes the backlog in which others wait.
+func (b *backlog) overShare(o galenastair.Organisation) bool {
+	w := b.queued[o]
+	return w != nil && len(b.queued) > 1 && !b.withinShare(o)
 }
 
-// entitles says whether an organisation that waits is within its share.
-func (b *backlog) entitles(o galenastair.Organisation) bool {
-	w := b.waiting[o]
-	return w != nil && len(b.waiting) > 1 && w.cost/w.weight < entitledShare*b.cost/b.weight
+// withinShare reports whether an organisation with waiting requests is within its share.
+func (b *backlog) withinShare(o galenastair.Organisation) bool {
+	w := b.queued[o]
+	return w != nil && len(b.queued) > 1 && w.cost/w.weight < withinShareFactor*b.cost/b.weight
 }
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -10,20 +10,20 @@
 	"galenastair/route"
 )
 
-// size is the part of a fleet that one entry decides for.
-type size struct {
+// benchSize is the part of a fleet that one instance sends requests to.
+type benchSize struct {
 	name                           string
 	servers, models, organisations int
 }
 
-var sizes = []size{
+var benchSizes = []benchSize{
 	{"today", 9, 60, 5},
 	{"region", 270, 250, 2000},
 }
 
-func benchCore(s size) *Core {
+func benchCore(s benchSize) *Core {
 	c := NewCore(rand.New(rand.NewPCG(1, 2)))
-	c.SetServers(start, list(s.servers))
+	c.SetServers(start, serverList(s.servers))
 	for i := range s.servers {
 		r := galenastair.EngineReport{BackendServer: galenastair.BackendServerID(fmt.Sprint(i))}
 		for j := range 6 {
@@ -35,7 +35,7 @@
 	return c
 }
 
-func (s size) request(i int, prompt []byte) Request {
+func (s benchSize) request(i int, prompt []byte) Request {
 	m := galenastair.ModelName(fmt.Sprint("m", i%min(s.models, 6*s.servers)))
 	return Request{
 		Organisation: galenastair.Organisation(fmt.Sprint("o", i%s.organisations)),
@@ -47,9 +47,10 @@
 	}
 }
 
-// BenchmarkAdmitAndRoute is one request from its arrival to its end, prompt hashed apart.
+// BenchmarkAdmitAndRoute measures one request from its arrival to its end, without hashing
+// the prompt.
 func BenchmarkAdmitAndRoute(b *testing.B) {
-	for _, s := range sizes {
+	for _, s := range benchSizes {
 		b.Run(s.name, func(b *testing.B) {
 			c := benchCore(s)
 			var rs []Request
@@ -75,10 +76,10 @@
 	}
 }
 
-// BenchmarkSaturated is a request that must wait, and the end of another that lets
-// the next one go, with all queues full.
+// BenchmarkSaturated measures, with all queues full, a request that must wait and the end of
+// another one whose slot is reused.
 func BenchmarkSaturated(b *testing.B) {
-	for _, s := range sizes {
+	for _, s := range benchSizes {
 		b.Run(s.name, func(b *testing.B) {
 			c := benchCore(s)
 			now := start
@@ -111,7 +112,7 @@
 	}
 }
 
-// BenchmarkPrefix is the hashing of a prompt of 8 KB.
+// BenchmarkPrefix measures the hashing of a prompt of 8 KB.
 func BenchmarkPrefix(b *testing.B) {
 	prompt := make([]byte, 8192)
 	b.ReportAllocs()
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -9,63 +9,65 @@
 	"galenastair/route"
 )
 
-// maxWaiting bounds the waiting requests of an entry over all models. Each holds a
-// goroutine and its body, about 20 KB together; 1,024 take a third of the 64 MB.
-const maxWaiting = 1024
+// maxQueuedRequests bounds the waiting requests of an instance over all models. Each holds
+// a goroutine and its body, about 20 KB together; 1,024 of them take a third of the 64 MB
+// that an instance may use.
+const maxQueuedRequests = 1024
 
-// copyGrace is how long a request waits for a model that no backend server has
-// ready. Reports are a second or two late, so a copy that moves can be out of
-// sight for that long; refusing at once would refuse what could be served.
-const copyGrace = 3 * time.Second
+// noCopyTimeout is how long a request waits for a model that no backend server reports as
+// ready. Reports lag by one or two seconds, so a copy that moves to another engine may be
+// missing from them for that long. Without the wait, requests that can be served would be
+// refused.
+const noCopyTimeout = 3 * time.Second
 
-// copyRetry is when to ask again for a model without a copy: a load from the
-// weight store takes about that long.
-const copyRetry = 2 * time.Second
+// noCopyRetryAfter is the Retry-After for a model without a copy, about the time that a load
+// from the weight store takes.
+const noCopyRetryAfter = 2 * time.Second
 
-// freshFor is how long a request may wait and still be served well: callers are
-// promised a first token in 1.8 s, and a prefill in a full batch takes some 0.3 s.
-const freshFor = 1500 * time.Millisecond
+// queueTimeTarget is the longest queue time that counts as good service. Callers are promised
+// a first token in 1.8 s, and prefill in a full batch takes about 0.3 s of it.
+const queueTimeTarget = 1500 * time.Millisecond
 
-// model is the core's state of one model or adapter.
-type model struct {
+// modelState is the scheduler's state of one model or adapter.
+type modelState struct {
 	queue *queue.Fair
-	// missing is when the model was first asked for without any ready copy.
-	missing time.Time
-	demand  Demand
+	// noCopySince is when the model was first requested while no copy was ready.
+	noCopySince time.Time
+	demand      Demand
 }
 
-// Core decides which waiting request goes to which backend server. It opens no
-// socket and starts no goroutine; one goroutine at a time may use it.
+// Scheduler decides which waiting request is sent to which backend server. It does no I/O
+// and starts no goroutine. It is not safe for concurrent use.
 type Core struct {
-	router  *route.Router
-	models  map[galenastair.ModelName]*model
-	turns   map[galenastair.BackendServerID]*turn
-	tickets map[*queue.Item]*Ticket
-	served  map[galenastair.Organisation]*served
-	backlog backlog
-	out     []Decision
+	router       *route.Router
+	modelStates  map[galenastair.ModelName]*modelState
+	serverShares map[galenastair.BackendServerID]*shareTracker
+	tickets      map[*queue.Item]*Ticket
+	quality      map[galenastair.Organisation]*serviceQuality
+	backlog      backlog
+	decisions    []Decision
 }
 
-// NewCore returns a core that knows no backend server; its draws come from rng.
+// NewScheduler returns a scheduler without backend servers that takes random numbers from rng.
 func NewCore(rng *rand.Rand) *Core {
 	return &Core{
-		router:  route.New(rng),
-		models:  map[galenastair.ModelName]*model{},
-		turns:   map[galenastair.BackendServerID]*turn{},
-		tickets: map[*queue.Item]*Ticket{},
-		served:  map[galenastair.Organisation]*served{},
-		backlog: backlog{waiting: map[galenastair.Organisation]*waitingShare{}},
+		router:       route.New(rng),
+		modelStates:  map[galenastair.ModelName]*modelState{},
+		serverShares: map[galenastair.BackendServerID]*shareTracker{},
+		tickets:      map[*queue.Item]*Ticket{},
+		quality:      map[galenastair.Organisation]*serviceQuality{},
+		backlog:      backlog{queued: map[galenastair.Organisation]*queuedShare{}},
 	}
 }
 
-// Submit adds a request; its decision comes from this or a later Poll.
-func (c *Core) Submit(now time.Time, r Request) *Ticket {
-	t := &Ticket{Request: r, submitted: now}
-	m := c.model(r.Model)
-	c.offered(m, r)
-	c.router.Review(now)
-	if err := c.missing(now, m, r); err != nil {
-		c.refuse(now, t, err)
+// Submit adds a request. The next or a later Poll returns its decision.
+func (s *Core) Submit(now time.Time, r Request) *Ticket {
+	t := &Ticket{Request: r, submittedAt: now}
+	m := s.model(r.Model)
+	s.recordDemand(m, r)
+	s.router.Review(now)
+	if err := s.checkCopies(now, m, r); err != nil {
+		s.refuse(now, t, err)
 		return t
 	}
 	it := &t.item
@@ -74,119 +76,121 @@
 		Organisation: r.Organisation,
 		Weight:       r.Weight,
 		Cost:         r.cost(),
-		Fresh:        now.Add(freshFor),
+		Fresh:        now.Add(queueTimeTarget),
 		Deadline:     r.Deadline,
 	}
-	c.tickets[it] = t
-	c.backlog.add(it)
-	it.Entitled = c.backlog.entitles(it.Organisation)
-	c.refuseAll(now, m.queue.Push(now, it))
-	c.drainModel(now, m)
-	if t.state == waiting && it.Entitled {
-		c.sendEntitled(now, m, t)
+	s.tickets[it] = t
+	s.backlog.add(it)
+	it.Entitled = s.backlog.withinShare(it.Organisation)
+	s.refuseAll(now, m.queue.Push(now, it))
+	s.dispatchModel(now, m)
+	if t.state == queued && it.Entitled {
+		s.dispatchEntitled(now, m, t)
 	}
-	if len(c.tickets) > maxWaiting {
-		c.shed(now)
+	if len(s.tickets) > maxQueuedRequests {
+		s.shed(now)
 	}
 	return t
 }
 
-// missing returns the refusal of a request for a model without a ready copy, if its time is over.
-func (c *Core) missing(now time.Time, m *model, r Request) *galenastair.Refusal {
-	if c.router.Known(now, r.Model, r.Exclude) {
-		m.missing = time.Time{}
+// checkCopies returns a refusal if no copy of the request's model has been ready for
+// noCopyTimeout, and nil if one is ready or may still become so. A retry is refused at once.
+func (s *Core) checkCopies(now time.Time, m *modelState, r Request) *galenastair.Refusal {
+	if s.router.Known(now, r.Model, r.Exclude) {
+		m.noCopySince = time.Time{}
 		return nil
 	}
 	if len(r.Exclude) > 0 {
-		return galenastair.Refuse(galenastair.ErrNoBackendServer, copyRetry, "no other copy of "+string(r.Model))
+		return galenastair.Refuse(galenastair.ErrNoBackendServer, noCopyRetryAfter, "no other copy of "+string(r.Model))
 	}
-	if m.missing.IsZero() {
-		m.missing = now
+	if m.noCopySince.IsZero() {
+		m.noCopySince = now
 	}
-	if now.Sub(m.missing) < copyGrace {
+	if now.Sub(m.noCopySince) < noCopyTimeout {
 		return nil
 	}
-	return galenastair.Refuse(galenastair.ErrNoBackendServer, copyRetry, string(r.Model))
+	return galenastair.Refuse(galenastair.ErrNoBackendServer, noCopyRetryAfter, string(r.Model))
 }
 
-func (c *Core) model(name galenastair.ModelName) *model {
-	m := c.models[name]
+func (s *Core) model(name galenastair.ModelName) *modelState {
+	m := s.modelStates[name]
 	if m == nil {
-		m = &model{queue: queue.NewFair(queue.MaxWaiting)}
-		c.models[name] = m
+		m = &modelState{queue: queue.NewFair(queue.MaxWaiting)}
+		s.modelStates[name] = m
 	}
 	return m
 }
 
-// drainModel sends waiting requests of one model while any copy has room.
-func (c *Core) drainModel(now time.Time, m *model) {
+// dispatchModel sends waiting requests of one model while any copy has capacity.
+func (s *Core) dispatchModel(now time.Time, m *modelState) {
 	fit := func(*queue.Item) bool { return true }
 	for m.queue.Len() > 0 {
 		it := m.queue.Next(now, fit)
 		if it == nil {
 			return
 		}
-		q := c.tickets[it].Request.query()
-		d, ok := c.router.Choose(now, q)
+		q := s.tickets[it].Request.query()
+		d, ok := s.router.Choose(now, q)
 		switch {
 		case ok:
-			c.grant(now, m, it, d)
+			s.grant(now, m, it, d)
 		case len(q.Exclude) > 0:
-			// a request that may go to few backend servers must not hold up the rest
-			fit = func(it *queue.Item) bool { return len(c.tickets[it].Request.Exclude) == 0 }
+			// A retry with excluded backend servers must not block the requests behind it.
+			fit = func(it *queue.Item) bool { return len(s.tickets[it].Request.Exclude) == 0 }
 		default:
 			return
 		}
 	}
 }
 
-// sendEntitled sends a request of an organisation within its share beyond the window.
-func (c *Core) sendEntitled(now time.Time, m *model, t *Ticket) {
+// dispatchEntitled sends a request of an organisation within its share, if need be beyond
+// the window of the backend server.
+func (s *Core) dispatchEntitled(now time.Time, m *modelState, t *Ticket) {
 	q := t.Request.query()
 	q.Entitled = true
-	if d, ok := c.router.Choose(now, q); ok {
-		c.grant(now, m, &t.item, d)
+	if d, ok := s.router.Choose(now, q); ok {
+		s.grant(now, m, &t.item, d)
 	}
 }
 
-// drainServer sends waiting requests to a backend server while it has room.
-func (c *Core) drainServer(now time.Time, id galenastair.BackendServerID) {
-	for c.router.HasRoom(id) {
-		name, it := c.turnOf(now, id)
+// dispatchServer sends waiting requests to a backend server while it has capacity.
+func (s *Core) dispatchServer(now time.Time, id galenastair.BackendServerID) {
+	for s.router.HasRoom(id) {
+		name, it := s.nextFor(now, id)
 		if it == nil {
 			return
 		}
-		m := c.models[name]
+		m := s.modelStates[name]
 		if !it.Deadline.IsZero() && now.After(it.Deadline) {
-			c.refuseAll(now, m.queue.Expire(now))
+			s.refuseAll(now, m.queue.Expire(now))
 			continue
 		}
-		c.grant(now, m, it, c.router.Take(id, c.tickets[it].Request.query()))
+		s.grant(now, m, it, s.router.Take(id, s.tickets[it].Request.query()))
 	}
-	// one that was taken out may still hold the only copy of a model
-	for _, name := range c.router.Loaded(id) {
-		if m := c.models[name]; m != nil {
-			c.drainModel(now, m)
+	// An ejected backend server may still hold the only copy of a model.
+	for _, name := range s.router.Loaded(id) {
+		if m := s.modelStates[name]; m != nil {
+			s.dispatchModel(now, m)
 		}
 	}
 }
 
-// turnOf picks the organisation whose turn it is on a backend server, and the one of
-// its requests there that has waited longest.
-func (c *Core) turnOf(now time.Time, id galenastair.BackendServerID) (galenastair.ModelName, *queue.Item) {
-	tn := c.turn(id)
-	fit := func(it *queue.Item) bool { return !c.excludes(it, id) }
+// nextFor returns the waiting request that is next on a backend server, and its model. It
+// compares the first request of each organisation in the queue of each loaded model.
+func (s *Core) nextFor(now time.Time, id galenastair.BackendServerID) (galenastair.ModelName, *queue.Item) {
+	tn := s.serverShare(id)
+	fit := func(it *queue.Item) bool { return !s.excludes(it, id) }
 	var best galenastair.ModelName
 	var next *queue.Item
 	var start float64
-	for _, name := range c.router.Loaded(id) {
-		m := c.models[name]
+	for _, name := range s.router.Loaded(id) {
+		m := s.modelStates[name]
 		if m == nil || m.queue.Len() == 0 {
 			continue
 		}
 		m.queue.Heads(now, fit, func(it *queue.Item) {
-			tag := tn.start(it.Organisation)
-			if next == nil || c.before(now, it, next, tag, start) {
+			tag := tn.startTag(it.Organisation)
+			if next == nil || s.less(now, it, next, tag, start) {
 				best, next, start = name, it, tag
 			}
 		})
@@ -194,20 +198,20 @@
 	return best, next
 }
 
-// before says whether a goes before b on a backend server: fresh ones before late
-// ones, then by the organisations' tags, then by arrival.
-func (c *Core) before(now time.Time, a, b *queue.Item, tagA, tagB float64) bool {
+// less reports whether a goes before b on a backend server: requests within
+// queueTimeTarget before late ones, then by the organisations' start tags, then by arrival.
+func (s *Core) less(now time.Time, a, b *queue.Item, tagA, tagB float64) bool {
 	if a.Late(now) != b.Late(now) {
 		return b.Late(now)
 	}
 	if tagA != tagB {
 		return tagA < tagB
 	}
-	return c.tickets[a].submitted.Before(c.tickets[b].submitted)
+	return s.tickets[a].submittedAt.Before(s.tickets[b].submittedAt)
 }
 
-func (c *Core) excludes(it *queue.Item, id galenastair.BackendServerID) bool {
-	for _, e := range c.tickets[it].Request.Exclude {
+func (s *Core) excludes(it *queue.Item, id galenastair.BackendServerID) bool {
+	for _, e := range s.tickets[it].Request.Exclude {
 		if e == id {
 			return true
 		}
@@ -215,76 +219,77 @@
 	return false
 }
 
-func (c *Core) turn(id galenastair.BackendServerID) *turn {
-	t := c.turns[id]
+func (s *Core) serverShare(id galenastair.BackendServerID) *shareTracker {
+	t := s.serverShares[id]
 	if t == nil {
-		t = newTurn()
-		c.turns[id] = t
+		t = newShareTracker()
+		s.serverShares[id] = t
 	}
 	return t
 }
 
-func (c *Core) grant(now time.Time, m *model, it *queue.Item, d route.Decision) {
-	t := c.tickets[it]
-	c.turn(d.Server).charge(it.Organisation, float64(it.Cost), float64(it.Weight))
+func (s *Core) grant(now time.Time, m *modelState, it *queue.Item, d route.Decision) {
+	t := s.tickets[it]
+	s.serverShare(d.Server).charge(it.Organisation, float64(it.Cost), float64(it.Weight))
 	m.queue.Take(now, it)
-	c.forget(it)
-	t.state, t.granted, t.server = running, now, d.Server
-	c.router.Sent(now, d.Server, t.Request.Prefix)
-	waited := now.Sub(t.submitted)
-	c.record(t, waited <= freshFor)
-	c.out = append(c.out, Decision{Ticket: t, Choice: Choice{
+	s.removeQueued(it)
+	t.state, t.grantedAt, t.server = running, now, d.Server
+	s.router.Sent(now, d.Server, t.Request.Prefix)
+	waited := now.Sub(t.submittedAt)
+	s.recordQuality(t, waited <= queueTimeTarget)
+	s.decisions = append(s.decisions, Decision{Ticket: t, Choice: Choice{
 		Decision: d,
-		Priority: c.priority(m, it),
+		Priority: s.priority(m, it),
 		Waited:   waited,
 	}})
 }
 
-// priority is the level for the engine. Whoever makes the backlog comes after all
-// others there: spread over many models and entries it has little waiting in any one
-// queue, so that the queues' own levels can't tell it apart.
-func (c *Core) priority(m *model, it *queue.Item) int {
+// priority returns the priority level for the engine. An organisation that causes the backlog
+// gets the next less urgent level: if its requests are spread over many models and
+// instances, it has few waiting in each queue, and the level of the queue alone would not
+// rank it behind the others.
+func (s *Core) priority(m *modelState, it *queue.Item) int {
 	level := m.queue.Priority(it.Organisation)
-	if !it.Entitled && c.backlog.exceeds(it.Organisation) {
+	if !it.Entitled && s.backlog.overShare(it.Organisation) {
 		return level + 1
 	}
 	return level
 }
 
-func (c *Core) forget(it *queue.Item) {
-	delete(c.tickets, it)
-	c.backlog.remove(it)
+func (s *Core) removeQueued(it *queue.Item) {
+	delete(s.tickets, it)
+	s.backlog.remove(it)
 }
 
-func (c *Core) refuse(_ time.Time, t *Ticket, err *galenastair.Refusal) {
+func (s *Core) refuse(_ time.Time, t *Ticket, err *galenastair.Refusal) {
 	t.state = ended
-	c.model(t.Request.Model).demand.Refused++
-	c.record(t, false)
-	c.out = append(c.out, Decision{Ticket: t, Err: err})
+	s.model(t.Request.Model).demand.Refused++
+	s.recordQuality(t, false)
+	s.decisions = append(s.decisions, Decision{Ticket: t, Err: err})
 }
 
-func (c *Core) refuseAll(now time.Time, refused []queue.Refused) {
+func (s *Core) refuseAll(now time.Time, refused []queue.Refused) {
 	for _, r := range refused {
-		t := c.tickets[r.Item]
-		c.forget(r.Item)
-		c.refuse(now, t, r.Err)
+		t := s.tickets[r.Item]
+		s.removeQueued(r.Item)
+		s.refuse(now, t, r.Err)
 	}
 }
 
-// shed drops one request from the longest queue: all queues together are full.
-func (c *Core) shed(now time.Time) {
-	var longest *model
-	for _, m := range c.models {
+// shed refuses one request of the longest queue when all queues together are full.
+func (s *Core) shed(now time.Time) {
+	var longest *modelState
+	for _, m := range s.modelStates {
 		if longest == nil || m.queue.Len() > longest.queue.Len() {
 			longest = m
 		}
 	}
-	c.refuseAll(now, []queue.Refused{longest.queue.Shed(now)})
+	s.refuseAll(now, []queue.Refused{longest.queue.Shed(now)})
 }
 
-// Poll returns the decisions made since the last one.
-func (c *Core) Poll() []Decision {
-	out := c.out
-	c.out = nil
+// Poll returns the decisions made since the previous call.
+func (s *Core) Poll() []Decision {
+	out := s.decisions
+	s.decisions = nil
 	return out
 }
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -18,14 +18,14 @@
 
 func newCore(servers int, models ...galenastair.ModelName) *Core {
 	c := NewCore(rand.New(rand.NewPCG(1, 2)))
-	c.SetServers(start, list(servers))
+	c.SetServers(start, serverList(servers))
 	for i := range servers {
 		c.Report(start, report(i, models...))
 	}
 	return c
 }
 
-func list(n int) []Server {
+func serverList(n int) []Server {
 	var out []Server
 	for i := range n {
 		out = append(out, Server{ID: galenastair.BackendServerID(fmt.Sprint(i)), Address: fmt.Sprint("10.0.0.", i)})
@@ -45,11 +45,11 @@
 	return Request{Organisation: galenastair.Organisation(o), Weight: 100, Model: m, PromptTokens: 50, OutputTokens: 50}
 }
 
-// Two organisations call different models on the same accelerator; one sends five
-// times as much. Both queues are fair by themselves, yet the other's callers wait
-// behind the flood, since slots went to whichever queue was looked at first. Seen
-// failing with turn.charge doing nothing.
-func TestModelsOnOneBackendServerShareIt(t *testing.T) {
+// Two organisations request different models on the same accelerator, one of them five times
+// as often. Each queue is fair by itself, but without shares per backend server (see
+// shareTracker) slots go to the queue that is looked at first, and the other organisation
+// waits behind the flood. Fails if shareTracker.charge does nothing.
+func TestOrganisationsShareBackendServerAcrossModels(t *testing.T) {
 	is := is.New(t)
 	c := newCore(1, "a", "b")
 	var running []*Ticket
@@ -75,10 +75,9 @@
 	is.Equal(served["b"], 20)
 }
 
-// A caller whose first backend server failed is tried elsewhere; the request that
-// may go to no other copy must not hold up those behind it. Seen failing with the
-// case of len(q.Exclude) > 0 left out of drainModel.
-func TestExcludedRequestHoldsUpNobody(t *testing.T) {
+// A retry excludes the backend server that failed and waits for another copy. It must not
+// block the requests behind it. Fails if dispatchModel lacks the case len(q.Exclude) > 0.
+func TestRetryDoesNotBlockQueue(t *testing.T) {
 	is := is.New(t)
 	c := newCore(2, "m")
 	var tickets []*Ticket
@@ -86,13 +85,13 @@
 		c.Submit(start, request("a", "m"))
 		ds := c.Poll()
 		if len(ds) == 0 {
-			break // both windows are full and one request waits
+			break // Both windows are full and one request waits.
 		}
 		tickets = append(tickets, ds[0].Ticket)
 	}
 	again := request("a", "m")
 	again.Exclude = []galenastair.BackendServerID{"0"}
-	again.Weight = 100_000 // its turn comes first
+	again.Weight = 100_000 // Its start tag is the lowest.
 	again.Organisation = "b"
 	c.Submit(start, again)
 	for _, tk := range tickets {
@@ -111,18 +110,18 @@
 			break
 		}
 	}
-	is.Equal(len(c.Poll()), 0) // only the excluded one waits
+	is.Equal(len(c.Poll()), 0) // Only the retry waits.
 	c.Submit(start, request("a", "m"))
-	is.Equal(len(c.Poll()), 1) // and the next goes past it
+	is.Equal(len(c.Poll()), 1) // The next request passes it.
 	again.Exclude = []galenastair.BackendServerID{"0", "1"}
 	c.Submit(start, again)
 	ds = c.Poll()
 	is.True(errors.Is(ds[0].Err, galenastair.ErrNoBackendServer))
 }
 
-// The only copy moves and is out of sight for a moment: callers wait a little and
-// are answered; if none appears they are refused, truthfully not run.
-func TestWaitsForACopyOutOfSight(t *testing.T) {
+// The only copy of a model moves and is missing from the reports for a moment. Requests wait
+// for it; if no copy appears, they are refused with the outcome NotRun.
+func TestWaitsForUnreportedCopy(t *testing.T) {
 	is := is.New(t)
 	c := newCore(1)
 	c.Submit(start, request("a", "m"))
@@ -132,27 +131,28 @@
 	is.Equal(len(ds), 1)
 	is.Equal(ds[0].Err, nil)
 	c.Submit(start, request("a", "n"))
-	c.Expire(start.Add(copyGrace), "n")
+	c.Expire(start.Add(noCopyTimeout), "n")
 	ds = c.Poll()
 	is.True(errors.Is(ds[0].Err, galenastair.ErrNoBackendServer))
 	is.Equal(ds[0].Err.Outcome, galenastair.NotRun)
 	is.Equal(c.Waiting(), 0)
 }
 
-// Entries must not die of a flood: what waits is bounded over all models together.
+// A flood must not exhaust the memory of an instance: the number of waiting requests is
+// bounded over all models together.
 func TestWaitingIsBounded(t *testing.T) {
 	is := is.New(t)
 	models := []galenastair.ModelName{"a", "b", "c", "d", "e", "f"}
 	c := newCore(1, models...)
 	for i := range 4000 {
 		c.Submit(start, request("flood", models[i%len(models)]))
-		is.True(c.Waiting() <= maxWaiting)
+		is.True(c.Waiting() <= maxQueuedRequests)
 	}
 }
 
-// When every backend server fails, tries beyond the first are a part of the
-// traffic. Seen failing with Spend always true.
-func TestRetriesStayAPartOfTheTraffic(t *testing.T) {
+// When every backend server fails, retries must stay a share of the traffic. Fails if Spend
+// always returns true.
+func TestRetriesStayWithinRatio(t *testing.T) {
 	is := is.New(t)
 	b := NewRetryBudget()
 	retries := 0
@@ -162,17 +162,17 @@
 			retries++
 		}
 	}
-	is.True(retries <= retryReserve+1000*retryShare)
-	is.True(retries >= 1000*retryShare)
+	is.True(retries <= retryReserve+1000*retryRatio)
+	is.True(retries >= 1000*retryRatio)
 }
 
-// A caller hangs up while its request waits, or in the moment of its grant: the
-// room must come back, else the backend server's window shrinks for good. Seen
-// failing without Cancel, without the release in giveUp, and with Done counted twice.
-func TestGivingUpLosesNoRoom(t *testing.T) {
+// A caller goes away while its request waits, or at the same time as its grant. The slot must
+// be freed, or the backend server's window is smaller permanently. Fails without Cancel,
+// without the release in abandon, and if Done counts twice.
+func TestCancelledRequestFreesSlot(t *testing.T) {
 	is := is.New(t)
 	d := New()
-	d.SetServers(list(1))
+	d.SetServers(serverList(1))
 	d.Report(report(0, "m"))
 	var grants []*Grant
 	for range 4 {
@@ -204,7 +204,7 @@
 		is.NoErr(err)
 		if i == 1 {
 			g.Release(Result{})
-			g.Release(Result{}) // frees nothing more
+			g.Release(Result{}) // frees no second slot
 			_, err = d.Acquire(context.Background(), request("a", "m"))
 			is.NoErr(err)
 		}
@@ -215,11 +215,11 @@
 	is.True(errors.Is(err, galenastair.ErrOverloaded))
 }
 
-// One organisation floods many models; in each queue it has little waiting, so that
-// its requests reach the engines as urgent as those of the others, who wait behind
-// them there. Seen failing with priority left to the queue's level, and, for the grant
-// beyond the window, without sendEntitled.
-func TestFloodOverManyModelsIsLessUrgent(t *testing.T) {
+// One organisation floods many models and has few requests waiting in each queue. By the
+// levels of the queues alone, its requests would reach the engines with the same priority as
+// those of the others, which would wait behind them there. Fails if priority returns the
+// level of the queue and, for the grant beyond the window, without dispatchEntitled.
+func TestFloodOverManyModelsHasLowerPriority(t *testing.T) {
 	is := is.New(t)
 	var models []galenastair.ModelName
 	for i := range 20 {
@@ -242,10 +242,10 @@
 		}
 	}
 	ds := send("calm", "x")
-	is.Equal(len(ds), 1) // beyond the window
+	is.Equal(len(ds), 1) // sent beyond the window
 	is.Equal(ds[0].Choice.Priority, 0)
 	for len(ds) > 0 {
-		ds = send("calm", "x") // until that room is taken as well
+		ds = send("calm", "x") // until the slots beyond the window are taken as well
 	}
 	is.Equal(flood[0].server, galenastair.BackendServerID("0"))
 	c.Done(start, flood[0], Result{OutputTokens: 50})
--- a/dispatch/demand.go
+++ b/dispatch/demand.go
@@ -2,79 +2,82 @@
 
 import "galenastair"
 
-// servedMemory is how many requests of an organisation the share of good service
-// looks back on.
-const servedMemory = 64
+// qualityWindow is the number of requests over which lateShare is averaged.
+const qualityWindow = 64
 
-// poorFactor is how much more the demand of a badly served organisation counts. At
-// 1, requests of one whose requests are all late count twice. Much more distorts the
-// forecast of a model's load: at 4 a moving skew was served worse, for the worst
-// organisation too.
-const poorFactor = 1
+// lateDemandFactor is the additional weight of the demand of organisations whose requests are
+// late. At 1, the requests of an organisation count twice if all of them are late. Larger
+// factors distort the load forecast of a model: with 4, service was worse when demand moved
+// between models, also for the worst served organisation.
+const lateDemandFactor = 1
 
-// maxServed bounds the organisations remembered on an entry.
-const maxServed = 4096
+// maxTrackedQuality bounds the organisations for which an instance keeps a serviceQuality.
+const maxTrackedQuality = 4096
 
-// served is the share of an organisation's recent requests that were served well.
-type served struct {
-	poor float64
+// serviceQuality describes how an organisation's recent requests were served.
+type serviceQuality struct {
+	// lateShare is the moving average of the share of requests that were refused or waited
+	// longer than queueTimeTarget.
+	lateShare float64
 }
 
-// Demand counts what was asked of one model on this entry since it started.
+// Demand counts the requests for one model on this instance since its start.
 type Demand struct {
 	Model        galenastair.ModelName
 	Requests     int64
 	Refused      int64
 	PromptTokens galenastair.Tokens
-	// PermittedTokens is what the answers might have had, OutputTokens what they had.
+	// MaxOutputTokens sums the output limits of the requests, OutputTokens the tokens that
+	// were produced.
 	PermittedTokens galenastair.Tokens
 	OutputTokens    galenastair.Tokens
-	// Work is prompt and permitted tokens, counted more for organisations that are
-	// badly served: placement follows it, so the worst served come first.
+	// Work sums prompt tokens and permitted output tokens, weighted more for organisations
+	// whose requests are late. Placement uses it, so that models of the worst served
+	// organisations are loaded first.
 	Work float64
 }
 
-// promptWork is the work of a prompt token against that of an output token: an
-// engine reads some ten prompt tokens in the time in which a batch writes one.
-const promptWork = 0.1
+// promptTokenWork is the work of a prompt token relative to an output token. An engine
+// processes about ten prompt tokens in the time in which a batch produces one output token.
+const promptTokenWork = 0.1
 
-func (c *Core) offered(m *model, r Request) {
+func (s *Core) recordDemand(m *modelState, r Request) {
 	d := &m.demand
 	d.Model = r.Model
 	d.Requests++
 	d.PromptTokens += r.PromptTokens
 	d.PermittedTokens += r.OutputTokens
-	work := promptWork*float64(r.PromptTokens) + float64(r.OutputTokens)
-	if s := c.served[r.Organisation]; s != nil {
-		work *= 1 + poorFactor*s.poor
+	work := promptTokenWork*float64(r.PromptTokens) + float64(r.OutputTokens)
+	if q := s.quality[r.Organisation]; q != nil {
+		work *= 1 + lateDemandFactor*q.lateShare
 	}
 	d.Work += work
 }
 
-func (c *Core) record(t *Ticket, good bool) {
-	s := c.served[t.Request.Organisation]
-	if s == nil {
-		if len(c.served) >= maxServed {
-			clear(c.served)
+func (s *Core) recordQuality(t *Ticket, good bool) {
+	q := s.quality[t.Request.Organisation]
+	if q == nil {
+		if len(s.quality) >= maxTrackedQuality {
+			clear(s.quality)
 		}
-		s = &served{}
-		c.served[t.Request.Organisation] = s
+		q = &serviceQuality{}
+		s.quality[t.Request.Organisation] = q
 	}
 	sample := 1.0
 	if good {
 		sample = 0
 	}
-	s.poor += (sample - s.poor) / servedMemory
+	q.lateShare += (sample - q.lateShare) / qualityWindow
 }
 
-// Demand returns the counts of every model asked for so far.
-func (c *Core) Demand() []Demand {
-	out := make([]Demand, 0, len(c.models))
-	for _, m := range c.models {
+// Demand returns the demand of every model requested so far.
+func (s *Core) Demand() []Demand {
+	out := make([]Demand, 0, len(s.modelStates))
+	for _, m := range s.modelStates {
 		out = append(out, m.demand)
 	}
 	return out
 }
 
-// Waiting returns the number of requests that wait for a backend server.
-func (c *Core) Waiting() int { return len(c.tickets) }
+// QueueLength returns the number of requests that wait for a backend server.
+func (s *Core) Waiting() int { return len(s.tickets) }
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -9,38 +9,39 @@
 	"galenastair"
 )
 
-// Dispatcher lets the goroutines of traffic wait for their turn. Its lock is held
-// for single decisions only, some microseconds, and never while waiting.
+// Dispatcher makes the goroutines of requests wait until the Scheduler grants them a backend
+// server. Its mutex is held for single decisions, a few microseconds, and never while a
+// request waits.
 type Dispatcher struct {
 	clock galenastair.Clock
 	rng   *rand.Rand
 
-	mu     sync.Mutex
-	core   *Core
-	budget *RetryBudget
-	wait   map[*Ticket]chan Decision
+	mu      sync.Mutex
+	core    *Core
+	budget  *RetryBudget
+	waiters map[*Ticket]chan Decision
 }
 
-// Option varies a Dispatcher.
+// Option configures a Dispatcher.
 type Option func(*Dispatcher)
 
-// WithClock replaces the clock of the machine.
+// WithClock replaces the system clock.
 func WithClock(c galenastair.Clock) Option {
 	return func(d *Dispatcher) { d.clock = c }
 }
 
-// WithRand replaces the source of random draws.
+// WithRand replaces the source of random numbers.
 func WithRand(rng *rand.Rand) Option {
 	return func(d *Dispatcher) { d.rng = rng }
 }
 
-// New returns a dispatcher that knows no backend server yet.
+// New returns a dispatcher without backend servers.
 func New(opts ...Option) *Dispatcher {
 	d := &Dispatcher{
-		clock:  galenastair.SystemClock{},
-		rng:    rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		budget: NewRetryBudget(),
-		wait:   map[*Ticket]chan Decision{},
+		clock:   galenastair.SystemClock{},
+		rng:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		budget:  NewRetryBudget(),
+		waiters: map[*Ticket]chan Decision{},
 	}
 	for _, opt := range opts {
 		opt(d)
@@ -49,34 +50,34 @@
 	return d
 }
 
-// Acquire waits until the request is granted a backend server or refused. The
-// error is a *galenastair.Refusal, or the context's if the caller gave up first.
+// Acquire waits until the request is granted a backend server or refused. The error is a
+// *galenastair.Refusal, or the context's error if the context ended first.
 func (d *Dispatcher) Acquire(ctx context.Context, r Request) (*Grant, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
 	t, decided := d.submit(r)
-	expire := time.NewTimer(d.patience(r))
+	expire := time.NewTimer(d.expiryDelay(r))
 	defer expire.Stop()
 	for {
 		select {
 		case dec := <-decided:
-			return d.answer(dec)
+			return d.toGrant(dec)
 		case <-expire.C:
 			d.expire(r.Model)
-			expire.Reset(copyGrace)
+			expire.Reset(noCopyTimeout)
 		case <-ctx.Done():
-			return d.giveUp(ctx, t, decided)
+			return d.abandon(ctx, t, decided)
 		}
 	}
 }
 
-// patience is when to look whether a waiting request has run out of time.
-func (d *Dispatcher) patience(r Request) time.Duration {
+// expiryDelay returns the time until the first check whether the request has expired.
+func (d *Dispatcher) expiryDelay(r Request) time.Duration {
 	if r.Deadline.IsZero() {
-		return copyGrace
+		return noCopyTimeout
 	}
-	return min(copyGrace, max(0, r.Deadline.Sub(d.clock.Now()))) + time.Millisecond
+	return min(noCopyTimeout, max(0, r.Deadline.Sub(d.clock.Now()))) + time.Millisecond
 }
 
 func (d *Dispatcher) submit(r Request) (*Ticket, chan Decision) {
@@ -87,27 +88,27 @@
 		d.budget.Earn()
 	}
 	t := d.core.Submit(d.clock.Now(), r)
-	d.wait[t] = decided
+	d.waiters[t] = decided
 	d.deliver()
 	return t, decided
 }
 
-// deliver hands out the decisions made so far; the channels never block, as each
-// gets one decision only.
+// deliver sends the pending decisions to their waiters. The channels never block, as each
+// has a buffer of one and receives one decision.
 func (d *Dispatcher) deliver() {
 	for _, dec := range d.core.Poll() {
-		if decided, ok := d.wait[dec.Ticket]; ok {
-			delete(d.wait, dec.Ticket)
+		if decided, ok := d.waiters[dec.Ticket]; ok {
+			delete(d.waiters, dec.Ticket)
 			decided <- dec
 		}
 	}
 }
 
-func (d *Dispatcher) answer(dec Decision) (*Grant, error) {
+func (d *Dispatcher) toGrant(dec Decision) (*Grant, error) {
 	if dec.Err != nil {
 		return nil, dec.Err
 	}
-	return &Grant{Choice: dec.Choice, ticket: dec.Ticket, owner: d}, nil
+	return &Grant{Choice: dec.Choice, ticket: dec.Ticket, dispatcher: d}, nil
 }
 
 func (d *Dispatcher) expire(m galenastair.ModelName) {
@@ -117,13 +118,13 @@
 	d.deliver()
 }
 
-// giveUp takes a request out whose caller went away. A grant that was made in the
-// same moment is released, or its room would be lost for good.
-func (d *Dispatcher) giveUp(ctx context.Context, t *Ticket, decided chan Decision) (*Grant, error) {
+// abandon cancels a request whose context has ended. A grant that was made at the same time
+// is released, or its slot would be lost permanently.
+func (d *Dispatcher) abandon(ctx context.Context, t *Ticket, decided chan Decision) (*Grant, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.core.Cancel(t)
-	delete(d.wait, t)
+	delete(d.waiters, t)
 	select {
 	case dec := <-decided:
 		if dec.Err == nil {
@@ -135,7 +136,7 @@
 	return nil, ctx.Err()
 }
 
-// MayRetry takes one further try out of the retry budget; false if none is left.
+// MayRetry takes one retry out of the retry budget, and returns false if it is used up.
 func (d *Dispatcher) MayRetry() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -150,7 +151,7 @@
 	d.deliver()
 }
 
-// Report takes in what an engine said about itself.
+// Report applies an engine's report of its state.
 func (d *Dispatcher) Report(r galenastair.EngineReport) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -158,28 +159,28 @@
 	d.deliver()
 }
 
-// CacheEvents takes in what an engine cached and dropped.
+// CacheEvents applies an engine's additions to and evictions from its prefix cache.
 func (d *Dispatcher) CacheEvents(id galenastair.BackendServerID, events []galenastair.CacheEvent) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.core.CacheEvents(id, events)
 }
 
-// Demand returns what was asked of every model on this entry so far.
+// Demand returns the demand of every model requested on this instance so far.
 func (d *Dispatcher) Demand() []Demand {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.core.Demand()
 }
 
-// Slow returns the backend servers that stay slow, failing or silent.
+// Unhealthy returns the backend servers that remain slow, failing or silent.
 func (d *Dispatcher) Slow() []galenastair.BackendServerID {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.core.Slow(d.clock.Now())
 }
 
-// Waiting returns the number of requests that wait for a backend server.
+// QueueLength returns the number of requests that wait for a backend server.
 func (d *Dispatcher) Waiting() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/dispatch/doc.go
+++ b/dispatch/doc.go
@@ -1,11 +1,15 @@
-// Package dispatch decides when a request may go and to which backend server:
-// it joins the fair queue and the router. Core is the decision alone; Dispatcher
-// wraps it in a short lock for the goroutines that carry traffic.
+// Package dispatch decides when a request is sent and to which backend server. It combines
+// the fair queue of package queue with the router of package route. Scheduler makes the
+// decisions and does no I/O; Dispatcher guards it with a mutex for the goroutines that
+// serve requests.
 //
-// Size: a waiting request takes about 600 bytes here and its goroutine and body some
-// 20 KB, at most 1,024 of them on an entry; a model asked for about 300 bytes, an
-// organisation remembered 80, at most 4,096. At a region of the target about 0.5 MB
-// besides the router's. A request costs 2 to 3 microseconds of processor time; at 51
-// requests/s an entry that is 0.02 % of a core. Demand of 250 models every five
-// seconds is some 3 KB, 600 bytes/s, to the leader.
+// Memory: a waiting request takes about 600 bytes here, and its goroutine and body about
+// 20 KB; at most 1,024 requests wait on an instance. A requested model takes about 300
+// bytes, and each of at most 4,096 tracked organisations 80 bytes. At the target size of a
+// region this is about 0.5 MB, besides the memory of the router.
+//
+// CPU: a request costs 2 to 3 microseconds, 0.02 % of a core at 51 requests/s per instance.
+//
+// Network: the demand of 250 models, sent to the leader every five seconds, is about 3 KB,
+// or 600 bytes/s.
 package dispatch
--- a/dispatch/grant.go
+++ b/dispatch/grant.go
@@ -1,24 +1,24 @@
 package dispatch
 
-// Grant is the right to send one request to one backend server.
+// Grant permits sending one request to one backend server.
 type Grant struct {
 	Choice
-	ticket *Ticket
-	owner  *Dispatcher
+	ticket     *Ticket
+	dispatcher *Dispatcher
 }
 
-// FirstToken tells that the first token has come; calls after the first do nothing.
+// FirstToken records the arrival of the first token. Only the first call has an effect.
 func (g *Grant) FirstToken() {
-	g.owner.mu.Lock()
-	defer g.owner.mu.Unlock()
-	g.owner.core.FirstToken(g.owner.clock.Now(), g.ticket)
-	g.owner.deliver()
+	g.dispatcher.mu.Lock()
+	defer g.dispatcher.mu.Unlock()
+	g.dispatcher.core.FirstToken(g.dispatcher.clock.Now(), g.ticket)
+	g.dispatcher.deliver()
 }
 
-// Release ends the grant; calls after the first do nothing.
+// Release ends the grant. Only the first call has an effect.
 func (g *Grant) Release(res Result) {
-	g.owner.mu.Lock()
-	defer g.owner.mu.Unlock()
-	g.owner.core.Done(g.owner.clock.Now(), g.ticket, res)
-	g.owner.deliver()
+	g.dispatcher.mu.Lock()
+	defer g.dispatcher.mu.Unlock()
+	g.dispatcher.core.Done(g.dispatcher.clock.Now(), g.ticket, res)
+	g.dispatcher.deliver()
 }
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -8,21 +8,21 @@
 	"galenastair/route"
 )
 
-// Request is what the decisions need to know of a caller's request.
+// Request holds the properties of a caller's request that the decisions depend on.
 type Request struct {
 	ID           galenastair.RequestID
 	Organisation galenastair.Organisation
-	// Weight is the contract's rate; fair shares are in proportion to it.
+	// Weight is the contract rate. Fair shares are proportional to it.
 	Weight       galenastair.TokensPerSecond
 	Model        galenastair.ModelName
 	PromptTokens galenastair.Tokens
-	// OutputTokens is the most that the answer may have.
+	// OutputTokens is the maximum number of output tokens.
 	OutputTokens galenastair.Tokens
-	// Prefix holds the chained hashes of the prompt's blocks, from route.Prefix.
+	// PrefixHashes holds the chained hashes of the prompt's blocks, from route.PrefixHashes.
 	Prefix []uint64
-	// Deadline is when the first token is no longer of use; zero for none.
+	// Deadline is the latest useful time for the first token, zero for none.
 	Deadline time.Time
-	// Exclude names the backend servers that this request has already failed on.
+	// Exclude lists the backend servers on which this request has already failed.
 	Exclude []galenastair.BackendServerID
 }
 
@@ -32,51 +32,51 @@
 	return route.Query{Model: r.Model, Prefix: r.Prefix, Exclude: r.Exclude}
 }
 
-// Result tells how a granted request ended.
+// Result describes how a granted request ended.
 type Result struct {
-	// FirstToken is the time from the grant to the first token, zero if none came;
-	// needed only if Grant.FirstToken was not called.
+	// TimeToFirstToken is measured from the grant, zero if no token came. It is needed only
+	// if Grant.FirstToken was not called.
 	FirstToken time.Duration
-	// OutputTokens counts what the backend server produced.
+	// OutputTokens counts the tokens that the backend server produced.
 	OutputTokens galenastair.Tokens
-	// Failed says that the backend server, not the caller, broke the request off.
+	// Failed reports that the backend server, and not the caller, aborted the request.
 	Failed bool
 }
 
 // Server is a backend server that the platform lists as a model engine.
 type Server = route.Server
 
-// Choice is where a request goes and why.
+// Choice is the backend server for a request and the reason for choosing it.
 type Choice struct {
 	route.Decision
-	// Priority is the level for the engine; a lower one is served first.
+	// Priority is the priority level for the engine. Lower levels are served first.
 	Priority int
-	// Waited is how long the request stood in the queue.
+	// QueueTime is how long the request waited in the queue.
 	Waited time.Duration
 }
 
-// Decision is the outcome of a submitted request: a choice, or a refusal.
+// Decision is the choice for a submitted request or its refusal.
 type Decision struct {
 	Ticket *Ticket
 	Choice Choice
 	Err    *galenastair.Refusal
 }
 
-// Ticket is one submitted request on its way through the core.
+// Ticket is the handle of one submitted request in the Scheduler.
 type Ticket struct {
-	Request   Request
-	item      queue.Item
-	submitted time.Time
-	granted   time.Time
-	first     time.Time
-	server    galenastair.BackendServerID
-	state     ticketState
+	Request      Request
+	item         queue.Item
+	submittedAt  time.Time
+	grantedAt    time.Time
+	firstTokenAt time.Time
+	server       galenastair.BackendServerID
+	state        ticketState
 }
 
 type ticketState int
 
 const (
-	waiting ticketState = iota
+	queued ticketState = iota
 	running
 	ended
 )
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -1,39 +1,40 @@
 package dispatch
 
 const (
-	// retryShare is the part of all requests that may be tried again. When every
-	// backend server fails, the load grows by this part and not by a multiple.
-	retryShare = 0.1
-	// retryReserve lets an entry with little traffic try again at all.
+	// retryRatio is the share of all requests that may be retried. When every backend
+	// server fails, retries add this share to the load instead of multiplying it.
+	retryRatio = 0.1
+	// retryReserve is the number of retries available to an instance with little traffic,
+	// whose share alone would permit none.
 	retryReserve = 10
 )
 
-// RetryBudget bounds repeated tries to a part of the traffic.
+// RetryBudget limits retries to a share of the traffic.
 type RetryBudget struct {
-	left    float64
-	share   float64
+	balance float64
+	ratio   float64
 	reserve float64
 }
 
-// NewRetryBudget returns a budget with its reserve full.
+// NewRetryBudget returns a budget with a full reserve.
 func NewRetryBudget() *RetryBudget {
-	return &RetryBudget{left: retryReserve, share: retryShare, reserve: retryReserve}
+	return &RetryBudget{balance: retryReserve, ratio: retryRatio, reserve: retryReserve}
 }
 
-// SetBounds replaces the part of the traffic and the reserve; what is left is cut to it.
+// SetBounds replaces the ratio and the reserve, and caps the balance at the reserve.
 func (b *RetryBudget) SetBounds(share, reserve float64) {
-	b.share, b.reserve = share, reserve
-	b.left = min(b.left, reserve)
+	b.ratio, b.reserve = share, reserve
+	b.balance = min(b.balance, reserve)
 }
 
-// Earn counts one first try.
-func (b *RetryBudget) Earn() { b.left = min(b.reserve, b.left+b.share) }
+// Earn credits the budget for one first attempt.
+func (b *RetryBudget) Earn() { b.balance = min(b.reserve, b.balance+b.ratio) }
 
-// Spend takes one further try out of the budget; false if none is left.
+// Spend takes one retry out of the budget, and returns false if it is used up.
 func (b *RetryBudget) Spend() bool {
-	if b.left < 1 {
+	if b.balance < 1 {
 		return false
 	}
-	b.left--
+	b.balance--
 	return true
 }
--- a/dispatch/turn.go
+++ b/dispatch/turn.go
@@ -2,42 +2,44 @@
 
 import "galenastair"
 
-// turnFlows is how many organisations a turn remembers before those that owe
-// nothing are forgotten.
-const turnFlows = 256
+// maxTrackedShares is the number of finish tags above which a shareTracker deletes those
+// that no longer delay their organisation.
+const maxTrackedShares = 256
 
-// turn shares one backend server between organisations, whichever of its models they
-// ask for, in proportion to their contract rates. Each model's queue is fair by
-// itself; but with a dozen models and adapters on an accelerator, an organisation
-// flooding all of them is first in each queue in turn, and one that asks for a
-// single model waits for a dozen slots.
-type turn struct {
-	virtual float64
-	finish  map[galenastair.Organisation]float64
+// shareTracker implements start-time fair queueing between organisations on one backend
+// server, over all its models and in proportion to contract rates. The queue of each model
+// is fair by itself. But with a dozen models and adapters on an accelerator, an organisation
+// that floods all of them would be first in each queue in turn, and one that uses a single
+// model would wait for a dozen slots.
+type shareTracker struct {
+	virtualTime float64
+	finishTags  map[galenastair.Organisation]float64
 }
 
-func newTurn() *turn { return &turn{finish: map[galenastair.Organisation]float64{}} }
+func newShareTracker() *shareTracker {
+	return &shareTracker{finishTags: map[galenastair.Organisation]float64{}}
+}
 
-func (t *turn) start(o galenastair.Organisation) float64 {
-	return max(t.virtual, t.finish[o])
+func (t *shareTracker) startTag(o galenastair.Organisation) float64 {
+	return max(t.virtualTime, t.finishTags[o])
 }
 
-func (t *turn) charge(o galenastair.Organisation, cost, weight float64) {
-	start := t.start(o)
-	t.virtual = max(t.virtual, start)
-	t.finish[o] = start + cost/max(1, weight)
-	if len(t.finish) > turnFlows {
-		t.forget()
+func (t *shareTracker) charge(o galenastair.Organisation, cost, weight float64) {
+	start := t.startTag(o)
+	t.virtualTime = max(t.virtualTime, start)
+	t.finishTags[o] = start + cost/max(1, weight)
+	if len(t.finishTags) > maxTrackedShares {
+		t.prune()
 	}
 }
 
-func (t *turn) forget() {
-	for o, f := range t.finish {
-		if f <= t.virtual {
-			delete(t.finish, o)
+func (t *shareTracker) prune() {
+	for o, f := range t.finishTags {
+		if f <= t.virtualTime {
+			delete(t.finishTags, o)
 		}
 	}
-	if len(t.finish) > 2*turnFlows {
-		clear(t.finish)
+	if len(t.finishTags) > 2*maxTrackedShares {
+		clear(t.finishTags)
 	}
 }
