--- a/route/choose.go
+++ b/route/choose.go
@@ -6,146 +6,147 @@
 	"galenastair"
 )
 
-// affinityBound is how much more than the mean of the copies a backend server
-// may carry and still be chosen for its cache. A cached prefix saves part of one
-// prefill; sending everything with one template to one copy would let the others
-// idle and the one queue.
-const affinityBound = 1.25
+// affinityLoadFactor is the load, relative to the mean of the copies, up to which a backend
+// server is chosen for its cached prefix. A cached prefix saves part of one prefill. Without
+// a bound, all requests with one template would queue at one copy while the others idle.
+const affinityLoadFactor = 1.25
 
-// affinitySlack lets affinity act at low load, where the mean is below one.
+// affinitySlack is added to the bound, in requests, as the mean is below one at low load and
+// affinity would have no effect there.
 const affinitySlack = 1
 
-// Query is what the choice depends on.
+// Query holds the properties of a request that the choice depends on.
 type Query struct {
 	Model   galenastair.ModelName
 	Prefix  []uint64
 	Exclude []galenastair.BackendServerID
-	// Entitled lets the request go beyond the window, into the part kept back for
-	// organisations within their share.
+	// Entitled permits slots beyond the window, which are reserved for organisations within
+	// their share.
 	Entitled bool
 }
 
-// Decision is a chosen backend server and the reason for it.
+// Decision is a chosen backend server and the reason for the choice.
 type Decision struct {
 	Server  galenastair.BackendServerID
 	Address string
 	Reason  Reason
-	// CachedBlocks is how many leading blocks of the prompt are probably cached there.
+	// CachedBlocks is the number of leading blocks of the prompt that are probably cached there.
 	CachedBlocks int
 }
 
-// Choose picks a backend server with room; false if none has.
-//
-// Its cost grows with the copies of the one model, not with the fleet.
+// Choose picks a backend server with capacity, and returns false if none has any. Its cost
+// grows with the number of copies of the model, not with the size of the fleet.
 func (r *Router) Choose(now time.Time, q Query) (Decision, bool) {
-	r.fit = r.fit[:0]
+	r.candidates = r.candidates[:0]
 	var sum, n float64
-	var resting, leaving *server
+	var fallback, leaving *server
 	for _, s := range r.copies[q.Model] {
 		if excluded(q.Exclude, s.ID) {
 			continue
 		}
 		if s.Leaving {
-			if s.mayServeLast(now) {
+			if s.inLeavingGrace(now) {
 				leaving = s
 			}
 			continue
 		}
-		if s.health.out {
+		if s.health.ejected {
 			if s.health.mayProbe(now) {
-				return r.probe(s, q)
+				return r.startProbe(s, q)
 			}
-			if resting == nil || s.inFlight < resting.inFlight {
-				resting = s
+			if fallback == nil || s.inFlight < fallback.inFlight {
+				fallback = s
 			}
 			continue
 		}
 		sum += s.load(now)
 		n++
-		if s.room(q.Entitled) {
-			r.fit = append(r.fit, s)
+		if s.hasCapacity(q.Entitled) {
+			r.candidates = append(r.candidates, s)
 		}
 	}
-	if len(r.fit) == 0 {
-		if resting == nil {
-			resting = leaving
+	if len(r.candidates) == 0 {
+		if fallback == nil {
+			fallback = leaving
 		}
-		return r.lastResort(q, resting)
+		return r.lastResort(q, fallback)
 	}
-	if len(r.fit) == 1 {
-		return r.decide(r.fit[0], q, OnlyCopy), true
+	if len(r.candidates) == 1 {
+		return r.decide(r.candidates[0], q, OnlyCopy), true
 	}
-	if s := r.affine(now, q, sum/n); s != nil {
+	if s := r.cachedCandidate(now, q, sum/n); s != nil {
 		return r.decide(s, q, PrefixAffinity), true
 	}
 	return r.decide(r.betterOfTwo(now), q, BetterOfTwo), true
 }
 
-// probe lets a single request try a backend server whose rest is over.
-func (r *Router) probe(s *server, q Query) (Decision, bool) {
+// startProbe sends a single request to a backend server whose ejection time is over.
+func (r *Router) startProbe(s *server, q Query) (Decision, bool) {
 	s.health.probing = true
 	return r.decide(s, q, Probe), true
 }
 
-// lastResort sends to a backend server that was taken out, or has just begun to
-// leave, if no other has a copy: a slow answer is better than none, and the comparison
-// may be wrong.
-func (r *Router) lastResort(q Query, resting *server) (Decision, bool) {
-	if resting == nil || !resting.room(q.Entitled) || r.healthyCopy(q) {
+// lastResort chooses a backend server that is ejected, or has just begun to leave, if no
+// other one has a copy. A slow response is better than none, and the ejection may have been
+// a mistake.
+func (r *Router) lastResort(q Query, fallback *server) (Decision, bool) {
+	if fallback == nil || !fallback.hasCapacity(q.Entitled) || r.healthyCopy(q) {
 		return Decision{}, false
 	}
-	why := NoneHealthy
-	if resting.Leaving {
-		why = LastCopy
+	reason := NoneHealthy
+	if fallback.Leaving {
+		reason = LastCopy
 	}
-	return r.decide(resting, q, why), true
+	return r.decide(fallback, q, reason), true
 }
 
 func (r *Router) healthyCopy(q Query) bool {
 	for _, s := range r.copies[q.Model] {
-		if !s.Leaving && !s.health.out && !excluded(q.Exclude, s.ID) {
+		if !s.Leaving && !s.health.ejected && !excluded(q.Exclude, s.ID) {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *Router) affine(now time.Time, q Query, mean float64) *server {
+func (r *Router) cachedCandidate(now time.Time, q Query, mean float64) *server {
 	hs, n := r.index.longest(q.Prefix)
 	if n == 0 {
 		return nil
 	}
 	for _, s := range hs {
-		if s == nil || !contains(r.fit, s) {
+		if s == nil || !contains(r.candidates, s) {
 			continue
 		}
-		if s.load(now) <= affinityBound*mean+affinitySlack {
+		if s.load(now) <= affinityLoadFactor*mean+affinitySlack {
 			return s
 		}
 	}
 	return nil
 }
 
-// betterOfTwo compares two at random: with several entries and late reports, all
-// choosing the one least loaded would send a burst to the same backend server.
+// betterOfTwo returns the less loaded of two random candidates. If several instances with
+// outdated reports all chose the least loaded one, they would send a burst to the same
+// backend server.
 func (r *Router) betterOfTwo(now time.Time) *server {
-	i := r.rng.IntN(len(r.fit))
-	j := r.rng.IntN(len(r.fit) - 1)
+	i := r.rng.IntN(len(r.candidates))
+	j := r.rng.IntN(len(r.candidates) - 1)
 	if j >= i {
 		j++
 	}
-	a, b := r.fit[i], r.fit[j]
+	a, b := r.candidates[i], r.candidates[j]
 	if b.load(now) < a.load(now) {
 		return b
 	}
 	return a
 }
 
-func (r *Router) decide(s *server, q Query, why Reason) Decision {
-	return Decision{s.ID, s.Address, why, r.index.match(q.Prefix, s)}
+func (r *Router) decide(s *server, q Query, reason Reason) Decision {
+	return Decision{s.ID, s.Address, reason, r.index.match(q.Prefix, s)}
 }
 
-// Take chooses a given backend server for a request that waited for its room.
+// Assign returns the decision for a waiting request that gets a freed slot of a given backend
+// server.
 func (r *Router) Take(id galenastair.BackendServerID, q Query) Decision {
 	return r.decide(r.servers[id], q, SlotFreed)
 }
--- a/route/doc.go
+++ b/route/doc.go
@@ -1,10 +1,11 @@
-// Package route chooses the backend server for a request among those with a
-// ready copy of its model: by prompt-prefix affinity with a bound on load, else
-// the better of two by own in-flight requests and aged reports, without those
-// that answer much more slowly than their peers. It opens no socket and starts
-// no goroutine; one goroutine at a time may use a Router.
+// Package route chooses the backend server for a request among those with a ready copy of
+// its model. It prefers a backend server that has probably cached the prompt's prefix,
+// within a bound on its load. Otherwise it takes the less loaded of two random candidates,
+// by this instance's own in-flight requests and by engine reports weighted by age. Backend
+// servers that respond much more slowly than their peers are ejected for a time. The package
+// does no I/O and starts no goroutine. A Router is not safe for concurrent use.
 //
-// Size: a backend server takes about 400 bytes and each loaded model or adapter
-// about 100; the index of cached prefixes is bounded at 2 * 32,768 entries of
-// about 40 bytes, 2.6 MB, whatever the fleet.
+// Memory: a backend server takes about 400 bytes and each loaded model or adapter about 100.
+// The index of cached prefixes is bounded at 2 * 32,768 entries of about 40 bytes, 2.6 MB,
+// independent of the fleet.
 package route
--- a/route/flight.go
+++ b/route/flight.go
@@ -6,44 +6,44 @@
 	"galenastair"
 )
 
-// Sent counts a request that goes to a backend server now.
+// Sent records that a request is sent to a backend server.
 func (r *Router) Sent(now time.Time, id galenastair.BackendServerID, prefix []uint64) {
 	s := r.servers[id]
 	if s == nil {
 		return
 	}
 	s.inFlight++
-	s.window.note(s.inFlight)
+	s.window.recordSent(s.inFlight)
 	s.health.sent(now)
 	for _, h := range prefix {
 		r.index.add(h, s)
 	}
 }
 
-// FirstToken tells how long the first token of a request took.
+// FirstToken records the time that the first token of a request took.
 func (r *Router) FirstToken(now time.Time, id galenastair.BackendServerID, took time.Duration, prompt galenastair.Tokens) {
 	s := r.servers[id]
 	if s == nil {
 		return
 	}
-	s.health.firstToken(now, took, int64(prompt))
-	s.window.firstToken(took, nominal(prompt), s.health.gap)
+	s.health.addFirstToken(now, took, int64(prompt))
+	s.window.applyFirstToken(took, nominal(prompt), s.health.interTokenLatency)
 	if s.health.probing {
-		s.health.putBack()
+		s.health.uneject()
 	}
 }
 
-// End is how a request at a backend server ended.
+// Result describes how a request at a backend server ended.
 type End struct {
-	// Answered says that a first token had come.
+	// Answered reports whether a first token had arrived.
 	Answered bool
-	// Failed says that the backend server broke the request off.
+	// Failed reports whether the backend server aborted the request.
 	Failed bool
-	// Gap is the mean time between tokens, zero if unknown.
+	// InterTokenLatency is the mean time between tokens, zero if unknown.
 	Gap time.Duration
 }
 
-// Done counts a request that has ended.
+// Done records the end of a request.
 func (r *Router) Done(now time.Time, id galenastair.BackendServerID, e End) {
 	s := r.servers[id]
 	if s == nil {
@@ -53,15 +53,15 @@
 	if !e.Answered {
 		s.health.progress(now)
 	}
-	s.window.gap(e.Gap)
-	s.health.between(e.Gap)
+	s.window.applyInterTokenLatency(e.Gap)
+	s.health.addInterTokenLatency(e.Gap)
 	if !e.Failed {
-		// a caller that gave up on a probe says nothing about the backend server
+		// A probe that its caller cancelled does not show whether the backend server is healthy.
 		s.health.probing = false
 		return
 	}
 	s.health.failures++
 	if s.health.probing {
-		s.health.takeOut(now)
+		s.health.eject(now)
 	}
 }
--- a/route/health.go
+++ b/route/health.go
@@ -7,134 +7,139 @@
 )
 
 const (
-	// slowSamples is how many answers a comparison needs: some may be unlucky.
-	slowSamples = 5
-	// slowFactor is how many times slower to the first token than the median of its
-	// peers a backend server must be. Prompts and batches vary by a factor of two.
-	slowFactor = 3
-	// slowFirst is the least usual first token that counts as slow, the 1.8 s that
-	// callers are promised. A busy backend server whose peers idle is many times slower
-	// than they are and still well; at half of it, one that read long prompts was taken
-	// out again and again, and its load fell on others.
-	slowFirst = 1800 * time.Millisecond
-	// gapFactor and slowGap are the same for the time between tokens, promised at 64
-	// ms. It tells a slow accelerator from a busy one, whose window is cut before.
-	gapFactor = 2
-	slowGap   = 64 * time.Millisecond
-	// failuresOut is how many failures in a row take a backend server out; two
-	// come from one poison request and its one repetition.
-	failuresOut = 3
-	// largestShareOut is the part of the fleet that may be out at a time. If more
-	// seem slow it is the load or the network, and taking them out would add to it.
-	largestShareOut = 0.34
-	// firstRest is how long a backend server is out for the first time, longer
-	// than a long garbage collection or a weight load on its link.
-	firstRest = 5 * time.Second
-	// longestRest bounds the doubling, so that a mended one is found in a minute.
-	longestRest = 60 * time.Second
-	// smoothing is the weight of a new sample.
+	// minSamples is the number of responses that a comparison needs, as single ones may be
+	// slow by chance.
+	minSamples = 5
+	// slowFirstTokenFactor is the factor to the median of the peers above which the first
+	// tokens of a backend server count as slow. Prompts and batches vary by a factor of two.
+	slowFirstTokenFactor = 3
+	// minSlowFirstToken is the shortest mean time to the first token that counts as slow, the
+	// 1.8 s that callers are promised. A busy backend server is many times slower than idle
+	// peers and still healthy: at half of this value, one that processed long prompts was
+	// ejected repeatedly and its load moved to others.
+	minSlowFirstToken = 1800 * time.Millisecond
+	// slowInterTokenFactor and minSlowInterTokenLatency are the same for the time between
+	// tokens, promised at 64 ms. It separates a slow accelerator from a busy one, whose window
+	// is reduced before it becomes that slow.
+	slowInterTokenFactor     = 2
+	minSlowInterTokenLatency = 64 * time.Millisecond
+	// maxConsecutiveFailures is the number of consecutive failures after which a backend server
+	// is ejected. One request that crashes its server and its single retry cause two.
+	maxConsecutiveFailures = 3
+	// maxEjectedShare is the share of the fleet that may be ejected at a time. If more backend
+	// servers seem slow, the cause is load or the network, and ejecting them would increase
+	// the load on the others.
+	maxEjectedShare = 0.34
+	// baseEjectionTime is the duration of the first ejection. It is longer than a long garbage
+	// collection or a weight load on the backend server's network link.
+	baseEjectionTime = 5 * time.Second
+	// maxEjectionTime bounds the doubling, so that a backend server that has recovered is
+	// probed within a minute.
+	maxEjectionTime = 60 * time.Second
+	// smoothing is the weight of a new sample in the moving averages.
 	smoothing = 0.2
-	// silentFloor is the least time without any first token that counts as silence of
-	// an engine whose reports have stopped as well, for staleReport.
-	silentFloor = 2 * time.Second
-	staleReport = 3 * time.Second
-	// aliveFloor is the same while reports still come: a prompt of some ten thousand
-	// tokens takes seconds to read.
-	aliveFloor = 6 * time.Second
-	// silentFactor is how many usual first tokens long a silence must be.
+	// minSilenceStale is the shortest time without a first token after which an engine counts
+	// as silent if its last report is older than staleReportAge.
+	minSilenceStale = 2 * time.Second
+	staleReportAge  = 3 * time.Second
+	// minSilence is the same for an engine that still reports. A prompt of ten thousand tokens
+	// takes seconds to process.
+	minSilence = 6 * time.Second
+	// silentFactor is the multiple of the median time to the first token after which an engine
+	// counts as silent.
 	silentFactor = 6
-	// reportSilence is how old a report may grow before its engine counts as
-	// silent, provided that the median of its peers' reports is half as old.
-	reportSilence = 6 * time.Second
+	// maxReportAge is the report age above which an engine counts as silent, if the report is
+	// also more than twice as old as the median of all reports.
+	maxReportAge = 6 * time.Second
 )
 
-// Nominal costs by which first tokens of long and short prompts compare. Only
-// their proportion matters, as peers are compared by the same measure.
+// Nominal times to the first token make long and short prompts comparable. Only their ratio
+// matters, as all peers are compared by the same measure.
 const (
-	nominalFirstToken = 60 * time.Millisecond
-	nominalPerToken   = 150 * time.Microsecond
+	nominalBase     = 60 * time.Millisecond
+	nominalPerToken = 150 * time.Microsecond
 )
 
-// health is how one backend server fares against its peers.
+// health holds the measurements by which a backend server is compared with its peers.
 type health struct {
-	// slowness and first are smoothed over the last first tokens, gap over the time
-	// between tokens of the last answers.
-	slowness float64
-	first    time.Duration
-	samples  int
-	gap      time.Duration
-	gaps     int
-	failures int
-	// waiting counts requests without a first token; since is when the last
-	// progress was, or when the first of them was sent.
-	waiting int
-	since   time.Time
-	out     bool
-	until   time.Time
-	rest    time.Duration
-	probing bool
+	// slowness and firstToken are moving averages over the last first tokens, relative to the
+	// nominal time and absolute. interTokenLatency is one over the last responses.
+	slowness          float64
+	firstToken        time.Duration
+	samples           int
+	interTokenLatency time.Duration
+	interTokenSamples int
+	failures          int
+	// unanswered counts requests without a first token. lastProgress is when one of them last
+	// got its first token or ended, or when the first of them was sent.
+	unanswered   int
+	lastProgress time.Time
+	ejected      bool
+	ejectedUntil time.Time
+	ejectionTime time.Duration
+	probing      bool
 }
 
 func (h *health) sent(now time.Time) {
-	if h.waiting == 0 {
-		h.since = now
+	if h.unanswered == 0 {
+		h.lastProgress = now
 	}
-	h.waiting++
+	h.unanswered++
 }
 
-func (h *health) firstToken(now time.Time, took time.Duration, promptTokens int64) {
+func (h *health) addFirstToken(now time.Time, took time.Duration, promptTokens int64) {
 	h.progress(now)
 	h.samples++
 	h.slowness = smooth(h.slowness, float64(took)/float64(nominal(galenastair.Tokens(promptTokens))), h.samples)
-	h.first = smooth(h.first, took, h.samples)
+	h.firstToken = smooth(h.firstToken, took, h.samples)
 	h.failures = 0
 }
 
-func (h *health) between(gap time.Duration) {
+func (h *health) addInterTokenLatency(gap time.Duration) {
 	if gap > 0 {
-		h.gaps++
-		h.gap = smooth(h.gap, gap, h.gaps)
+		h.interTokenSamples++
+		h.interTokenLatency = smooth(h.interTokenLatency, gap, h.interTokenSamples)
 	}
 }
 
-// nominal is what the first token of a prompt takes an idle backend server.
+// nominal returns the time that an idle backend server takes to the first token of a prompt.
 func nominal(prompt galenastair.Tokens) time.Duration {
-	return nominalFirstToken + time.Duration(prompt)*nominalPerToken
+	return nominalBase + time.Duration(prompt)*nominalPerToken
 }
 
 func (h *health) progress(now time.Time) {
-	h.waiting = max(0, h.waiting-1)
-	h.since = now
+	h.unanswered = max(0, h.unanswered-1)
+	h.lastProgress = now
 }
 
-// smooth weighs a new sample; the first ones as in a plain mean.
+// smooth adds a sample to a moving average. The first samples have equal weight.
 func smooth[T float64 | time.Duration](old, sample T, samples int) T {
 	return old + T(max(smoothing, 1/float64(samples))*float64(sample-old))
 }
 
-func (h *health) takeOut(now time.Time) {
-	h.out = true
-	h.rest = min(longestRest, max(firstRest, 2*h.rest))
-	h.until = now.Add(h.rest)
+func (h *health) eject(now time.Time) {
+	h.ejected = true
+	h.ejectionTime = min(maxEjectionTime, max(baseEjectionTime, 2*h.ejectionTime))
+	h.ejectedUntil = now.Add(h.ejectionTime)
 	h.probing = false
-	h.samples, h.gaps = 0, 0
+	h.samples, h.interTokenSamples = 0, 0
 	h.failures = 0
 }
 
-func (h *health) putBack() {
-	h.out = false
+func (h *health) uneject() {
+	h.ejected = false
 	h.probing = false
 }
 
-// recover forgets that a backend server was out once it has done well for longer
-// than the longest rest.
-func (h *health) recover(now time.Time) {
-	if !h.out && now.Sub(h.until) > longestRest {
-		h.rest = 0
+// resetEjectionTime resets the doubling once a backend server has been healthy for longer
+// than maxEjectionTime.
+func (h *health) resetEjectionTime(now time.Time) {
+	if !h.ejected && now.Sub(h.ejectedUntil) > maxEjectionTime {
+		h.ejectionTime = 0
 	}
 }
 
-// mayProbe says whether one request may try out a backend server that is out.
+// mayProbe reports whether one request may be sent to an ejected backend server as a probe.
 func (h *health) mayProbe(now time.Time) bool {
-	return h.out && !h.probing && now.After(h.until)
+	return h.ejected && !h.probing && now.After(h.ejectedUntil)
 }
--- a/route/index.go
+++ b/route/index.go
@@ -1,38 +1,39 @@
 package route
 
-// indexGeneration is how many prefixes one generation of the index holds. Two
-// generations are 65,536 blocks, about 4 million tokens, which is more than the
-// engines that one entry mostly sends to can keep.
-const indexGeneration = 1 << 15
+// maxGenerationSize is the number of prefixes in one generation of the index. Two generations
+// hold 65,536 blocks, about 4 million tokens, more than the engines that one instance mostly
+// sends to can cache.
+const maxGenerationSize = 1 << 15
 
-// holders names the backend servers, two at most, that last cached a prefix.
+// holders are the backend servers, at most two, that last cached a prefix.
 type holders [2]*server
 
-// index remembers which backend servers have probably cached which prefixes. It
-// forgets by generations: what was not used during a whole one is gone, which
-// bounds the memory and lets lost "dropped" events heal.
+// index records which backend servers have probably cached which prefixes. When the current
+// generation is full it replaces the previous one, which deletes the prefixes that were not
+// used during a whole generation. This bounds the memory and removes the prefixes whose
+// eviction events were lost.
 type index struct {
-	young map[uint64]holders
-	old   map[uint64]holders
+	currentGeneration  map[uint64]holders
+	previousGeneration map[uint64]holders
 }
 
 func newIndex() *index {
-	return &index{young: map[uint64]holders{}}
+	return &index{currentGeneration: map[uint64]holders{}}
 }
 
 func (x *index) get(h uint64) holders {
-	if hs, ok := x.young[h]; ok {
+	if hs, ok := x.currentGeneration[h]; ok {
 		return hs
 	}
-	return x.old[h]
+	return x.previousGeneration[h]
 }
 
 func (x *index) put(h uint64, hs holders) {
-	if len(x.young) >= indexGeneration {
-		x.old = x.young
-		x.young = make(map[uint64]holders, indexGeneration)
+	if len(x.currentGeneration) >= maxGenerationSize {
+		x.previousGeneration = x.currentGeneration
+		x.currentGeneration = make(map[uint64]holders, maxGenerationSize)
 	}
-	x.young[h] = hs
+	x.currentGeneration[h] = hs
 }
 
 func (x *index) add(h uint64, s *server) {
@@ -56,7 +57,7 @@
 	x.put(h, hs)
 }
 
-// match returns how many leading blocks a backend server has probably cached.
+// match returns the number of leading blocks that a backend server has probably cached.
 func (x *index) match(prefix []uint64, s *server) int {
 	for n := len(prefix); n > 0; n-- {
 		hs := x.get(prefix[n-1])
@@ -67,7 +68,7 @@
 	return 0
 }
 
-// longest returns the holders of the longest cached leading part, and its length.
+// longest returns the holders of the longest cached prefix and its length in blocks.
 func (x *index) longest(prefix []uint64) (holders, int) {
 	for n := len(prefix); n > 0; n-- {
 		if hs := x.get(prefix[n-1]); hs[0] != nil {
--- a/route/prefix.go
+++ b/route/prefix.go
@@ -8,18 +8,18 @@
 	"galenastair"
 )
 
-// prefixBlock is how many bytes of a prompt one hash covers, about 64 tokens:
-// the size in which engines keep their caches. Smaller blocks gain nothing there.
-const prefixBlock = 256
+// prefixBlockBytes is the number of prompt bytes that one hash covers, about 64 tokens. This
+// is the block size of the engines' caches, so smaller blocks would find no more.
+const prefixBlockBytes = 256
 
-// prefixBlocks bounds the hashes of one prompt: 8 KB of common beginning tell
-// conversations and templates apart, and hashing them takes about a microsecond.
-const prefixBlocks = 32
+// maxPrefixBlocks bounds the hashes of one prompt. The first 8 KB are enough to distinguish
+// conversations and templates, and hashing them takes about a microsecond.
+const maxPrefixBlocks = 32
 
-// Prefix returns the chained hashes of a prompt's leading blocks for a model:
-// two prompts share the first n hashes if their first n blocks are the same.
+// PrefixHashes returns the chained hashes of a prompt's leading blocks for a model. Two prompts
+// share the first n hashes if their first n blocks are the same.
 func Prefix(m galenastair.ModelName, prompt []byte) []uint64 {
-	n := min(len(prompt)/prefixBlock, prefixBlocks)
+	n := min(len(prompt)/prefixBlockBytes, maxPrefixBlocks)
 	hashes := make([]uint64, n)
 	var link [8]byte
 	last := xxhash.Sum64String(string(m))
@@ -28,7 +28,7 @@
 		d.Reset()
 		binary.LittleEndian.PutUint64(link[:], last)
 		_, _ = d.Write(link[:])
-		_, _ = d.Write(prompt[i*prefixBlock : (i+1)*prefixBlock])
+		_, _ = d.Write(prompt[i*prefixBlockBytes : (i+1)*prefixBlockBytes])
 		last = d.Sum64()
 		hashes[i] = last
 	}
--- a/route/reason.go
+++ b/route/reason.go
@@ -1,22 +1,22 @@
 package route
 
-// Reason says in a log line why a backend server was chosen.
+// Reason is the reason for a choice, as written to the log.
 type Reason string
 
 // The reasons for a choice.
 const (
-	// OnlyCopy says that a single backend server could take the request.
+	// OnlyCopy means that only one backend server could accept the request.
 	OnlyCopy Reason = "OnlyCopy"
-	// PrefixAffinity says that the prompt's prefix is probably cached there.
+	// PrefixAffinity means that the prompt's prefix is probably cached there.
 	PrefixAffinity Reason = "PrefixAffinity"
-	// BetterOfTwo says that it was the less loaded of two.
+	// BetterOfTwo means that it was the less loaded of two random candidates.
 	BetterOfTwo Reason = "BetterOfTwo"
-	// SlotFreed says that the request waited until this backend server had room.
+	// SlotFreed means that the request waited until this backend server had capacity.
 	SlotFreed Reason = "SlotFreed"
-	// Probe says that a backend server taken out earlier is tried again.
+	// Probe means that an ejected backend server is tried again.
 	Probe Reason = "Probe"
-	// NoneHealthy says that every copy is on a backend server that was taken out.
+	// NoneHealthy means that every copy is on an ejected backend server.
 	NoneHealthy Reason = "NoneHealthy"
-	// LastCopy says that only a backend server that has just begun to leave has a copy.
+	// LastCopy means that the only copy is on a backend server that has just begun to leave.
 	LastCopy Reason = "LastCopy"
 )
--- a/route/review.go
+++ b/route/review.go
@@ -7,104 +7,104 @@
 	"galenastair"
 )
 
-// reviewPeriod is how often peers are compared. A slow backend server is seen
-// after a few answers, about a second; comparing at each request would cost more
-// than the choice itself at 270 replicas.
+// reviewPeriod is the time between two comparisons. A slow backend server is detected after a
+// few responses, about a second. With 270 replicas, a comparison at each request would cost
+// more than the choice itself.
 const reviewPeriod = 250 * time.Millisecond
 
-// Review compares all backend servers and takes out the slow, failing and silent
-// ones. It is made for one that hangs or limps while its peers are well: without
-// it a share of all callers would meet it again and again, and since it holds its
-// requests longest, least-in-flight alone reacts only once its window is full.
+// DetectOutliers compares all backend servers and ejects the slow, failing and silent ones.
+// Without it, a share of all requests would continue to reach a backend server that hangs or
+// is slow while its peers are healthy. Comparing in-flight requests reacts only once the
+// window of such a server is full.
 func (r *Router) Review(now time.Time) {
 	if now.Sub(r.reviewed) < reviewPeriod {
 		return
 	}
 	r.reviewed = now
-	usual := r.usual(now)
-	out := 0
+	medians := r.medians(now)
+	ejected := 0
 	for _, s := range r.list {
-		if s.health.out {
-			out++
+		if s.health.ejected {
+			ejected++
 		}
-		s.health.recover(now)
+		s.health.resetEjectionTime(now)
 	}
 	for _, s := range r.list {
-		if s.health.out || float64(out+1) > max(1, largestShareOut*float64(len(r.list))) {
+		if s.health.ejected || float64(ejected+1) > max(1, maxEjectedShare*float64(len(r.list))) {
 			continue
 		}
-		if usual.exceeded(now, s) {
-			s.health.takeOut(now)
-			s.window.cut()
-			out++
+		if medians.isOutlier(now, s) {
+			s.health.eject(now)
+			s.window.decrease()
+			ejected++
 		}
 	}
 }
 
-// peers holds the medians that a backend server is compared with.
-type peers struct {
-	slowness  float64
-	first     time.Duration
-	gap       time.Duration
-	reportAge time.Duration
-	failing   int
-	compared  int
+// peerMedians holds the medians over all backend servers that each is compared with.
+type peerMedians struct {
+	slowness          float64
+	firstToken        time.Duration
+	interTokenLatency time.Duration
+	reportAge         time.Duration
+	failing           int
+	compared          int
 }
 
-func (r *Router) usual(now time.Time) peers {
-	slow := r.scratch[:0]
-	firsts := make([]time.Duration, 0, len(r.list))
-	gaps := make([]time.Duration, 0, len(r.list))
+func (r *Router) medians(now time.Time) peerMedians {
+	slow := r.slownessBuf[:0]
+	firstTokens := make([]time.Duration, 0, len(r.list))
+	interTokens := make([]time.Duration, 0, len(r.list))
 	ages := make([]time.Duration, 0, len(r.list))
-	p := peers{compared: len(r.list)}
+	p := peerMedians{compared: len(r.list)}
 	for _, s := range r.list {
 		if s.health.samples > 0 {
 			slow = append(slow, s.health.slowness)
-			firsts = append(firsts, s.health.first)
+			firstTokens = append(firstTokens, s.health.firstToken)
 		}
-		if s.health.gaps > 0 {
-			gaps = append(gaps, s.health.gap)
+		if s.health.interTokenSamples > 0 {
+			interTokens = append(interTokens, s.health.interTokenLatency)
 		}
 		if s.health.failures > 0 {
 			p.failing++
 		}
-		ages = append(ages, now.Sub(s.reported))
+		ages = append(ages, now.Sub(s.reportedAt))
 	}
 	p.slowness = median(slow)
-	p.first = median(firsts)
-	p.gap = median(gaps)
+	p.firstToken = median(firstTokens)
+	p.interTokenLatency = median(interTokens)
 	p.reportAge = median(ages)
-	r.scratch = slow
+	r.slownessBuf = slow
 	return p
 }
 
-func (p peers) exceeded(now time.Time, s *server) bool {
+func (p peerMedians) isOutlier(now time.Time, s *server) bool {
 	h := &s.health
 	if p.compared < 2 {
 		return false
 	}
-	if h.failures >= failuresOut && 2*p.failing <= p.compared {
+	if h.failures >= maxConsecutiveFailures && 2*p.failing <= p.compared {
 		return true
 	}
-	if h.samples >= slowSamples && h.first > slowFirst && h.slowness > slowFactor*p.slowness {
+	if h.samples >= minSamples && h.firstToken > minSlowFirstToken && h.slowness > slowFirstTokenFactor*p.slowness {
 		return true
 	}
-	if h.gaps >= slowSamples && h.gap > max(slowGap, gapFactor*p.gap) {
+	if h.interTokenSamples >= minSamples && h.interTokenLatency > max(minSlowInterTokenLatency, slowInterTokenFactor*p.interTokenLatency) {
 		return true
 	}
-	age := now.Sub(s.reported)
-	silence := max(silentFloor, silentFactor*p.first)
-	if age < staleReport {
-		silence = max(aliveFloor, silence)
+	age := now.Sub(s.reportedAt)
+	silence := max(minSilenceStale, silentFactor*p.firstToken)
+	if age < staleReportAge {
+		silence = max(minSilence, silence)
 	}
-	if h.waiting > 0 && now.Sub(h.since) > silence {
+	if h.unanswered > 0 && now.Sub(h.lastProgress) > silence {
 		return true
 	}
-	return age > reportSilence && age > 2*p.reportAge
+	return age > maxReportAge && age > 2*p.reportAge
 }
 
-// median is the lower one of two in the middle: of two backend servers, the slow
-// one must not be the measure that it is compared with.
+// median returns the median, and the lower of the two middle values of an even number. With
+// two backend servers, the slow one would otherwise be compared with itself.
 func median[T float64 | time.Duration](xs []T) T {
 	if len(xs) == 0 {
 		return 0
@@ -113,16 +113,15 @@
 	return xs[(len(xs)-1)/2]
 }
 
-// Slow returns the backend servers that are out since they were found slow, failing or
-// silent again right after they had been tried: those for which one bad moment is no
-// explanation. One that holds nothing is not among them after its rest: it can be tried
-// only where it is given something to hold.
+// Unhealthy returns the backend servers that were ejected again after a probe, so that a
+// temporary fault is no explanation. It leaves out those without any loaded model whose
+// ejection time is over: they can be probed only once a model is loaded there.
 func (r *Router) Slow() []galenastair.BackendServerID {
 	var ids []galenastair.BackendServerID
 	for _, s := range r.list {
 		h := &s.health
-		triable := r.reviewed.After(h.until) && len(s.loaded) == 0
-		if h.out && h.rest > firstRest && !triable {
+		idle := r.reviewed.After(h.ejectedUntil) && len(s.loaded) == 0
+		if h.ejected && h.ejectionTime > baseEjectionTime && !idle {
 			ids = append(ids, s.ID)
 		}
 	}
--- a/route/router.go
+++ b/route/router.go
@@ -8,19 +8,19 @@
 	"galenastair"
 )
 
-// Router knows the backend servers, what is ready on them and how they fare.
+// Router tracks the backend servers, the models that are ready on them, and their health.
 type Router struct {
-	rng      *rand.Rand
-	servers  map[galenastair.BackendServerID]*server
-	list     []*server
-	copies   map[galenastair.ModelName][]*server
-	index    *index
-	reviewed time.Time
-	scratch  []float64
-	fit      []*server
+	rng         *rand.Rand
+	servers     map[galenastair.BackendServerID]*server
+	list        []*server
+	copies      map[galenastair.ModelName][]*server
+	index       *index
+	reviewed    time.Time
+	slownessBuf []float64
+	candidates  []*server
 }
 
-// New returns a router that knows no backend server; its draws come from rng.
+// New returns a router without backend servers that takes random numbers from rng.
 func New(rng *rand.Rand) *Router {
 	return &Router{
 		rng:     rng,
@@ -30,19 +30,19 @@
 	}
 }
 
-// SetServers follows the platform's list; own in-flight counts of those that stay are kept.
+// SetServers replaces the list of backend servers and keeps the state of those that remain.
 func (r *Router) SetServers(now time.Time, list []Server) {
 	present := make(map[galenastair.BackendServerID]bool, len(list))
 	for _, l := range list {
 		present[l.ID] = true
 		s := r.servers[l.ID]
 		if s == nil {
-			s = &server{window: window{limit: firstWindow}, reported: now}
+			s = &server{window: window{limit: initialWindow}, reportedAt: now}
 			r.servers[l.ID] = s
 			r.list = append(r.list, s)
 		}
 		if l.Leaving && !s.Leaving {
-			s.leaves = now
+			s.leavingSince = now
 		}
 		s.Server = l
 	}
@@ -59,15 +59,15 @@
 	r.list = slices.DeleteFunc(r.list, func(o *server) bool { return o == s })
 }
 
-// Report takes in what an engine said about itself.
+// Report applies an engine's report of its state.
 func (r *Router) Report(now time.Time, rep galenastair.EngineReport) {
 	s := r.servers[rep.BackendServer]
 	if s == nil {
 		return
 	}
-	s.others = max(0, float64(rep.Running+rep.Waiting-s.inFlight))
-	s.reported = now.Add(-rep.Age)
-	s.window.follow(rep)
+	s.otherLoad = max(0, float64(rep.Running+rep.Waiting-s.inFlight))
+	s.reportedAt = now.Add(-rep.Age)
+	s.window.applyReport(rep)
 	ready := make([]galenastair.ModelName, 0, len(rep.Loaded))
 	for _, l := range rep.Loaded {
 		if l.State == galenastair.Ready {
@@ -94,8 +94,9 @@
 	}
 }
 
-// CacheEvents takes in what an engine cached and dropped; gaps need no care, as
-// the index is only a guess that own sends renew and generations forget.
+// CacheEvents applies an engine's additions to and evictions from its prefix cache. Lost
+// events need no handling: the index is an estimate that requests update and whose old
+// entries are deleted.
 func (r *Router) CacheEvents(id galenastair.BackendServerID, events []galenastair.CacheEvent) {
 	s := r.servers[id]
 	if s == nil {
@@ -110,7 +111,8 @@
 	}
 }
 
-// Loaded returns the models and adapters ready on a backend server; the caller must not change it.
+// Loaded returns the models and adapters that are ready on a backend server. The caller must
+// not modify the slice.
 func (r *Router) Loaded(id galenastair.BackendServerID) []galenastair.ModelName {
 	if s := r.servers[id]; s != nil {
 		return s.loaded
@@ -118,16 +120,17 @@
 	return nil
 }
 
-// HasRoom says whether a backend server may be sent one more request now.
+// HasCapacity reports whether one more request may be sent to a backend server now.
 func (r *Router) HasRoom(id galenastair.BackendServerID) bool {
 	s := r.servers[id]
-	return s != nil && !s.Leaving && !s.health.out && s.room(false)
+	return s != nil && !s.Leaving && !s.health.ejected && s.hasCapacity(false)
 }
 
-// Known says whether any backend server that may take new work has a ready copy of the model.
+// HasCopy reports whether any backend server that accepts new requests has a ready copy of the
+// model.
 func (r *Router) Known(now time.Time, m galenastair.ModelName, exclude []galenastair.BackendServerID) bool {
 	for _, s := range r.copies[m] {
-		if (!s.Leaving || s.mayServeLast(now)) && !slices.Contains(exclude, s.ID) {
+		if (!s.Leaving || s.inLeavingGrace(now)) && !slices.Contains(exclude, s.ID) {
 			return true
 		}
 	}
--- a/route/router_test.go
+++ b/route/router_test.go
@@ -18,8 +18,8 @@
 	return galenastair.BackendServerID(fmt.Sprint("engine-", i))
 }
 
-// fleet returns a router with n backend servers that all have the model ready.
-func fleet(n int, models ...galenastair.ModelName) *Router {
+// newTestRouter returns a router with n backend servers that all have the models ready.
+func newTestRouter(n int, models ...galenastair.ModelName) *Router {
 	r := New(rand.New(rand.NewPCG(1, 2)))
 	var list []Server
 	for i := range n {
@@ -40,7 +40,8 @@
 	return rep
 }
 
-// answer sends one request through the router and lets it be answered after took.
+// answer sends one request through the router. Its first token takes the time that took
+// returns for the chosen backend server.
 func (r *Router) answer(now time.Time, q Query, took func(galenastair.BackendServerID) time.Duration) Decision {
 	d, ok := r.Choose(now, q)
 	if !ok {
@@ -53,15 +54,15 @@
 	return d
 }
 
-// Callers of one zone in nine see answers that take ten times as long: one backend
-// server limps. After a few answers it gets no more than a probe now and then.
-// Seen failing with Review switched off.
-func TestSlowBackendServerIsTakenOutAndTriedAgain(t *testing.T) {
+// One of nine backend servers responds ten times slower than the others. After a few
+// responses it must get only occasional probes, and its share again once it has recovered.
+// Fails without DetectOutliers.
+func TestSlowBackendServerIsEjectedAndProbed(t *testing.T) {
 	is := is.New(t)
-	r := fleet(9, "m")
-	limps := true
+	r := newTestRouter(9, "m")
+	slow := true
 	took := func(s galenastair.BackendServerID) time.Duration {
-		if s == id(3) && limps {
+		if s == id(3) && slow {
 			return time.Second
 		}
 		return 80 * time.Millisecond
@@ -73,32 +74,32 @@
 		now = now.Add(10 * time.Millisecond)
 		r.Review(now)
 		for i := range 9 {
-			r.servers[id(i)].reported = now
+			r.servers[id(i)].reportedAt = now
 		}
 		d := r.answer(now, Query{Model: "m"}, took)
 		sent[d.Server]++
 		reasons[d.Reason]++
 	}
-	is.True(sent[id(3)] < 40) // of some 220 that were its share
+	is.True(sent[id(3)] < 40) // Its equal share would be about 220.
 	is.True(reasons[Probe] > 0)
-	limps = false
+	slow = false
 	for range 8000 {
 		now = now.Add(10 * time.Millisecond)
 		r.Review(now)
 		for i := range 9 {
-			r.servers[id(i)].reported = now
+			r.servers[id(i)].reportedAt = now
 		}
 		sent[r.answer(now, Query{Model: "m"}, took).Server]++
 	}
-	is.True(sent[id(3)] > 200) // back in its share
+	is.True(sent[id(3)] > 200) // It gets its share again.
 }
 
-// A backend server accepts requests and never answers: no error ever comes, and its
-// requests in flight look like those of a busy one. Silence against peers that go
-// on answering takes it out. Seen failing with the rule on silence left out.
-func TestSilentBackendServerIsTakenOut(t *testing.T) {
+// A backend server accepts requests and never responds. It returns no error, and its in-flight
+// requests look like those of a busy server, so that only its silence shows the fault. Fails
+// without the rule on silence in isOutlier.
+func TestSilentBackendServerIsEjected(t *testing.T) {
 	is := is.New(t)
-	r := fleet(4, "m")
+	r := newTestRouter(4, "m")
 	now := start
 	lost := 0
 	for range 1000 {
@@ -114,24 +115,24 @@
 		r.FirstToken(now, d.Server, 80*time.Millisecond, 100)
 		r.Done(now, d.Server, End{Answered: true})
 	}
-	is.True(lost <= firstWindow)
-	is.True(r.servers[id(0)].health.out)
+	is.True(lost <= initialWindow)
+	is.True(r.servers[id(0)].health.ejected)
 }
 
-// Four of nine backend servers fail, because a link does, or the one with the only
-// copy of a model. Taking out all of them would shed their load on the rest, and
-// would leave nobody to answer for the single one. Seen failing with
-// largestShareOut at 1 and with lastResort giving up.
-func TestNeverTakesOutTooManyNorTheLastCopy(t *testing.T) {
+// Several of nine backend servers fail, for instance with a network link, and among them the
+// only one with a copy of a model. Ejecting all of them would move their load to the rest and
+// leave no server for that model. Fails with maxEjectedShare at 1, and if lastResort never
+// returns a server.
+func TestEjectionKeepsEnoughServersAndLastCopy(t *testing.T) {
 	for _, failing := range []int{1, 4, 9} {
 		is := is.New(t)
-		r := fleet(9, "m")
+		r := newTestRouter(9, "m")
 		r.Report(start, report(0, "m", "single"))
 		now := start
 		for i := range 3000 {
 			now = now.Add(10 * time.Millisecond)
 			for i := range 9 {
-				r.servers[id(i)].reported = now
+				r.servers[id(i)].reportedAt = now
 			}
 			r.Review(now)
 			q := Query{Model: "m"}
@@ -149,7 +150,7 @@
 		}
 		out := 0
 		for _, s := range r.list {
-			if s.health.out {
+			if s.health.ejected {
 				out++
 			}
 		}
@@ -158,9 +159,9 @@
 	}
 }
 
-func TestLeavingAndExcludedGetNothing(t *testing.T) {
+func TestLeavingAndExcludedGetNoRequests(t *testing.T) {
 	is := is.New(t)
-	r := fleet(3, "m")
+	r := newTestRouter(3, "m")
 	r.SetServers(start, []Server{{ID: id(0), Leaving: true}, {ID: id(1)}, {ID: id(2)}})
 	for range 100 {
 		d, ok := r.Choose(start, Query{Model: "m", Exclude: []galenastair.BackendServerID{id(2)}})
@@ -174,14 +175,14 @@
 	is.True(!ok)
 }
 
-// The only backend server of a model begins to leave. For two seconds, while another
-// copy is being loaded, its callers are still served there; then it gets nothing new.
-// Seen failing with mayServeLast always false and always true.
-func TestOnlyCopyServesWhileItBeginsToLeave(t *testing.T) {
+// The only backend server with a model begins to leave. It must serve requests for that model
+// for two more seconds, while another copy is loaded, and get no new ones afterwards. Fails if
+// inLeavingGrace always returns the same value.
+func TestLeavingOnlyCopyServesDuringGrace(t *testing.T) {
 	is := is.New(t)
-	r := fleet(2, "m")
+	r := newTestRouter(2, "m")
 	r.Report(start, report(0, "m", "only"))
-	for _, leaves := range []time.Duration{0, time.Second} { // listed again and again
+	for _, leaves := range []time.Duration{0, time.Second} { // It is listed repeatedly.
 		r.SetServers(start.Add(leaves), []Server{{ID: id(0), Leaving: true}, {ID: id(1)}})
 	}
 	for at, want := range map[time.Duration]bool{0: true, leavingGrace - 1: true, leavingGrace: false, time.Minute: false} {
@@ -194,12 +195,12 @@
 	}
 }
 
-// Conversations with one template come back to the backend server that has it
-// cached, but a hot template must not pile up there while others idle. Seen failing
-// with affinityBound at 1,000 and, the other way, with affinity left out.
+// Requests with a cached prompt prefix return to the backend server that has it cached, but a
+// popular template must not queue there while other servers idle. Fails with
+// affinityLoadFactor at 1,000 and without affinity.
 func TestAffinityIsBoundedByLoad(t *testing.T) {
 	is := is.New(t)
-	r := fleet(4, "m")
+	r := newTestRouter(4, "m")
 	prompt := bytes.Repeat([]byte("Today we played in the garden. "), 40)
 	q := Query{Model: "m", Prefix: Prefix("m", prompt)}
 	first := r.answer(start, q, func(galenastair.BackendServerID) time.Duration { return time.Millisecond })
@@ -216,11 +217,11 @@
 		r.Sent(start, d.Server, q.Prefix)
 	}
 	for _, s := range r.list {
-		is.True(s.inFlight <= 15) // affinityBound of the mean, and the slack
+		is.True(s.inFlight <= 15) // affinityLoadFactor times the mean plus affinitySlack
 	}
 }
 
-func TestPrefixSharesTheCommonBeginning(t *testing.T) {
+func TestPrefixHashesShareCommonPrefix(t *testing.T) {
 	is := is.New(t)
 	a := append(bytes.Repeat([]byte("a"), 600), bytes.Repeat([]byte("b"), 600)...)
 	b := append(bytes.Repeat([]byte("a"), 600), bytes.Repeat([]byte("c"), 600)...)
@@ -231,34 +232,34 @@
 	is.True(Prefix("n", a)[0] != x[0])
 }
 
-// Cache events that say "dropped" take the affinity away; the index stays bounded
-// whatever the prompts are.
-func TestIndexForgets(t *testing.T) {
+// An eviction event removes the affinity, and the size of the index is bounded for any number
+// of prompts.
+func TestIndexEvictsPrefixes(t *testing.T) {
 	is := is.New(t)
-	r := fleet(2, "m")
+	r := newTestRouter(2, "m")
 	r.CacheEvents(id(0), []galenastair.CacheEvent{{Model: "m", Prefix: 7}})
 	_, n := r.index.longest([]uint64{7})
 	is.Equal(n, 1)
 	r.CacheEvents(id(0), []galenastair.CacheEvent{{Model: "m", Prefix: 7, Dropped: true}})
 	_, n = r.index.longest([]uint64{7})
 	is.Equal(n, 0)
-	for h := range uint64(3 * indexGeneration) {
+	for h := range uint64(3 * maxGenerationSize) {
 		r.index.add(h, r.list[0])
 	}
-	is.True(len(r.index.young)+len(r.index.old) <= 2*indexGeneration)
+	is.True(len(r.index.currentGeneration)+len(r.index.previousGeneration) <= 2*maxGenerationSize)
 }
 
-// A backend server reads long prompts while its peers idle: its first tokens take ten
-// times as long, its tokens come in time. Taking it out would throw its load on others
-// and serve everybody worse. Seen failing with slowFirst at a tenth.
-func TestBusyBackendServerStays(t *testing.T) {
+// A backend server processes long prompts while its peers idle: its first tokens take ten times
+// as long, but the following ones arrive in time. Ejecting it would move its load to the others
+// and slow all requests. Fails with minSlowFirstToken at a tenth of its value.
+func TestBusyBackendServerIsNotEjected(t *testing.T) {
 	is := is.New(t)
-	r := fleet(9, "m")
+	r := newTestRouter(9, "m")
 	now := start
 	for i := range 2000 {
 		now = now.Add(10 * time.Millisecond)
 		for i := range 9 {
-			r.servers[id(i)].reported = now
+			r.servers[id(i)].reportedAt = now
 		}
 		r.Review(now)
 		is.Equal(len(r.Slow()), 0)
@@ -270,24 +271,25 @@
 		r.Sent(now, s, nil)
 		r.FirstToken(now, s, first, 100)
 		r.Done(now, s, End{Answered: true, Gap: 50 * time.Millisecond})
-		is.True(!r.servers[id(3)].health.out)
+		is.True(!r.servers[id(3)].health.ejected)
 	}
 }
 
-// A backend server crashes twice and comes back empty. It could be tried only by a request for
-// something that it holds, and was given nothing to hold while it had not been tried.
-func TestEmptyBackendServerIsNotSlowForGood(t *testing.T) {
+// A backend server crashes twice and restarts without models. It can be probed only by a
+// request for a loaded model, and no model is loaded there while it counts as unhealthy.
+// It must therefore not count as unhealthy after its ejection time.
+func TestEmptyBackendServerIsNotUnhealthyForever(t *testing.T) {
 	is := is.New(t)
-	r := fleet(4, "m")
+	r := newTestRouter(4, "m")
 	now := start
 	report := func(models ...galenastair.LoadedWeight) {
 		for i := range 4 {
-			r.servers[id(i)].reported = now
+			r.servers[id(i)].reportedAt = now
 		}
 		r.Report(now, galenastair.EngineReport{BackendServer: id(1), Loaded: models})
 	}
 	fail := func() {
-		for range failuresOut {
+		for range maxConsecutiveFailures {
 			r.Sent(now, id(1), nil)
 			r.Done(now, id(1), End{Failed: true})
 		}
@@ -295,17 +297,17 @@
 		r.Review(now)
 	}
 	fail()
-	is.True(r.servers[id(1)].health.out)
-	now = now.Add(firstRest + time.Second)
-	r.servers[id(1)].health.putBack()
+	is.True(r.servers[id(1)].health.ejected)
+	now = now.Add(baseEjectionTime + time.Second)
+	r.servers[id(1)].health.uneject()
 	fail()
 	is.Equal(r.Slow(), []galenastair.BackendServerID{id(1)})
 	report()
-	now = now.Add(2*firstRest + time.Second)
+	now = now.Add(2*baseEjectionTime + time.Second)
 	report()
 	r.Review(now)
 	is.Equal(len(r.Slow()), 0)
-	// it holds a copy again, and is tried before more is put there
+	// With a copy loaded it is unhealthy again until a probe succeeds.
 	report(galenastair.LoadedWeight{Weight: galenastair.Weight{Name: "m"}, State: galenastair.Ready})
 	is.Equal(r.Slow(), []galenastair.BackendServerID{id(1)})
 	r.servers[id(1)].health.probing = true
--- a/route/server.go
+++ b/route/server.go
@@ -7,7 +7,7 @@
 	"galenastair"
 )
 
-// Server is a backend server as the router is told of it.
+// Server is a backend server as listed by the platform.
 type Server struct {
 	ID               galenastair.BackendServerID
 	Address          string
@@ -15,46 +15,48 @@
 	Leaving          bool
 }
 
-// reportMemory is how fast a report loses weight against own in-flight requests.
-// Reports lag by a second or two and a request takes some seconds, so after this
-// time most of what the report counted has changed.
-const reportMemory = 4 * time.Second
+// reportDecay is the time constant by which the weight of a report decays against own
+// in-flight requests. Reports lag by one or two seconds and a request takes a few seconds, so
+// after this time most of the reported requests have ended.
+const reportDecay = 4 * time.Second
 
-// server is what the router keeps of one backend server.
+// server is the router's state of one backend server.
 type server struct {
 	Server
 	window   window
 	health   health
 	inFlight int
-	// others is the load that the last report showed beyond our own requests.
-	others   float64
-	reported time.Time
-	loaded   []galenastair.ModelName
-	// leaves is when the list first showed that it leaves.
-	leaves time.Time
+	// otherLoad is the load in the last report beyond this instance's own requests.
+	otherLoad  float64
+	reportedAt time.Time
+	loaded     []galenastair.ModelName
+	// leavingSince is when the server was first listed as leaving.
+	leavingSince time.Time
 }
 
-// leavingGrace is how long a leaving backend server still gets new work for a model
-// that has no other copy: the leader needs some seconds to load one elsewhere, and
-// the requests that wait for it (dispatch.copyGrace) cover the rest. It stays below
-// the three seconds after which a leaving backend server may get nothing new.
+// leavingGrace is how long a leaving backend server still gets new requests for a model that
+// has no other copy. The leader needs a few seconds to load one on another engine; after
+// leavingGrace, requests wait for it (see noCopyTimeout in package dispatch). It is shorter
+// than the three seconds after which a leaving backend server may get no new request.
 const leavingGrace = 2 * time.Second
 
-// mayServeLast says whether a leaving backend server may still get work for its only copies.
-func (s *server) mayServeLast(now time.Time) bool {
-	return s.Leaving && now.Sub(s.leaves) < leavingGrace
+// inLeavingGrace reports whether a leaving backend server may still get requests for models
+// that have no other copy.
+func (s *server) inLeavingGrace(now time.Time) bool {
+	return s.Leaving && now.Sub(s.leavingSince) < leavingGrace
 }
 
-// load estimates the requests that a new one would share the backend server with.
+// load estimates the number of requests that the backend server runs.
 func (s *server) load(now time.Time) float64 {
-	age := now.Sub(s.reported)
-	return float64(s.inFlight) + s.others*math.Exp(-float64(age)/float64(reportMemory))
+	age := now.Sub(s.reportedAt)
+	return float64(s.inFlight) + s.otherLoad*math.Exp(-float64(age)/float64(reportDecay))
 }
 
-// room says whether one more request may go there; entitled ones may go beyond the window.
-func (s *server) room(entitled bool) bool {
+// hasCapacity reports whether one more request may be sent there. Entitled requests may use
+// the reserved slots beyond the window.
+func (s *server) hasCapacity(entitled bool) bool {
 	if entitled {
-		return s.inFlight < s.window.size()+s.window.kept()
+		return s.inFlight < s.window.size()+s.window.reserved()
 	}
 	return s.inFlight < s.window.size()
 }
--- a/route/window.go
+++ b/route/window.go
@@ -7,118 +7,120 @@
 )
 
 const (
-	// firstWindow is what an entry has in flight at a backend server that it
-	// knows nothing of: with 9 entries it fills a batch of some 32 together.
-	firstWindow = 4
-	// largestWindow bounds the window of a backend server that never reports a
-	// queue, beyond any batch that a present engine runs.
-	largestWindow = 2048
-	// windowStep is the additive growth for a report that shows no queue.
-	windowStep = 1
-	// windowCut is the multiplicative cut for one that does. Entries share each
-	// backend server without knowing of one another; adding and multiplying is
-	// what makes their windows meet at equal shares.
-	windowCut = 0.8
-	// queueFactor is how many times the usual time of a first token still says
-	// that the request did not queue in the engine.
-	queueFactor = 2
-	// joining is how many more may wait while a window still opens for the first
-	// time: requests that came since the engine's last step, some 50 ms ago, are no
-	// queue, and to take them for one would end the opening at a handful of slots.
-	joining = 4
-	// queueTolerance is how much of the running batch may wait in the engine: a
-	// few keep it busy between two reports, more would wait in an order that no
-	// entry's fair queue has a say in.
+	// initialWindow is the number of requests that an instance may have in flight at a backend
+	// server without any measurement. With 9 instances, this fills a batch of about 32.
+	initialWindow = 4
+	// maxWindow bounds the window of a backend server that never reports a queue. It is larger
+	// than the batch of any current engine.
+	maxWindow = 2048
+	// windowIncrease is the additive increase for a report without a queue.
+	windowIncrease = 1
+	// windowDecrease is the multiplicative decrease for a report with a queue. Instances share
+	// each backend server without knowing of each other, and additive increase with
+	// multiplicative decrease makes their windows converge to equal shares.
+	windowDecrease = 0.8
+	// queuedFirstTokenFactor is the multiple of the nominal time to the first token above which
+	// a request is taken to have queued in the engine.
+	queuedFirstTokenFactor = 2
+	// slowStartTolerance is the number of additional waiting requests that are tolerated until
+	// the window is first decreased. Requests that arrived since the engine's last step, about
+	// 50 ms ago, are no queue, and treating them as one would end the fast growth at a few slots.
+	slowStartTolerance = 4
+	// queueTolerance is the share of the running batch that may wait in the engine. A few
+	// waiting requests keep the engine busy between two reports. More would wait in an order
+	// that the fair queues of the instances cannot influence.
 	queueTolerance = 0.1
 )
 
-// gapTarget is the time between tokens above which a window is cut. The callers
-// are promised 64 ms; an engine's step grows with its batch, so the batch stops
-// growing a little before.
-const gapTarget = 58 * time.Millisecond
+// interTokenLatencyTarget is the time between tokens above which the window is decreased.
+// Callers are promised 64 ms. The duration of an engine step grows with the batch, so the
+// batch must stop growing a little before.
+const interTokenLatencyTarget = 58 * time.Millisecond
 
-// gapEasy is the time between tokens below which a batch is far from too large.
-const gapEasy = 40 * time.Millisecond
+// growthInterTokenLatency is the time between tokens up to which first tokens may increase the
+// window, as the batch is far from too large.
+const growthInterTokenLatency = 40 * time.Millisecond
 
-// window bounds an entry's own requests at one backend server. It is made for
-// several entries sending more than an engine can batch: what is beyond waits in
-// the entries, where it can be ordered fairly, refused and moved, and not in the
-// engine, where it can't.
+// window is an adaptive limit on the requests that an instance has in flight at one backend
+// server, with additive increase and multiplicative decrease. If several instances send more
+// than an engine can batch, the excess waits in the instances, where it can be ordered
+// fairly, refused or sent to another server. In the queue of an engine it can't.
 type window struct {
 	limit float64
-	used  bool
-	// full says that the window was used up since the last first token.
-	full bool
-	// settled says that the window was cut once: it has been near its right size.
-	settled bool
+	// usedUp reports whether the window was used up since the last report.
+	usedUp bool
+	// exhausted reports whether the window was used up since the last first token.
+	exhausted bool
+	// congestionSeen reports whether the window was ever decreased, so that its size has been
+	// near the capacity of the backend server.
+	congestionSeen bool
 }
 
 func (w *window) size() int { return max(1, int(w.limit)) }
 
-// keptShare is the part of the window that organisations within their share may use
-// beyond it. A slot in a window is held for a whole answer, seconds long: without
-// this a request that is first in turn waits for one of the few slots that its entry
-// has at the one or two copies of its model. In the engine it waits for the slots of
-// all entries together, and the engine's priority puts it first there.
-const keptShare = 0.5
+// reservedShare is the number of slots beyond the window, relative to its size, that are
+// reserved for organisations within their share. A slot is held for a whole response, several
+// seconds. Without the reserve, the first request in the queue would wait for one of the few
+// slots of its instance at the one or two copies of its model. In the engine it waits for the
+// slots of all instances together, and its priority places it first.
+const reservedShare = 0.5
 
-func (w *window) kept() int { return max(1, int(keptShare*w.limit)) }
+func (w *window) reserved() int { return max(1, int(reservedShare*w.limit)) }
 
-// note tells the window that a request was sent with so many in flight.
-func (w *window) note(inFlight int) {
+// recordSent records that a request was sent; inFlight includes it.
+func (w *window) recordSent(inFlight int) {
 	if inFlight >= w.size()-1 {
-		w.used = true
-		w.full = true
+		w.usedUp = true
+		w.exhausted = true
 	}
 }
 
-// follow adapts the window to a report. It grows only when it was used, else an
-// idle hour would leave it wide open for the next burst.
-func (w *window) follow(r galenastair.EngineReport) {
+// applyReport adapts the window to a report. The window grows only if it was used up;
+// otherwise it would be at its maximum after an idle hour when the next burst arrives.
+func (w *window) applyReport(r galenastair.EngineReport) {
 	tolerated := 1 + queueTolerance*float64(r.Running)
-	if !w.settled {
-		tolerated += joining
+	if !w.congestionSeen {
+		tolerated += slowStartTolerance
 	}
 	switch {
 	case float64(r.Waiting) > tolerated:
-		w.cut()
-	case w.used:
-		w.limit = min(largestWindow, w.limit+windowStep)
+		w.decrease()
+	case w.usedUp:
+		w.limit = min(maxWindow, w.limit+windowIncrease)
 	}
-	w.used = false
+	w.usedUp = false
 }
 
-// gap adapts the window to the time between the tokens of one answer.
-func (w *window) gap(between time.Duration) {
-	if between > gapTarget {
-		w.limit = max(1, w.limit-windowStep)
+// applyInterTokenLatency adapts the window to the time between the tokens of one response.
+func (w *window) applyInterTokenLatency(between time.Duration) {
+	if between > interTokenLatencyTarget {
+		w.limit = max(1, w.limit-windowIncrease)
 	}
 }
 
-func (w *window) cut() {
-	w.settled = true
-	w.limit = max(1, w.limit*windowCut)
+func (w *window) decrease() {
+	w.congestionSeen = true
+	w.limit = max(1, w.limit*windowDecrease)
 }
 
-// firstToken opens a window that is used up when a first token came without a
-// queue in the engine.
+// applyFirstToken increases a window that is used up if a first token arrived without queueing
+// in the engine.
 //
-// It is made for many short answers at one entry. Reports come each 2 s at today's
-// size and each 7 s at the target, as the budget for control allows: by them alone
-// a window opened by one slot in that time, and an entry that was sent 1,000
-// requests a second let most wait for 250 ms and refused one in eight beside an
-// idle engine (make bench). Before the first cut it doubles within the time of one
-// answer, afterwards it grows by one slot in that time. Near the time between
-// tokens that callers are promised only reports open it: a batch that is too large
-// shows in answers that end seconds later.
-func (w *window) firstToken(took, usual, gap time.Duration) {
-	if !w.full || took > queueFactor*usual || gap > gapEasy {
+// Reports arrive every 2 s at the current fleet size and every 7 s at the target size, as the
+// budget for control traffic allows. With reports alone the window grew by one slot in that
+// time: at 1,000 short requests per second, an instance made most of them wait for 250 ms and
+// refused one in eight while the engine was idle. Until its first decrease the window doubles
+// within the time of one response; after it, the window grows by one slot in that time. Above
+// growthInterTokenLatency only reports increase the window, because a batch that is too large
+// shows only in responses that end seconds later.
+func (w *window) applyFirstToken(took, usual, gap time.Duration) {
+	if !w.exhausted || took > queuedFirstTokenFactor*usual || gap > growthInterTokenLatency {
 		return
 	}
-	w.full = false
+	w.exhausted = false
 	step := 1.0
-	if w.settled {
-		step = windowStep / w.limit
+	if w.congestionSeen {
+		step = windowIncrease / w.limit
 	}
-	w.limit = min(largestWindow, w.limit+step)
+	w.limit = min(maxWindow, w.limit+step)
 }
