--- a/account/accounts.go
+++ b/account/accounts.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// HasLimit reports whether an organisation has a quota.
+// HasQuota reports whether an organisation has a quota.
 func (a *Accounts) Limited(o galenastair.Organisation) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -85,7 +85,7 @@
 	s.refuseAll(now, m.queue.Push(now, it))
 	s.dispatchModel(now, m)
 	if t.state == queued && it.Entitled {
-		s.dispatchEntitled(now, m, t)
+		s.dispatchWithinShare(now, m, t)
 	}
 	if len(s.tickets) > maxQueuedRequests {
 		s.shed(now)
@@ -143,9 +143,9 @@
 	}
 }
 
-// dispatchEntitled sends a request of an organisation within its share, if need be beyond
+// dispatchWithinShare sends a request of an organisation within its share, if need be beyond
 // the window of the backend server.
-func (s *Core) dispatchEntitled(now time.Time, m *modelState, t *Ticket) {
+func (s *Core) dispatchWithinShare(now time.Time, m *modelState, t *Ticket) {
 	q := t.Request.query()
 	q.Entitled = true
 	if d, ok := s.router.Choose(now, q); ok {
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -218,7 +218,7 @@
 // One organisation floods many models and has few requests waiting in each queue. By the
 // levels of the queues alone, its requests would reach the engines with the same priority as
 // those of the others, which would wait behind them there. Fails if priority returns the
-// level of the queue and, for the grant beyond the window, without dispatchEntitled.
+// level of the queue and, for the grant beyond the window, without dispatchWithinShare.
 func TestFloodOverManyModelsHasLowerPriority(t *testing.T) {
 	is := is.New(t)
 	var models []galenastair.ModelName
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -151,7 +151,7 @@
 	d.deliver()
 }
 
-// Report applies an engine's report of its state.
+// ApplyReport applies an engine's report of its state.
 func (d *Dispatcher) Report(r galenastair.EngineReport) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/dispatch/flight.go
+++ b/dispatch/flight.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// Report applies an engine's report of its state, and uses the capacity that it shows.
+// ApplyReport applies an engine's report of its state, and uses the capacity that it shows.
 func (s *Core) Report(now time.Time, r galenastair.EngineReport) {
 	s.router.Report(now, r)
 	s.router.Review(now)
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -31,7 +31,7 @@
 		return err
 	}
 	now := r.g.clock.Now()
-	flight := r.g.pool.Begin(now, choice.ID, r.poolQuery())
+	attempt := r.g.pool.Begin(now, choice.ID, r.poolQuery())
 	r.tried = append(r.tried, choice.ID)
 	r.sends++
 	r.g.logger.Log("event", "route", "request", r.req.ID, "server", choice.ID, "zone", choice.AvailabilityZone, "reason", choice.Reason,
@@ -42,25 +42,25 @@
 	defer stop()
 	resp, err := r.g.backend.Call(ctx, choice.Address, r.backendCall(choice, now))
 	if err != nil {
-		return r.handleFailure(ctx, flight, err)
+		return r.handleFailure(ctx, attempt, err)
 	}
 	defer resp.Body.Close()
 	if resp.Limit > 0 || !resp.Declined {
 		r.g.pool.NoteLimit(r.g.clock.Now(), choice.ID, resp.Limit, now)
 	}
 	if resp.Declined {
-		return r.handleDecline(flight, choice, resp)
+		return r.handleDecline(attempt, choice, resp)
 	}
 	r.runs++
 	if r.wroteHeader && resp.Status/100 != 2 {
 		// If the error body were forwarded, the caller would take its response for complete.
-		flight.End(r.g.clock.Now(), pool.Erred)
+		attempt.End(r.g.clock.Now(), pool.Erred)
 		return eris.Wrapf(errBackendFailure, "status %d for a resumed stream", resp.Status)
 	}
 	if !r.admission.route.Kind.Streamed() || resp.Status/100 != 2 {
-		return r.forwardResponse(ctx, flight, resp, stop)
+		return r.forwardResponse(ctx, attempt, resp, stop)
 	}
-	return r.forwardStream(ctx, flight, resp, stop)
+	return r.forwardStream(ctx, attempt, resp, stop)
 }
 
 func (r *activeRequest) backendCall(choice pool.Choice, now time.Time) galenastair.BackendCall {
@@ -122,23 +122,23 @@
 
 // handleFailure reports an attempt without a response to the pool, and counts it as a run
 // if the request may have reached the backend server.
-func (r *activeRequest) handleFailure(ctx context.Context, flight *pool.Flight, err error) error {
+func (r *activeRequest) handleFailure(ctx context.Context, attempt *pool.Flight, err error) error {
 	now := r.g.clock.Now()
 	switch {
 	case errors.Is(err, galenastair.ErrAbsent):
-		flight.End(now, pool.Absent)
+		attempt.End(now, pool.Absent)
 		return err
 	case errors.Is(err, galenastair.ErrNotSent):
-		flight.End(now, pool.Failed)
+		attempt.End(now, pool.Failed)
 		return err
 	case errors.Is(err, galenastair.ErrStopping),
 		errors.Is(err, context.Canceled) && !errors.Is(err, galenastair.ErrSilent):
 		r.runs++
-		flight.End(now, pool.Neutral)
+		attempt.End(now, pool.Neutral)
 		return err
 	}
 	r.runs++
-	flight.End(now, pool.Failed)
+	attempt.End(now, pool.Failed)
 	if ctx.Err() == nil && errors.Is(err, galenastair.ErrAnswerCut) {
 		r.g.poison.Stopped(now, r.digest)
 	}
@@ -147,7 +147,7 @@
 
 // handleDecline handles a response that states that the backend server did not run the
 // request.
-func (r *activeRequest) handleDecline(flight *pool.Flight, choice pool.Choice, resp *galenastair.BackendAnswer) error {
+func (r *activeRequest) handleDecline(attempt *pool.Flight, choice pool.Choice, resp *galenastair.BackendAnswer) error {
 	result := pool.Full
 	if resp.Elsewhere {
 		result = pool.Neutral
@@ -155,23 +155,23 @@
 			r.g.pool.RemoveModel(r.g.clock.Now(), choice.ID, r.req.Hints.Model)
 		}
 	}
-	flight.End(r.g.clock.Now(), result)
+	attempt.End(r.g.clock.Now(), result)
 	return eris.Wrapf(galenastair.ErrDeclined, "%s: status %d", choice.ID, resp.Status)
 }
 
 // forwardResponse forwards a response that is no stream. A body of up to maxBufferedBytes
 // is read completely first.
-func (r *activeRequest) forwardResponse(ctx context.Context, flight *pool.Flight, resp *galenastair.BackendAnswer, stop func() bool) error {
+func (r *activeRequest) forwardResponse(ctx context.Context, attempt *pool.Flight, resp *galenastair.BackendAnswer, stop func() bool) error {
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBytes+1))
 	stop()
 	now := r.g.clock.Now()
-	flight.Started(now)
+	attempt.Started(now)
 	if err != nil {
-		return r.handleTruncation(ctx, flight, err)
+		return r.handleTruncation(ctx, attempt, err)
 	}
 	failure := resp.Status >= http.StatusInternalServerError
 	if failure && r.mayRetryFailure() {
-		flight.End(now, pool.Erred)
+		attempt.End(now, pool.Erred)
 		return eris.Wrapf(errBackendFailure, "status %d", resp.Status)
 	}
 	r.firstByteAt, r.status = now, resp.Status
@@ -188,13 +188,13 @@
 		err = r.copyBody(resp.Body)
 	}
 	if err != nil {
-		return r.handleTruncation(ctx, flight, err)
+		return r.handleTruncation(ctx, attempt, err)
 	}
 	result := pool.Succeeded
 	if failure {
 		result = pool.Erred
 	}
-	flight.End(r.g.clock.Now(), result)
+	attempt.End(r.g.clock.Now(), result)
 	r.g.poison.Succeeded(r.digest)
 	return nil
 }
@@ -224,18 +224,18 @@
 }
 
 // handleTruncation reports a response that broke off to the pool.
-func (r *activeRequest) handleTruncation(ctx context.Context, flight *pool.Flight, err error) error {
+func (r *activeRequest) handleTruncation(ctx context.Context, attempt *pool.Flight, err error) error {
 	result := pool.Failed
 	if errors.Is(err, errCallerGone) || ctx.Err() != nil && !errors.Is(context.Cause(ctx), galenastair.ErrSilent) {
 		result = pool.Neutral
 	}
-	flight.End(r.g.clock.Now(), result)
+	attempt.End(r.g.clock.Now(), result)
 	return err
 }
 
 // forwardStream forwards a stream event by event. The caller gets complete events only, so
 // that another backend server can continue the same response after the last one.
-func (r *activeRequest) forwardStream(ctx context.Context, flight *pool.Flight, resp *galenastair.BackendAnswer, stop func() bool) error {
+func (r *activeRequest) forwardStream(ctx context.Context, attempt *pool.Flight, resp *galenastair.BackendAnswer, stop func() bool) error {
 	buf := make([]byte, readBufferBytes)
 	started := false
 	for {
@@ -243,32 +243,32 @@
 		if n > 0 && !started {
 			started = true
 			stop()
-			flight.Started(r.g.clock.Now())
+			attempt.Started(r.g.clock.Now())
 		}
 		if complete := r.events.split(buf[:n]); len(complete) > 0 {
 			if err := r.writeEvents(resp, complete); err != nil {
-				flight.End(r.g.clock.Now(), pool.Neutral)
+				attempt.End(r.g.clock.Now(), pool.Neutral)
 				return errCallerGone
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			return r.finishStream(flight, resp)
+			return r.finishStream(attempt, resp)
 		}
 		if err != nil {
 			r.events.discardPartial()
-			return r.handleTruncation(ctx, flight, err)
+			return r.handleTruncation(ctx, attempt, err)
 		}
 	}
 }
 
-func (r *activeRequest) finishStream(flight *pool.Flight, resp *galenastair.BackendAnswer) error {
+func (r *activeRequest) finishStream(attempt *pool.Flight, resp *galenastair.BackendAnswer) error {
 	now := r.g.clock.Now()
 	if r.events.hasPartial() {
 		r.events.discardPartial()
-		flight.End(now, pool.Failed)
+		attempt.End(now, pool.Failed)
 		return eris.Wrap(galenastair.ErrAnswerCut, "the stream ended inside an event")
 	}
-	flight.End(now, pool.Succeeded)
+	attempt.End(now, pool.Succeeded)
 	r.g.poison.Succeeded(r.digest)
 	if r.wroteHeader {
 		return nil
--- a/gateway/bed_test.go
+++ b/gateway/bed_test.go
@@ -119,13 +119,13 @@
 }
 
 type fakePlacement struct {
-	promise  planner.Promise
-	requests int
+	availability planner.Promise
+	requests     int
 }
 
 func (p *fakePlacement) Need(context.Context, galenastair.ModelName) (planner.Promise, error) {
 	p.requests++
-	return p.promise, nil
+	return p.availability, nil
 }
 func (p *fakePlacement) Asked(galenastair.ModelName, time.Duration) {}
 
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -106,22 +106,22 @@
 	if r.placementRequests > maxPlacementRequests {
 		return galenastair.Refuse(galenastair.ErrNoBackendServer, adapterRetryAfter, "the promised copy is gone")
 	}
-	promise, err := r.g.placement.Need(ctx, name)
+	availability, err := r.g.placement.Need(ctx, name)
 	if err != nil {
 		r.g.logger.Log("event", "need", "request", r.req.ID, "model", name, "err", err)
 		return galenastair.Refuse(galenastair.ErrNoBackendServer, adapterRetryAfter, "the planner could not be reached")
 	}
 	remaining := r.deadline.Sub(r.g.clock.Now())
-	r.g.logger.Log("event", "need", "request", r.req.ID, "model", name, "server", promise.Server, "ready", promise.Ready, "left", remaining)
-	if promise.Server == "" {
-		return galenastair.Refuse(galenastair.ErrNoBackendServer, min(max(minModelRetryAfter, promise.Ready), remaining/3), "no copy is loaded or being loaded")
+	r.g.logger.Log("event", "need", "request", r.req.ID, "model", name, "server", availability.Server, "ready", availability.Ready, "left", remaining)
+	if availability.Server == "" {
+		return galenastair.Refuse(galenastair.ErrNoBackendServer, min(max(minModelRetryAfter, availability.Ready), remaining/3), "no copy is loaded or being loaded")
 	}
-	if promise.Ready > remaining-responseMargin {
-		return galenastair.Refuse(galenastair.ErrNoBackendServer, min(promise.Ready, remaining/3), "the model would be loaded too late")
+	if availability.Ready > remaining-responseMargin {
+		return galenastair.Refuse(galenastair.ErrNoBackendServer, min(availability.Ready, remaining/3), "the model would be loaded too late")
 	}
-	if !timer.Wait(ctx, promise.Ready) {
+	if !timer.Wait(ctx, availability.Ready) {
 		return context.Cause(ctx)
 	}
-	r.g.pool.AddModel(r.g.clock.Now(), promise.Server, name)
+	r.g.pool.AddModel(r.g.clock.Now(), availability.Server, name)
 	return nil
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -34,7 +34,7 @@
 	// Borrow asks for the missing quota. If it is granted, Borrow charges the cost and
 	// returns true.
 	Borrow(ctx context.Context, o galenastair.Organisation, cost float64) bool
-	// Wait returns the time until the organisation has quota for the cost.
+	// RetryAfter returns the time until the organisation has quota for the cost.
 	Wait(o galenastair.Organisation, cost float64) time.Duration
 }
 
@@ -59,7 +59,7 @@
 	// RetrySlack is the number of retries permitted beyond it, over all instances.
 	RetryRatio float64
 	RetrySlack float64
-	// InstanceCount returns the number of instances.
+	// FleetSize returns the number of instances.
 	Fleet func() int
 	// Draining reports whether this instance shuts down within seconds.
 	Closing func() bool
@@ -112,16 +112,16 @@
 func WithRecorder(r Recorder) Option { return func(g *Gateway) { g.recorder = r } }
 
 // New returns a gateway with the given dependencies.
-func New(s Settings, p Ports, opts ...Option) *Gateway {
+func New(s Settings, d Ports, opts ...Option) *Gateway {
 	g := &Gateway{
 		settings:      s,
-		catalogSource: p.Views,
-		pool:          p.Pool,
-		backend:       p.Backend,
-		quota:         p.Quota,
-		placement:     p.Placement,
-		limiter:       p.Limits,
-		poison:        p.Poison,
+		catalogSource: d.Views,
+		pool:          d.Pool,
+		backend:       d.Backend,
+		quota:         d.Quota,
+		placement:     d.Placement,
+		limiter:       d.Limits,
+		poison:        d.Poison,
 		clock:         galenastair.SystemClock{},
 		logger:        log.NewNopLogger(),
 		recorder:      noRecorder{},
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -174,7 +174,7 @@
 func TestKeyIsCheckedAgainBeforeSending(t *testing.T) {
 	is := is.New(t)
 	b := newTestEnv(respond(200, "id: 1\ndata: a\n\n"))
-	b.placement.promise = planner.Promise{Server: "s1", Ready: 50 * time.Millisecond}
+	b.placement.availability = planner.Promise{Server: "s1", Ready: 50 * time.Millisecond}
 	b.gateway.placement = hookedPlacement{b.placement, func() { b.catalogSource.age = maxCatalogAge }}
 	call := testRequest("/stream/1")
 	call.Hints.Model = "m/a1"
@@ -199,7 +199,7 @@
 func TestAdapterIsLoadedOnDemand(t *testing.T) {
 	is := is.New(t)
 	b := newTestEnv(respond(200, "id: 1\ndata: a\n\n"))
-	b.placement.promise = planner.Promise{Server: "s2", Ready: 5 * time.Millisecond}
+	b.placement.availability = planner.Promise{Server: "s2", Ready: 5 * time.Millisecond}
 	call := testRequest("/stream/1")
 	call.Hints.Model = "m/a1"
 	to := &recordedResponse{}
@@ -213,7 +213,7 @@
 func TestModelLoadedTooLateIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	b := newTestEnv()
-	b.placement.promise = planner.Promise{Server: "s2", Ready: 5 * time.Second}
+	b.placement.availability = planner.Promise{Server: "s2", Ready: 5 * time.Second}
 	call := testRequest("/stream/1")
 	call.Hints.Model = "other"
 	begun := time.Now()
@@ -235,7 +235,7 @@
 	call.Hints.Model = "other"
 	b.catalogSource.catalog.Match(call.Host, call.Path).Timeout = time.Minute
 	retry := func(ready, left time.Duration) time.Duration {
-		b.placement.promise = planner.Promise{Ready: ready}
+		b.placement.availability = planner.Promise{Ready: ready}
 		call.Left, call.Received = left, time.Now()
 		_, err := b.gateway.Serve(t.Context(), call, &recordedResponse{})
 		var r *galenastair.Refusal
--- a/gateway/limit_test.go
+++ b/gateway/limit_test.go
@@ -105,7 +105,7 @@
 	is.NoErr(err)
 	b.pool.Set(time.Now(), pool.Server{ID: "s2", Service: "writer", Address: "s2", AvailabilityZone: "z1", Slots: 8})
 	b.limiter.verdicts = []ratelimit.Verdict{{Wait: time.Minute}}
-	b.placement.promise = planner.Promise{Server: "s2"}
+	b.placement.availability = planner.Promise{Server: "s2"}
 	_, _, err = b.serve(t, "/stream/1")
 	is.NoErr(err)
 	is.Equal(b.placement.requests, 1)
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -44,8 +44,8 @@
 // Serve handles one request. A nil error means that w got a complete response. Otherwise
 // the error is a *galenastair.Refusal to be sent to the caller. If wroteHeader is true, the
 // response has begun: it must be aborted instead, so that the caller sees it as truncated.
-func (g *Gateway) Serve(ctx context.Context, c Call, w Sink) (wroteHeader bool, err error) {
-	r := &activeRequest{g: g, req: c, w: w, startedAt: c.Received}
+func (g *Gateway) Serve(ctx context.Context, req Call, w Sink) (wroteHeader bool, err error) {
+	r := &activeRequest{g: g, req: req, w: w, startedAt: req.Received}
 	err = r.serve(ctx)
 	if err != nil {
 		err = r.toRefusal(err)
--- a/lease/elector.go
+++ b/lease/elector.go
@@ -95,7 +95,7 @@
 // WithClock replaces the machine's clock.
 func WithClock(c boottime.Clock) Option { return func(e *Elector) { e.clock = c } }
 
-// WithFleet sets the function that returns the number of instances; 0 means unknown.
+// WithFleetSize sets the function that returns the number of instances; 0 means unknown.
 func WithFleet(fleet func() int) Option { return func(e *Elector) { e.fleet = fleet } }
 
 // WithOnElected sets a callback for the start of each term of this instance.
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -10,7 +10,7 @@
 
 // Timing holds the time limits of a term.
 type Bounds struct {
-	// Lease is how long after sending a renewal its answer allows the leader to act.
+	// LeaseDuration is how long after sending a renewal its answer allows the leader to act.
 	Lease time.Duration
 	// TakeoverDelay is how long a new leader waits before its first order if its predecessor may
 	// not know yet that it was replaced.
@@ -34,12 +34,12 @@
 // replaced at its next renewal, and one whose lease expired has had no contact for most of the
 // TTL. If they do not, a leader may act until the end of its lease.
 func DefaultBounds(minOrderInterval time.Duration, fencesChecked bool) Bounds {
-	b := Bounds{Lease: leaseDuration, TakeoverDelay: leaseDuration + minOrderInterval + orderTransit, TakeoverDelayLapsed: minOrderInterval + orderTransit}
+	t := Bounds{Lease: leaseDuration, TakeoverDelay: leaseDuration + minOrderInterval + orderTransit, TakeoverDelayLapsed: minOrderInterval + orderTransit}
 	if fencesChecked {
-		b.TakeoverDelay = renewPeriod + minOrderInterval + orderTransit
-		b.TakeoverDelayLapsed = max(0, minOrderInterval+orderTransit-(ttl-renewPeriod))
+		t.TakeoverDelay = renewPeriod + minOrderInterval + orderTransit
+		t.TakeoverDelayLapsed = max(0, minOrderInterval+orderTransit-(ttl-renewPeriod))
 	}
-	return b
+	return t
 }
 
 // Predecessor is what is known of the previous leader.
@@ -72,7 +72,7 @@
 }
 
 // New returns a lease that is not held.
-func New(b Bounds) *Lease { return &Lease{timing: b} }
+func New(t Bounds) *Lease { return &Lease{timing: t} }
 
 // HandleRenewal applies the answer to a renewal, or to the write that takes the lease; accepted is
 // its result. It reports whether the term needs a fencing token.
--- a/lease/note.go
+++ b/lease/note.go
@@ -27,7 +27,7 @@
 type Note struct {
 	// Topic is the keyed topic that holds the checkpoint.
 	Topic galenastair.Topic
-	// Data returns the state to store; nil if there is nothing to store yet.
+	// Checkpoint returns the state to store; nil if there is nothing to store yet.
 	Write func() []byte
 	// Stored is called once the state is certainly stored.
 	Written func([]byte)
@@ -38,7 +38,7 @@
 }
 
 // WithCheckpointer sets what is stored on the platform and who reads it.
-func WithNote(n Note) Option { return func(e *Elector) { e.checkpointer = n } }
+func WithNote(c Note) Option { return func(e *Elector) { e.checkpointer = c } }
 
 // checkpointWriter is the state of one term's writes.
 //
@@ -100,23 +100,23 @@
 	if !ok {
 		return
 	}
-	if n := &e.writer; n.producer.Epoch != fence {
-		*n = checkpointWriter{producer: galenastair.Producer{Name: checkpointProducer, Epoch: fence}}
+	if w := &e.writer; w.producer.Epoch != fence {
+		*w = checkpointWriter{producer: galenastair.Producer{Name: checkpointProducer, Epoch: fence}}
 	}
-	n := &e.writer
-	if n.pending == nil {
+	w := &e.writer
+	if w.pending == nil {
 		next := e.checkpointer.Write()
-		if next == nil || bytes.Equal(next, n.stored) {
+		if next == nil || bytes.Equal(next, w.stored) {
 			return
 		}
-		n.pending = next
+		w.pending = next
 	}
-	err := e.store.Put(ctx, e.checkpointer.Topic, checkpointKey, n.pending, n.producer)
-	e.logger.Log("event", "note", "fence", int64(fence), "sequence", n.producer.Sequence, "note", string(n.pending), "err", err)
+	err := e.store.Put(ctx, e.checkpointer.Topic, checkpointKey, w.pending, w.producer)
+	e.logger.Log("event", "note", "fence", int64(fence), "sequence", w.producer.Sequence, "note", string(w.pending), "err", err)
 	if err != nil {
 		return
 	}
-	n.producer.Sequence++
-	n.stored, n.pending = n.pending, nil
-	e.checkpointer.Written(n.stored)
+	w.producer.Sequence++
+	w.stored, w.pending = w.pending, nil
+	e.checkpointer.Written(w.stored)
 }
--- a/peer/planning/client.go
+++ b/peer/planning/client.go
@@ -35,7 +35,7 @@
 	return planningpb.NewPlanningProtobufClient("http://"+address, c.http)
 }
 
-// Exchange tells a report and returns the planner's news.
+// Exchange tells a report and returns the planner's update.
 func (c *Client) Exchange(ctx context.Context, address string, r planner.Report) (planner.News, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -46,10 +46,10 @@
 	if !reply.Holds {
 		return planner.News{}, planner.ErrNotPlanner
 	}
-	return decodeNews(reply), nil
+	return decodeUpdate(reply), nil
 }
 
-// Need asks for a place for a model or adapter.
+// EnsureLoaded asks for a place for a model or adapter.
 func (c *Client) Need(ctx context.Context, address string, name galenastair.ModelName) (planner.Promise, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -91,7 +91,7 @@
 		Loads:        encodeLoads(r.Loads),
 		Limits:       encodeLimits(r.Limits),
 	}
-	encodePassed(out, r.Passed)
+	encodeContribution(out, r.Passed)
 	for _, id := range r.Absent {
 		out.Absent = append(out.Absent, string(id))
 	}
@@ -148,8 +148,8 @@
 	return out
 }
 
-func decodeNews(r *planningpb.ExchangeReply) planner.News {
-	out := planner.News{Lapsed: r.Lapsed, Standing: decodeStanding(r), Loads: decodeKeyedLoads(r), Newest: r.Newest}
+func decodeUpdate(r *planningpb.ExchangeReply) planner.News {
+	out := planner.News{Lapsed: r.Lapsed, Standing: decodeAllocation(r), Loads: decodeKeyedLoads(r), Newest: r.Newest}
 	out.Limits, out.Index = decodeLimits(r.Limits), int(r.Index)
 	for _, l := range r.Loans {
 		out.Loans = append(out.Loans, quota.Ask{Organisation: galenastair.Organisation(l.Organisation), Amount: l.Amount})
--- a/peer/planning/server.go
+++ b/peer/planning/server.go
@@ -43,7 +43,7 @@
 		TableVersion: req.TableVersion,
 		Stopping:     req.Stopping,
 		Seen:         req.Seen,
-		Passed:       decodePassed(req),
+		Passed:       decodeContribution(req),
 		Limits:       decodeLimits(req.Limits),
 		Loads:        decodeLoads(req.Loads),
 		Positions:    make(map[galenastair.Topic]galenastair.Offset, len(req.Positions)),
@@ -71,15 +71,15 @@
 	if err != nil {
 		return nil, err
 	}
-	return encodeNews(news), nil
+	return encodeUpdate(news), nil
 }
 
-func encodeNews(n planner.News) *planningpb.ExchangeReply {
+func encodeUpdate(n planner.News) *planningpb.ExchangeReply {
 	out := &planningpb.ExchangeReply{Holds: true, Lapsed: n.Lapsed, Newest: n.Newest}
 	encodeKeyedLoads(out, n.Loads)
 	out.Limits, out.Index = encodeLimits(n.Limits), uint32(n.Index)
 	out.Renewal, out.RenewalAgeMs = int64(n.Renewal.Offset), uint32(n.Renewal.Age.Milliseconds())
-	encodeStanding(out, n.Standing)
+	encodeAllocation(out, n.Standing)
 	encodeOwners(out, n)
 	for _, l := range n.Loans {
 		out.Loans = append(out.Loans, &planningpb.Loan{Organisation: string(l.Organisation), Amount: l.Amount})
--- a/place/board.go
+++ b/place/board.go
@@ -41,14 +41,14 @@
 // acceptsOrders reports whether the planner may load or unload models there.
 func (s *planServer) acceptsOrders() bool { return s.inService() && !s.Unschedulable && !s.Limited }
 
-// throttledLoadFactor is the load that a unit of work causes on a throttled backend server,
+// rateLimitedLoadFactor is the load that a unit of work causes on a rate-limited backend server,
 // relative to others.
-const throttledLoadFactor = 4
+const rateLimitedLoadFactor = 4
 
 // loadFor returns the load that work causes on the backend server.
 func (s *planServer) loadFor(work float64) float64 {
 	if s.Limited {
-		return throttledLoadFactor * work
+		return rateLimitedLoadFactor * work
 	}
 	return work
 }
--- a/place/input.go
+++ b/place/input.go
@@ -30,9 +30,9 @@
 	ID               galenastair.BackendServerID
 	AvailabilityZone galenastair.AvailabilityZone
 	Leaving          bool
-	// Slow is set when routers avoid the backend server because it does not answer in time.
+	// Unhealthy is set when routers avoid the backend server because it does not answer in time.
 	Slow bool
-	// Throttled is set while the backend server accepts few requests, so that routers choose
+	// RateLimited is set while the backend server accepts few requests, so that routers choose
 	// it last. Its copies keep models reachable and do little work.
 	Limited bool
 	// Unschedulable is set when no order can be sent now; loaded copies keep answering.
@@ -40,7 +40,7 @@
 	// SchedulableSoon is set when the backend server is unschedulable, but probably for less
 	// time than it takes to free memory elsewhere.
 	SchedulableSoon bool
-	// Free is the memory that is neither taken nor reserved for an order.
+	// FreeMemory is the memory that is neither taken nor reserved for an order.
 	Free   galenastair.Bytes
 	Copies []Copy
 	// CachedModels are the models whose weights the backend server holds locally. Loading one
--- a/place/leader.go
+++ b/place/leader.go
@@ -84,9 +84,9 @@
 	stateSince map[galenastair.BackendServerID]time.Time
 	modelWaits map[galenastair.ModelName]modelWait
 	// recordFailedAt is when recording an order last failed.
-	recordFailedAt time.Time
-	slowServers    []galenastair.BackendServerID
-	reportedWork   map[galenastair.InstanceID]map[galenastair.ModelName]float64
+	recordFailedAt   time.Time
+	unhealthyServers []galenastair.BackendServerID
+	reportedWork     map[galenastair.InstanceID]map[galenastair.ModelName]float64
 }
 
 // Option configures a Leader.
@@ -123,15 +123,15 @@
 }
 
 // NewLeader returns a Leader. It sends orders only during Run and while Leadership holds.
-func NewLeader(self galenastair.InstanceID, r galenastair.Region, p Ports, opts ...Option) *Leader {
+func NewLeader(self galenastair.InstanceID, r galenastair.Region, d Ports, opts ...Option) *Leader {
 	l := &Leader{
 		self:          self,
 		stream:        galenastair.ControlStream(r),
-		engine:        p.Engine,
-		log:           p.Log,
-		store:         p.Store,
-		leadership:    p.Duty,
-		loop:          p.Loop,
+		engine:        d.Engine,
+		log:           d.Log,
+		store:         d.Store,
+		leadership:    d.Duty,
+		loop:          d.Loop,
 		clock:         galenastair.SystemClock{},
 		logger:        log.NewNopLogger(),
 		settings:      DefaultSettings(),
@@ -183,18 +183,18 @@
 	})
 }
 
-// SetSlow replaces the list of backend servers that this instance's router finds slow.
+// SetUnhealthy replaces the list of backend servers that this instance's router finds unhealthy.
 func (l *Leader) SetSlow(ctx context.Context, ids []galenastair.BackendServerID) error {
-	return l.loop.Post(ctx, func() { l.slowServers = ids })
+	return l.loop.Post(ctx, func() { l.unhealthyServers = ids })
 }
 
-// ObserveReport sets an engine's report for planning, whichever way it was received. It may be
+// ApplyReport sets an engine's report for planning, whichever way it was received. It may be
 // old, since the engine is asked again before an order.
 func (l *Leader) Report(ctx context.Context, r galenastair.EngineReport) error {
 	return l.loop.Post(ctx, func() { l.reports[r.BackendServer] = r })
 }
 
-// ObserveDemand adds the work per model that an entry has received since it started.
+// RecordDemand adds the work per model that an entry has received since it started.
 func (l *Leader) Demand(ctx context.Context, from galenastair.InstanceID, ds []dispatch.Demand) error {
 	return l.loop.Post(ctx, func() { l.recordDemand(from, ds) })
 }
--- a/place/limited_test.go
+++ b/place/limited_test.go
@@ -9,8 +9,9 @@
 	"galenastair"
 )
 
-// unthrottledCopies counts the ready and loading copies of a model on servers that are not throttled.
-func (f *fleet) unthrottledCopies(name galenastair.ModelName) int {
+// copiesWithoutLimit counts the ready and loading copies of a model on servers that are not
+// rate-limited.
+func (f *fleet) copiesWithoutLimit(name galenastair.ModelName) int {
 	n := 0
 	for _, s := range f.servers {
 		for _, c := range s.Copies {
@@ -22,9 +23,10 @@
 	return n
 }
 
-// Half of the servers are throttled, so callers of their busy models are refused. If all of their
-// models were loaded elsewhere, copies of other models would be evicted and loaded again in turn.
-func TestOnlyBusyModelsOfThrottledServersAreCopied(t *testing.T) {
+// Half of the servers are rate-limited, so callers of their busy models are refused. If all of
+// their models were loaded elsewhere, copies of other models would be evicted and loaded again in
+// turn.
+func TestOnlyBusyModelsOfRateLimitedServersAreCopied(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(4, 8, 0, 3)
 	for i, w := range f.catalogue {
@@ -40,7 +42,7 @@
 	for range 30 {
 		f.runRound(p, time.Second)
 	}
-	is.True(f.unthrottledCopies("m0") > 0)
+	is.True(f.copiesWithoutLimit("m0") > 0)
 	loads := 0
 	for _, s := range f.steps {
 		if s.Kind == galenastair.LoadModel {
@@ -50,6 +52,6 @@
 	}
 	is.True(loads <= 2)
 	for _, w := range f.catalogue {
-		is.True(f.unthrottledCopies(w.Name) > 0 || w.Name == "m4" || w.Name == "m1" || w.Name == "m5")
+		is.True(f.copiesWithoutLimit(w.Name) > 0 || w.Name == "m4" || w.Name == "m1" || w.Name == "m5")
 	}
 }
--- a/place/planner_test.go
+++ b/place/planner_test.go
@@ -202,7 +202,7 @@
 
 // For any demand and any backend servers that leave or return, memory is never overcommitted, no
 // unload makes a model unreachable, and the limits of the weight store hold. The test fails if
-// readyElsewhere or canLoad is always true, or if serverWithRoom ignores Free.
+// readyElsewhere or canLoad is always true, or if serverWithRoom ignores FreeMemory.
 func TestPlansAreSafe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(2, 8).Draw(t, "servers"), rapid.IntRange(2, 16).Draw(t, "models"), rapid.IntRange(0, 2).Draw(t, "adapters"), 50)
--- a/place/round.go
+++ b/place/round.go
@@ -178,7 +178,7 @@
 		ID:               id,
 		AvailabilityZone: l.servers[id].AvailabilityZone,
 		Leaving:          l.servers[id].Leaving,
-		Slow:             slices.Contains(l.slowServers, id),
+		Slow:             slices.Contains(l.unhealthyServers, id),
 		Unschedulable:    !l.canSendOrder(now, id),
 		SchedulableSoon:  l.awaitingFence(now, id),
 	}
--- a/planner/bed_test.go
+++ b/planner/bed_test.go
@@ -267,7 +267,7 @@
 // tokens returns the time in which a simulated engine processes n prompt tokens.
 func tokens(n int) time.Duration { return time.Duration(n) * time.Second / 20400 }
 
-func (h *harness) ask(demands map[galenastair.ModelName]time.Duration) {
+func (h *harness) reportDemand(demands map[galenastair.ModelName]time.Duration) {
 	h.t.Helper()
 	if _, err := h.planner.Exchange(h.t.Context(), Report{Instance: "i", Demands: demands}); err != nil && !errors.Is(err, ErrNotPlanner) {
 		h.t.Fatal(err)
--- a/planner/limits.go
+++ b/planner/limits.go
@@ -7,19 +7,19 @@
 	"galenastair/ratelimit"
 )
 
-// limitTTL is how long a rate limit counts after an answer reported it. Without expiry, an engine
+// limitTTL is how long a rate limit counts after an answer advertised it. Without expiry, an engine
 // that no longer receives requests would keep its limit forever, and no model would be loaded
 // there.
 const limitTTL = 10 * time.Second
 
-// reportedLimit is the latest rate limit that a backend server reported to any instance.
-type reportedLimit struct {
+// advertisedLimit is the latest rate limit that a backend server advertised to any instance.
+type advertisedLimit struct {
 	perSecond float64
 	at        time.Time
 }
 
-// recordLimits records the rate limits that servers reported to one instance.
-func (p *Planner) recordLimits(now time.Time, limits []ratelimit.Limit) {
+// observeLimits records the rate limits that servers advertised to one instance.
+func (p *Planner) observeLimits(now time.Time, limits []ratelimit.Limit) {
 	for _, l := range limits {
 		at, known := now.Add(-l.Age), p.limits[l.Server]
 		if l.Age > limitTTL || at.Before(known.at) {
@@ -28,7 +28,7 @@
 		if known.perSecond != l.PerSecond {
 			p.logger.Log("event", "limit named", "server", l.Server, "limit", l.PerSecond, "before", known.perSecond)
 		}
-		p.limits[l.Server] = reportedLimit{l.PerSecond, at}
+		p.limits[l.Server] = advertisedLimit{l.PerSecond, at}
 	}
 }
 
@@ -45,12 +45,12 @@
 	return out
 }
 
-// isLimited reports whether an engine currently has a rate limit.
-func (s *service) isLimited(e *engine) bool { return s.limits[e.server.ID].perSecond > 0 }
+// isRateLimited reports whether an engine currently has a rate limit.
+func (s *service) isRateLimited(e *engine) bool { return s.limits[e.server.ID].perSecond > 0 }
 
 // preferred reports whether requests go to an engine by default. Others are used only if there is
 // no preferred one.
-func (s *service) preferred(e *engine) bool { return !e.server.Leaving && !s.isLimited(e) }
+func (s *service) preferred(e *engine) bool { return !e.server.Leaving && !s.isRateLimited(e) }
 
 // Admit decides when a request may be sent to a rate-limited server.
 func (p *Planner) Admit(limit ratelimit.Limit, maxWait time.Duration) (ratelimit.Verdict, error) {
--- a/planner/message.go
+++ b/planner/message.go
@@ -27,7 +27,7 @@
 	// Demands is the engine time requested of each model and adapter since the last report.
 	Demands map[galenastair.ModelName]time.Duration
 	Asks    []quota.Ask
-	// ReleasedQuota is the part of the instance's quotas that it leaves to the lender.
+	// QuotaContribution is what the instance leaves to the lender of its fraction of the quotas.
 	Passed quota.Passed
 	// Positions are the offsets up to which it has read the topics of the store.
 	Positions map[galenastair.Topic]galenastair.Offset
@@ -37,7 +37,7 @@
 	Absent []galenastair.BackendServerID
 	// LastChange is the number of the newest placement change received from this planner.
 	Seen int64
-	// Limits are the rate limits that backend servers reported in answers to this instance.
+	// Limits are the rate limits that backend servers advertised in answers to this instance.
 	Limits []ratelimit.Limit
 }
 
@@ -48,8 +48,8 @@
 	Lapsed bool
 	// Renewal is the latest renewal of the answering instance's lease.
 	Renewal lease.Renewal
-	// QuotaStanding is the fleet size and the instance's part of the quotas, as the lender counts
-	// them.
+	// QuotaAllocation is the fleet size and the instance's fraction of the quotas, as the lender
+	// counts them.
 	Standing quota.Standing
 	// Loads is the load of all other instances' requests on each backend server.
 	Loads map[pool.ServerKey]pool.Load
@@ -69,7 +69,7 @@
 	// Tails are the records of the store's topics that the planner has read beyond the instance's
 	// positions.
 	Tails []Tail
-	// Limits are the rate limits that backend servers reported to any instance.
+	// Limits are the rate limits that backend servers advertised to any instance.
 	Limits []ratelimit.Limit
 	// Index is the instance's index in the fleet, from 0.
 	Index int
--- a/planner/need.go
+++ b/planner/need.go
@@ -8,7 +8,7 @@
 	"galenastair/place"
 )
 
-// Need returns where a model or adapter that a request waits for will be available. For an
+// EnsureLoaded returns where a model or adapter that a request waits for will be available. For an
 // adapter, it waits until the engine has accepted the load; for a model, it estimates when the
 // load will be done. Copies that are ready are returned even while the lease cannot be renewed.
 func (p *Planner) Need(ctx context.Context, name galenastair.ModelName) (Promise, error) {
--- a/planner/note.go
+++ b/planner/note.go
@@ -7,44 +7,44 @@
 	"galenastair/quota"
 )
 
-// LeaderState is what a leader stores on the platform for its successors.
+// Checkpoint is what a leader stores on the platform for its successors.
 type Note struct {
 	quota.Note
 	// Table assigns the organisations' accounts to owners, if they have any.
 	account.Table
 }
 
-// SetInheritedState sets the state that a previous leader stored.
-func (p *Planner) SetNote(ctx context.Context, n Note) error {
-	return p.loop.Post(ctx, func() { p.inherited = n })
+// Restore sets the checkpoint that a previous leader stored.
+func (p *Planner) SetNote(ctx context.Context, c Note) error {
+	return p.loop.Post(ctx, func() { p.inherited = c })
 }
 
-// LeaderState returns the state to store. It returns false if this instance does not lead or has
-// not counted the instances yet.
+// Checkpoint returns the checkpoint to store. It returns false if this instance does not lead or
+// has not counted the instances yet.
 func (p *Planner) Note(ctx context.Context) (Note, bool) {
-	var n Note
+	var c Note
 	ok := false
 	err := p.loop.Do(ctx, func() {
 		switch {
 		case !p.leading || !p.lease.Holds():
 		case p.hasOwners:
-			n, ok = p.ownersState()
+			c, ok = p.ownersCheckpoint()
 		default:
-			n.Note, ok = p.lender.Note(p.clock.Now())
+			c.Note, ok = p.lender.Note(p.clock.Now())
 		}
 	})
-	return n, ok && err == nil
+	return c, ok && err == nil
 }
 
-// StateStored records that the platform has stored a state of this term.
-func (p *Planner) Noted(ctx context.Context, n Note) error {
+// CheckpointStored records that the platform has stored a checkpoint of this term.
+func (p *Planner) Noted(ctx context.Context, c Note) error {
 	return p.loop.Post(ctx, func() {
 		switch {
 		case !p.leading:
-		case n.Version != 0:
-			p.ownersStored(n.Table)
+		case c.Version != 0:
+			p.ownersStored(c.Table)
 		default:
-			p.lender.Noted(n.Note)
+			p.lender.Noted(c.Note)
 		}
 	})
 }
--- a/planner/owners.go
+++ b/planner/owners.go
@@ -8,18 +8,18 @@
 
 // maxLendingFleet is the largest fleet whose quotas one instance lends. In a larger one, each
 // organisation has an owner instance: a single instance could not answer all calls, and while
-// there is no lender, the part of each instance would be too small for any request.
+// there is no lender, the fraction of each instance would be too small for any request.
 const maxLendingFleet = 24
 
-// resetOwners initialises the owners of a term from the state of the previous leader.
+// resetOwners initialises the owners of a term from the checkpoint of the previous leader.
 func (p *Planner) resetOwners() {
 	p.assigner.Reset(p.bootClock(), p.inherited.Table)
 	p.hasOwners = p.inherited.Version != 0
 	p.ownersDecided = p.hasOwners || len(p.inherited.Instances) > 0
 }
 
-// decideOwners assigns quotas to owners if the fleet is large when it is first counted. Parts that
-// have been handed out remain valid until all instances restart.
+// decideOwners assigns quotas to owners if the fleet is large when it is first counted. Fractions
+// that have been allocated remain valid until all instances restart.
 func (p *Planner) decideOwners(now time.Time) {
 	if p.ownersDecided || !p.lender.Counted(now) {
 		return
@@ -44,8 +44,8 @@
 	update.Grants = p.assigner.Grants(now, r.Address)
 }
 
-// ownersState returns the owner table to store, or false while no instance can own quotas.
-func (p *Planner) ownersState() (Note, bool) {
+// ownersCheckpoint returns the owner table to store, or false while no instance can own quotas.
+func (p *Planner) ownersCheckpoint() (Note, bool) {
 	table, ok := p.assigner.Next(p.bootClock())
 	return Note{Table: table}, ok
 }
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -20,7 +20,7 @@
 	"galenastair/ratelimit"
 )
 
-// ErrNotPlanner is returned by an instance that does not hold the lease.
+// ErrNotLeader is returned by an instance that does not hold the lease.
 var ErrNotPlanner = eris.New("this instance does not hold the planner lease")
 
 const (
@@ -47,14 +47,14 @@
 
 // Lease reports whether this instance may act as the leader.
 type Lease interface {
-	// OrderFence returns the fencing number for an order sent now, or false if none may be sent.
+	// OrderFence returns the fencing token for an order sent now, or false if none may be sent.
 	Order() (galenastair.Fence, bool)
 	// Holds reports whether this instance holds the lease.
 	Holds() bool
 	// ServesPeers reports whether this instance answers exchanges and lends quota. It does so for
 	// some time after its lease has expired.
 	Hosts() bool
-	// FenceRefused records that an engine has seen a higher fencing number than this one.
+	// FenceRejected records that an engine has seen a higher fencing token than this one.
 	Refused(galenastair.Fence)
 }
 
@@ -80,14 +80,14 @@
 	reports map[galenastair.InstanceID]instanceReport
 	// loads is the sum over all reports.
 	loads   loads
-	limits  map[galenastair.BackendServerID]reportedLimit
+	limits  map[galenastair.BackendServerID]advertisedLimit
 	changes []placementChange
 	// lastChange is the sequence number of the newest entry in changes. It is not reset between
 	// terms.
 	lastChange     int64
 	poisonRequests []poisonReport
 	leading        bool
-	// inherited is the state that the previous leader stored.
+	// inherited is the checkpoint that the previous leader stored.
 	inherited Note
 	// hasOwners reports that the quotas of organisations are assigned to owner instances.
 	// ownersDecided reports that this question is settled for the term.
@@ -119,7 +119,7 @@
 // WithClock replaces the system clock.
 func WithClock(c galenastair.Clock) Option { return func(p *Planner) { p.clock = c } }
 
-// WithOrderHook sets a function that is called with the outcome of each order.
+// WithOrderObserver sets a function that is called with the outcome of each order.
 func WithOrdered(f func(galenastair.OrderKind, place.Reason, string)) Option {
 	return func(p *Planner) { p.onOrder = f }
 }
@@ -141,7 +141,7 @@
 		downAt:    map[galenastair.BackendServerID]time.Time{},
 		lender:    quota.NewLender(t),
 		loads:     loads{},
-		limits:    map[galenastair.BackendServerID]reportedLimit{},
+		limits:    map[galenastair.BackendServerID]advertisedLimit{},
 		limiter:   ratelimit.NewLimiter(),
 		assigner:  account.NewAssigner(),
 		bootClock: boottime.Now,
@@ -339,7 +339,7 @@
 	p.loads.subtract(p.reports[r.Instance].loads)
 	p.reports[r.Instance] = instanceReport{r.Loads, now}
 	p.markDown(now, r.Absent)
-	p.recordLimits(now, r.Limits)
+	p.observeLimits(now, r.Limits)
 	for name, work := range r.Demands {
 		for _, s := range p.services {
 			s.recordDemand(now, name, work)
@@ -386,12 +386,12 @@
 }
 
 // Borrow lends the quota that a single request lacks.
-func (p *Planner) Borrow(ctx context.Context, a quota.Ask) (float64, error) {
+func (p *Planner) Borrow(ctx context.Context, r quota.Ask) (float64, error) {
 	var n float64
 	err := ErrNotPlanner
 	doErr := p.loop.Do(ctx, func() {
 		if p.lease.Hosts() && !p.hasOwners {
-			n, err = p.lender.LendAll(p.clock.Now(), a), nil
+			n, err = p.lender.LendAll(p.clock.Now(), r), nil
 		}
 	})
 	if doErr != nil {
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -32,7 +32,7 @@
 			name := galenastair.ModelName(fmt.Sprintf("m%d", hot))
 			demands := map[galenastair.ModelName]time.Duration{name: tokens(8000), galenastair.ModelName(fmt.Sprintf("m%d", f.rng.IntN(10))): tokens(900)}
 			demands[name+"/a1"] = tokens(2000)
-			h.ask(demands)
+			h.reportDemand(demands)
 			for _, e := range f.fakes {
 				if n%6 == 0 {
 					f.registrations = append(f.registrations, delayedRegistration{f.clock.now.Add(time.Duration(f.rng.IntN(9000)) * time.Millisecond), e.registration()})
@@ -62,7 +62,7 @@
 	is := is.New(t)
 	h := newHarness(t, 1, 4)
 	for range 60 {
-		h.ask(map[galenastair.ModelName]time.Duration{"m0": tokens(12000), "m4": tokens(300), "m7": tokens(300)})
+		h.reportDemand(map[galenastair.ModelName]time.Duration{"m0": tokens(12000), "m4": tokens(300), "m7": tokens(300)})
 		h.step(200 * time.Millisecond)
 		for _, e := range h.fleet.fakes {
 			is.NoErr(h.planner.SetServer(t.Context(), e.registration()))
@@ -235,7 +235,7 @@
 	is.Equal(where.Ready, evictionTime+time.Second)
 }
 
-// An instance without the lease answers with ErrNotPlanner.
+// An instance without the lease answers with ErrNotLeader.
 func TestOnlyTheLeaseHolderAnswers(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, 1, 2)
--- a/planner/site.go
+++ b/planner/site.go
@@ -14,28 +14,28 @@
 	// demandSmoothing is the time constant of the demand forecast. A load takes 2 s, and demand
 	// shifts every 5 to 10 s.
 	demandSmoothing = 2500 * time.Millisecond
-	// minBusyLoad is the utilisation of an engine below which no copy is added to relieve it.
-	// Prompts arrive in bursts; from about a third on, callers start to wait for each other.
-	minBusyLoad = 0.3
-	// maxImbalance is the ratio of an engine's load to the mean load from which a copy is added to
-	// relieve it. Engines that share work evenly differ this much for moments. Where loads are
-	// short, the ratio is the load time divided by shortLoadTime, the length of such a moment,
+	// rebalanceThreshold is the utilisation of an engine below which no copy is added to relieve
+	// it. Prompts arrive in bursts; from about a third on, callers start to wait for each other.
+	rebalanceThreshold = 0.3
+	// maxImbalanceThreshold is the ratio of an engine's load to the mean load from which a copy is
+	// added to relieve it. Engines that share work evenly differ this much for moments. Where loads
+	// are short, the ratio is the load time divided by shortLoadTime, the length of such a moment,
 	// since a copy that is ready that soon helps at once.
-	maxImbalance  = 2
-	shortLoadTime = 3 * time.Second
+	maxImbalanceThreshold = 2
+	shortLoadTime         = 3 * time.Second
 	// minGain is the fraction of the busiest engine's load that a move must take off it.
 	minGain = 0.12
-	// moveCooldown and minCopyAge keep oscillating demand from moving the same copies back and
-	// forth. A load takes 2 to 3 s.
-	moveCooldown = 1200 * time.Millisecond
-	minCopyAge   = 5 * time.Second
-	// evictIdleLoad is the utilisation of an engine from which the only copy of an idle model may
-	// be unloaded. Above 1, demand exceeds what the engine can serve.
-	evictIdleLoad = 1.2
+	// moveCooldown and minCopyLifetime keep oscillating demand from moving the same copies back
+	// and forth. A load takes 2 to 3 s.
+	moveCooldown    = 1200 * time.Millisecond
+	minCopyLifetime = 5 * time.Second
+	// idleEvictionThreshold is the utilisation of an engine from which the only copy of an idle
+	// model may be unloaded. Above 1, demand exceeds what the engine can serve.
+	idleEvictionThreshold = 1.2
 	// minDemand is the utilisation that one request every ten seconds or so causes.
 	minDemand = 0.01
-	// maxReliefsPerRound is greater than 1 because a shift in demand needs several copies at once.
-	maxReliefsPerRound = 3
+	// movesPerRound is greater than 1 because a shift in demand needs several copies at once.
+	movesPerRound = 3
 )
 
 // service holds the engines of one service and their placement plan.
@@ -45,8 +45,8 @@
 	placer   *place.Planner
 	forecast *forecast.Forecast
 	loads    loads
-	// limits holds the rate limits that engines have reported.
-	limits map[galenastair.BackendServerID]reportedLimit
+	// limits holds the rate limits that engines have advertised.
+	limits map[galenastair.BackendServerID]advertisedLimit
 	// leading is set while this instance sends the orders.
 	leading bool
 	// index is set only during a planning round.
@@ -74,14 +74,14 @@
 		LoadsPerSecond: e.LoadsPerSecond,
 		LoadsInFlight:  max(1, int(e.LoadsPerSecond*longest.Seconds())),
 		ServerWork:     1,
-		Busy:           minBusyLoad,
-		Uneven:         min(maxImbalance, longest.Seconds()/shortLoadTime.Seconds()),
+		Busy:           rebalanceThreshold,
+		Uneven:         min(maxImbalanceThreshold, longest.Seconds()/shortLoadTime.Seconds()),
 		Gain:           minGain,
 		Calm:           moveCooldown,
-		Stay:           minCopyAge,
-		ReliefsARound:  maxReliefsPerRound,
+		Stay:           minCopyLifetime,
+		ReliefsARound:  movesPerRound,
 		AskedWork:      minDemand,
-		DropUnasked:    evictIdleLoad,
+		DropUnasked:    idleEvictionThreshold,
 	})
 }
 
@@ -107,7 +107,7 @@
 		ID:               id,
 		AvailabilityZone: e.server.AvailabilityZone,
 		Leaving:          e.server.Leaving,
-		Limited:          s.isLimited(e),
+		Limited:          s.isRateLimited(e),
 		Free:             e.freeMemory(s.modelSet),
 	}
 	in.AtHand = make(map[galenastair.ModelName]bool, len(e.server.AtHand))
--- a/pool/choose.go
+++ b/pool/choose.go
@@ -32,7 +32,7 @@
 	Cached galenastair.Tokens
 	// Candidates is the number of servers that were considered.
 	Candidates int
-	// Limit is the rate limit that the server has reported; its PerSecond is 0 if there is none.
+	// Limit is the rate limit that the server has advertised; its PerSecond is 0 if there is none.
 	Limit ratelimit.Limit
 	// RetryAfter is the time until a server accepts requests again, if all are throttled.
 	Wait   time.Duration
--- a/pool/limit.go
+++ b/pool/limit.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// limitProbeAge is the age of a reported rate limit from which a request may go to the server
+	// limitProbeAge is the age of an advertised rate limit from which a request may go to the server
 	// to find out whether the limit still applies, although other servers would answer sooner.
 	limitProbeAge = 2 * time.Second
 	// clearedLimitTTL is how long other instances are told that a limit has been cleared. It spans
@@ -20,17 +20,17 @@
 	minThrottle = 20 * time.Millisecond
 )
 
-// limit is the latest rate limit that a server reported.
+// limit is the latest rate limit that a server advertised.
 type limit struct {
 	perSecond float64
-	// at is when the limit was reported or cleared; zero if there has never been one.
+	// at is when the limit was advertised or cleared; zero if there has never been one.
 	at time.Time
 	// observed is set if the limit comes from an answer to this instance.
 	observed bool
 }
 
 // ObserveLimit records the rate limit in an answer, 0 for none. The request was sent at the time
-// sent: an answer to a request sent before the limit was reported does not clear it.
+// sent: an answer to a request sent before the limit was advertised does not clear it.
 func (p *Pool) NoteLimit(now time.Time, id galenastair.BackendServerID, perSecond float64, sent time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -44,7 +44,7 @@
 	}
 }
 
-// Limits returns the rate limits that servers have reported in answers to this instance.
+// Limits returns the rate limits that servers have advertised in answers to this instance.
 func (p *Pool) Limits(now time.Time) []ratelimit.Limit {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -62,7 +62,7 @@
 	return ratelimit.Limit{Server: id, PerSecond: l.perSecond, Age: now.Sub(l.at)}
 }
 
-// SetPeerLimits records the rate limits that servers have reported to any instance.
+// SetPeerLimits records the rate limits that servers have advertised to any instance.
 func (p *Pool) SetOthersLimits(now time.Time, limits []ratelimit.Limit) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pool/limit_test.go
+++ b/pool/limit_test.go
@@ -11,7 +11,7 @@
 
 func (p *Pool) limitOfS1() float64 { return p.backends["s1"].limit.perSecond }
 
-// An answer to a request that was sent before the server reported its limit does not clear the
+// An answer to a request that was sent before the server advertised its limit does not clear the
 // limit.
 func TestOlderAnswerDoesNotClearALimit(t *testing.T) {
 	is := is.New(t)
@@ -29,8 +29,8 @@
 	is := is.New(t)
 	p, other := testPool(), testPool()
 	p.NoteLimit(start, "s1", 2, start)
-	reported := p.Limits(start)
-	is.Equal(len(reported), 1)
+	advertised := p.Limits(start)
+	is.Equal(len(advertised), 1)
 	now := start
 	for range 20 {
 		now = now.Add(300 * time.Millisecond)
@@ -43,7 +43,7 @@
 	is.Equal(p.limitOfS1(), 0.0)
 	other.SetOthersLimits(now.Add(time.Millisecond), p.Limits(now))
 	is.Equal(other.limitOfS1(), 0.0)
-	other.SetOthersLimits(now.Add(2*time.Millisecond), reported)
+	other.SetOthersLimits(now.Add(2*time.Millisecond), advertised)
 	is.Equal(other.limitOfS1(), 0.0)
 }
 
--- a/quota/alone.go
+++ b/quota/alone.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// MarkLenderUnavailable records that the lender did not answer or has given up its role, and
+// ReportLenderUnavailable records that the lender did not answer or has given up its role, and
 // starts the fallback at once. Waiting until the loss is certain would refuse every request for a
 // second or two at each change of lender, and the fraction of one instance is small for that time.
 func (b *Share) MissLender(now time.Time) {
--- a/quota/lender.go
+++ b/quota/lender.go
@@ -182,28 +182,28 @@
 
 // Lend returns how much is lent for a request ahead of demand. A negative amount is a returned
 // loan.
-func (l *Lender) Lend(now time.Time, a Ask) float64 {
-	b := l.accounts[a.Organisation]
+func (l *Lender) Lend(now time.Time, r Ask) float64 {
+	b := l.accounts[r.Organisation]
 	if b == nil {
 		return 0
 	}
-	if a.Amount < 0 {
-		b.add(-a.Amount)
-		l.slot(now, b).lent += a.Amount
+	if r.Amount < 0 {
+		b.add(-r.Amount)
+		l.slot(now, b).lent += r.Amount
 		return 0
 	}
-	wants := min(a.Amount, b.level-prefetchReserve*b.capacity)
+	wants := min(r.Amount, b.level-prefetchReserve*b.capacity)
 	n := b.takeUpTo(min(wants, l.available(now, b, wants)))
 	l.slot(now, b).lent += n
 	return n
 }
 
 // LendExact lends the whole amount or nothing, because a partial loan would not cover the request.
-func (l *Lender) LendAll(now time.Time, a Ask) float64 {
-	b := l.accounts[a.Organisation]
-	if b == nil || l.available(now, b, a.Amount) < a.Amount || !b.takeWithDebt(a.Amount, b.maxCost) {
+func (l *Lender) LendAll(now time.Time, r Ask) float64 {
+	b := l.accounts[r.Organisation]
+	if b == nil || l.available(now, b, r.Amount) < r.Amount || !b.takeWithDebt(r.Amount, b.maxCost) {
 		return 0
 	}
-	l.slot(now, b).lent += a.Amount
-	return a.Amount
+	l.slot(now, b).lent += r.Amount
+	return r.Amount
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -96,8 +96,8 @@
 	s := f.borrowers[i]
 	ok := s.Take(f.now, "org", cost)
 	if !ok && !s.Alone() {
-		switch shortfall, ask := s.Lacks(f.now, "org", cost); {
-		case !ask:
+		switch shortfall, mayBorrow := s.Lacks(f.now, "org", cost); {
+		case !mayBorrow:
 		case !reached:
 			s.MissLender(f.now)
 			ok = s.Retake(f.now, "org", cost)
--- a/quota/restart_test.go
+++ b/quota/restart_test.go
@@ -49,8 +49,8 @@
 func TestRestartOfAllRefusesLittle(t *testing.T) {
 	is := is.New(t)
 	const without = 1300 * time.Millisecond
-	refused := restartAll(6, func(n Note) Note { return n }, 40000, 0.5, without)
-	counted := restartAll(6, func(n Note) Note { return Note{Instances: n.Instances} }, 40000, 0.5, without)
+	refused := restartAll(6, func(c Note) Note { return c }, 40000, 0.5, without)
+	counted := restartAll(6, func(c Note) Note { return Note{Instances: c.Instances} }, 40000, 0.5, without)
 	unknown := restartAll(6, func(Note) Note { return Note{} }, 40000, 0.5, without)
 	t.Logf("refused: %.2f; %.2f with the count alone, %.2f with nothing", refused, counted, unknown)
 	is.True(refused < 0.05)
--- a/quota/share.go
+++ b/quota/share.go
@@ -275,7 +275,7 @@
 	a.addLoan(now, amount, loanTTL)
 }
 
-// EstimateWait estimates when an organisation over its quota has room for a request: twice the
+// RetryAfter estimates when an organisation over its quota has room for a request: twice the
 // time in which its rate earns the cost, as other requests probably wait too.
 func (b *Share) Wait(o galenastair.Organisation, cost float64) time.Duration {
 	b.mu.Lock()
--- a/ratelimit/shares.go
+++ b/ratelimit/shares.go
@@ -20,14 +20,14 @@
 }
 
 // FallbackLimiter admits requests by an instance's own fraction of each rate while the leader does
-// not answer. The instances take turns from the time when they lost the leader, and an unused turn
-// expires, so that a fleet of any size saves up no more than a few requests.
+// not answer. The instances take turns from the time when the leader became unreachable, and an
+// unused turn expires, so that a fleet of any size saves up no more than a few requests.
 type Shares struct {
 	rng *rand.Rand
 
 	mu sync.Mutex
-	// leaderLostAt is when the leader stopped answering; zero if it answers.
-	leaderLostAt time.Time
+	// unreachableSince is when the leader stopped answering; zero if it answers.
+	unreachableSince time.Time
 	// nextTurns holds the time of the next turn for each server.
 	nextTurns map[galenastair.BackendServerID]time.Time
 }
@@ -37,52 +37,53 @@
 	return &Shares{rng: rng, nextTurns: map[galenastair.BackendServerID]time.Time{}}
 }
 
-// LeaderLost records that the leader does not answer.
-func (s *Shares) Lost(now time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.leaderLostAt.IsZero() {
-		s.leaderLostAt = now
+// ReportUnreachable records that the leader does not answer.
+func (f *Shares) Lost(now time.Time) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.unreachableSince.IsZero() {
+		f.unreachableSince = now
 	}
 }
 
 // Active reports whether the fallback is in use because the leader does not answer.
-func (s *Shares) Alone() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return !s.leaderLostAt.IsZero()
+func (f *Shares) Alone() bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return !f.unreachableSince.IsZero()
 }
 
-// LeaderAnswered records that the leader answers again.
-func (s *Shares) Answered() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.leaderLostAt = time.Time{}
-	clear(s.nextTurns)
+// ReportAnswer records that the leader answers again.
+func (f *Shares) Answered() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.unreachableSince = time.Time{}
+	clear(f.nextTurns)
 }
 
-// Admit grants a request on this instance's turn; LeaderLost must have been called before.
-func (s *Shares) Admit(now time.Time, limit Limit, place Place) Verdict {
-	if place.Fleet == 0 || limit.PerSecond <= 0 {
+// Admit grants a request on this instance's turn; ReportUnreachable must have been called
+// before.
+func (f *Shares) Admit(now time.Time, limit Limit, position Place) Verdict {
+	if position.Fleet == 0 || limit.PerSecond <= 0 {
 		return Verdict{Wait: time.Second}
 	}
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	turn := seconds(1 / limit.PerSecond)
-	period := time.Duration(place.Fleet) * turn
-	next, ok := s.nextTurns[limit.Server]
+	period := time.Duration(position.Fleet) * turn
+	next, ok := f.nextTurns[limit.Server]
 	if !ok {
-		before := (place.Index + startOffset(limit.Server)) % place.Fleet
-		next = s.leaderLostAt.Add(time.Duration((float64(before) + s.rng.Float64()) * float64(turn)))
+		before := (position.Index + startOffset(limit.Server)) % position.Fleet
+		next = f.unreachableSince.Add(time.Duration((float64(before) + f.rng.Float64()) * float64(turn)))
 	}
 	if missed := now.Sub(next) - maxSavedTurns*turn; missed >= 0 {
 		next = next.Add((missed + period).Truncate(period))
 	}
-	s.nextTurns[limit.Server] = next
+	f.nextTurns[limit.Server] = next
 	if now.Before(next) {
 		return Verdict{Wait: next.Sub(now)}
 	}
-	s.nextTurns[limit.Server] = next.Add(period)
+	f.nextTurns[limit.Server] = next.Add(period)
 	return Verdict{Granted: true}
 }
 
--- a/route/choose.go
+++ b/route/choose.go
@@ -20,7 +20,7 @@
 	Model   galenastair.ModelName
 	Prefix  []uint64
 	Exclude []galenastair.BackendServerID
-	// Entitled permits slots beyond the window, which are reserved for organisations within
+	// WithinShare permits slots beyond the window, which are reserved for organisations within
 	// their share.
 	Entitled bool
 }
--- a/route/flight.go
+++ b/route/flight.go
@@ -44,18 +44,18 @@
 }
 
 // Done records the end of a request.
-func (r *Router) Done(now time.Time, id galenastair.BackendServerID, e End) {
+func (r *Router) Done(now time.Time, id galenastair.BackendServerID, res End) {
 	s := r.servers[id]
 	if s == nil {
 		return
 	}
 	s.inFlight = max(0, s.inFlight-1)
-	if !e.Answered {
+	if !res.Answered {
 		s.health.progress(now)
 	}
-	s.window.applyInterTokenLatency(e.Gap)
-	s.health.addInterTokenLatency(e.Gap)
-	if !e.Failed {
+	s.window.applyInterTokenLatency(res.Gap)
+	s.health.addInterTokenLatency(res.Gap)
+	if !res.Failed {
 		// A probe that its caller cancelled does not show whether the backend server is healthy.
 		s.health.probing = false
 		return
--- a/route/router.go
+++ b/route/router.go
@@ -59,7 +59,7 @@
 	r.list = slices.DeleteFunc(r.list, func(o *server) bool { return o == s })
 }
 
-// Report applies an engine's report of its state.
+// ApplyReport applies an engine's report of its state.
 func (r *Router) Report(now time.Time, rep galenastair.EngineReport) {
 	s := r.servers[rep.BackendServer]
 	if s == nil {
--- a/route/server.go
+++ b/route/server.go
@@ -52,10 +52,10 @@
 	return float64(s.inFlight) + s.otherLoad*math.Exp(-float64(age)/float64(reportDecay))
 }
 
-// hasCapacity reports whether one more request may be sent there. Entitled requests may use
-// the reserved slots beyond the window.
-func (s *server) hasCapacity(entitled bool) bool {
-	if entitled {
+// hasCapacity reports whether one more request may be sent there. Requests of an
+// organisation within its share may use the reserved slots beyond the window.
+func (s *server) hasCapacity(withinShare bool) bool {
+	if withinShare {
 		return s.inFlight < s.window.size()+s.window.reserved()
 	}
 	return s.inFlight < s.window.size()
