--- a/node/servers.go
+++ b/node/servers.go
@@ -161,7 +161,7 @@
 			}
 		}
 	}
-	s.table.MoveTo(b.Next, b.whole)
+	s.table.AdvanceTo(b.Next, b.whole)
 }
 
 // takeChange takes in what another instance knows of a server.
--- a/registry/change.go
+++ b/registry/change.go
@@ -7,30 +7,31 @@
 	"galenastair/pool"
 )
 
-// Change is what changed of one backend server since a position.
+// Change describes what changed in the registration of one backend server since an offset.
 type Change struct {
 	ID galenastair.BackendServerID
-	// Gone says that it is to be forgotten; the rest is empty then.
+	// Deleted reports that the registration was removed; all other fields but ID are unset.
 	Gone bool
-	// Fresh says that it has come since: what was known of it before is void.
+	// Created reports that the registration was created, or created again after a restart of
+	// the server, since the offset. Earlier state of the server has to be discarded.
 	Fresh bool
-	// Identity is all but the models, or nil if that is unchanged.
+	// Attributes holds the registration apart from its models; nil if these fields did not change.
 	Identity *pool.Server
-	// Beat counts what it has registered since its start.
+	// Heartbeat is the number of registrations that the server has sent since its start.
 	Beat int64
-	// Added and Dropped name models, and adapters behind their model and a slash.
+	// Added and Removed contain model names, and adapter names in the form "model/adapter".
 	Added   []galenastair.ModelName
 	Dropped []galenastair.ModelName
 }
 
-// sameIdentity compares what no model is part of.
-func sameIdentity(a, b pool.Server) bool {
+// sameAttributes reports whether two registrations are equal apart from their models and heartbeat.
+func sameAttributes(a, b pool.Server) bool {
 	return a.Service == b.Service && a.Address == b.Address && a.AvailabilityZone == b.AvailabilityZone &&
 		a.Slots == b.Slots && a.Leaving == b.Leaving && a.Born == b.Born
 }
 
-// namesOf lists the models and adapters that a registration names.
-func namesOf(models []galenastair.EngineModel) []galenastair.ModelName {
+// qualifiedNames returns the names of all models, and of all adapters in the form "model/adapter".
+func qualifiedNames(models []galenastair.EngineModel) []galenastair.ModelName {
 	var out []galenastair.ModelName
 	for _, m := range models {
 		out = append(out, m.Name)
@@ -41,19 +42,19 @@
 	return out
 }
 
-// modelsOf is the reverse of namesOf; an adapter without its model is left out.
-func modelsOf(names map[galenastair.ModelName]galenastair.Offset) []galenastair.EngineModel {
+// modelsFromNames is the inverse of qualifiedNames. It omits adapters whose model is missing.
+func modelsFromNames(names map[galenastair.ModelName]galenastair.Offset) []galenastair.EngineModel {
 	var out []galenastair.EngineModel
-	at := map[galenastair.ModelName]int{}
+	index := map[galenastair.ModelName]int{}
 	for name := range names {
 		if !strings.Contains(string(name), "/") {
-			at[name] = len(out)
+			index[name] = len(out)
 			out = append(out, galenastair.EngineModel{Name: name})
 		}
 	}
 	for name := range names {
 		model, adapter, isAdapter := strings.Cut(string(name), "/")
-		if i, ok := at[galenastair.ModelName(model)]; ok && isAdapter {
+		if i, ok := index[galenastair.ModelName(model)]; ok && isAdapter {
 			out[i].Adapters = append(out[i].Adapters, adapter)
 		}
 	}
--- a/registry/table.go
+++ b/registry/table.go
@@ -7,161 +7,165 @@
 	"galenastair/pool"
 )
 
-// remembered is for how many records what was dropped is kept, to tell it to others. An
-// instance further behind reads the store.
-const remembered = 20_000
+// tombstoneRetention is the number of records for which removals are kept so that they can be
+// sent to other instances. An instance that lags further behind reads the store instead.
+const tombstoneRetention = 20_000
 
-// Table is the registrations as one instance knows them.
+// Table holds the registrations that one instance has read. It is safe for concurrent use.
 type Table struct {
-	mu      sync.Mutex
-	entries map[galenastair.BackendServerID]*entry
-	gone    map[galenastair.BackendServerID]galenastair.Offset
-	// next is the offset behind the newest record taken in; what was dropped before floor
-	// is not known.
-	next  galenastair.Offset
-	floor galenastair.Offset
+	mu         sync.Mutex
+	entries    map[galenastair.BackendServerID]*entry
+	tombstones map[galenastair.BackendServerID]galenastair.Offset
+	// next is the offset after the last applied record. Removals before compactOffset are
+	// not known.
+	next          galenastair.Offset
+	compactOffset galenastair.Offset
 }
 
+// entry is the registration of one backend server. Its offsets are those of the records that
+// made the change.
 type entry struct {
-	server pool.Server
-	// created and identity are when the server came and when its identity last changed.
-	created  galenastair.Offset
-	identity galenastair.Offset
-	// last is when anything of it last changed.
-	last    galenastair.Offset
-	names   map[galenastair.ModelName]galenastair.Offset
-	dropped map[galenastair.ModelName]galenastair.Offset
+	server              pool.Server
+	createdAt           galenastair.Offset
+	attributesChangedAt galenastair.Offset
+	// lastChangedAt is the offset of the last change of any kind.
+	lastChangedAt galenastair.Offset
+	// addedAt has the models and adapters that are present, by qualified name, and removedAt
+	// those that were removed.
+	addedAt   map[galenastair.ModelName]galenastair.Offset
+	removedAt map[galenastair.ModelName]galenastair.Offset
 }
 
-// NewTable returns a table without registrations.
+// NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{entries: map[galenastair.BackendServerID]*entry{}, gone: map[galenastair.BackendServerID]galenastair.Offset{}}
+	return &Table{entries: map[galenastair.BackendServerID]*entry{}, tombstones: map[galenastair.BackendServerID]galenastair.Offset{}}
 }
 
-// Set takes in the registration of a record.
+// Set applies a record that contains a registration.
 func (t *Table) Set(at galenastair.Offset, s pool.Server) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	e := t.entryOf(at, s)
-	named := map[galenastair.ModelName]bool{}
-	for _, name := range namesOf(s.Models) {
-		named[name] = true
+	e := t.upsert(at, s)
+	present := map[galenastair.ModelName]bool{}
+	for _, name := range qualifiedNames(s.Models) {
+		present[name] = true
 		e.add(at, name)
 	}
-	for name := range e.names {
-		if !named[name] {
-			e.drop(at, name)
+	for name := range e.addedAt {
+		if !present[name] {
+			e.remove(at, name)
 		}
 	}
 }
 
-// entryOf returns the entry of a server with a new identity taken in; the lock is held. One
-// that has started again holds nothing of before.
-func (t *Table) entryOf(at galenastair.Offset, s pool.Server) *entry {
+// upsert creates the entry of a server or updates its attributes, and returns it. If the server
+// has restarted, its entry is replaced by one without models. The caller holds t.mu.
+func (t *Table) upsert(at galenastair.Offset, s pool.Server) *entry {
 	e := t.entries[s.ID]
 	if e == nil || e.server.Born != s.Born {
-		e = &entry{created: at, identity: at, last: at, names: map[galenastair.ModelName]galenastair.Offset{}, dropped: map[galenastair.ModelName]galenastair.Offset{}}
+		e = &entry{createdAt: at, attributesChangedAt: at, lastChangedAt: at, addedAt: map[galenastair.ModelName]galenastair.Offset{}, removedAt: map[galenastair.ModelName]galenastair.Offset{}}
 		t.entries[s.ID] = e
-		delete(t.gone, s.ID)
-	} else if !sameIdentity(e.server, s) {
-		e.identity, e.last = at, max(e.last, at)
+		delete(t.tombstones, s.ID)
+	} else if !sameAttributes(e.server, s) {
+		e.attributesChangedAt, e.lastChangedAt = at, max(e.lastChangedAt, at)
 	}
 	e.server = s
 	return e
 }
 
 func (e *entry) add(at galenastair.Offset, name galenastair.ModelName) {
-	if _, there := e.names[name]; !there {
-		e.names[name], e.last = at, max(e.last, at)
-		delete(e.dropped, name)
+	if _, present := e.addedAt[name]; !present {
+		e.addedAt[name], e.lastChangedAt = at, max(e.lastChangedAt, at)
+		delete(e.removedAt, name)
 	}
 }
 
-func (e *entry) drop(at galenastair.Offset, name galenastair.ModelName) {
-	if _, there := e.names[name]; there {
-		delete(e.names, name)
-		e.dropped[name], e.last = at, max(e.last, at)
+func (e *entry) remove(at galenastair.Offset, name galenastair.ModelName) {
+	if _, present := e.addedAt[name]; present {
+		delete(e.addedAt, name)
+		e.removedAt[name], e.lastChangedAt = at, max(e.lastChangedAt, at)
 	}
 }
 
-// Remove forgets a server. The offset is that of the record that says so, or where the topic
-// ends by now.
+// Remove deletes the registration of a server. The offset is that of the record that removes
+// it, or the end of the topic if that record is not known.
 func (t *Table) Remove(at galenastair.Offset, id galenastair.BackendServerID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if _, there := t.entries[id]; there {
+	if _, present := t.entries[id]; present {
 		delete(t.entries, id)
-		t.gone[id] = max(at, t.next)
+		t.tombstones[id] = max(at, t.next)
 	}
 }
 
-// MoveTo says that all records before an offset are taken in. What was dropped before the
-// first whole reading is not known.
-func (t *Table) MoveTo(next galenastair.Offset, whole bool) {
+// AdvanceTo reports that all records before next have been applied. If they were read as a
+// snapshot, with only the newest record of each key, removals before it are not known.
+func (t *Table) AdvanceTo(next galenastair.Offset, snapshot bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if whole && (t.next == 0 || next < t.next) {
-		t.floor, t.next = next, next
+	if snapshot && (t.next == 0 || next < t.next) {
+		t.compactOffset, t.next = next, next
 	}
 	t.next = max(t.next, next)
-	if t.next-t.floor > 2*remembered {
-		t.forgetBefore(t.next - remembered)
+	if t.next-t.compactOffset > 2*tombstoneRetention {
+		t.compact(t.next - tombstoneRetention)
 	}
 }
 
-func (t *Table) forgetBefore(floor galenastair.Offset) {
-	t.floor = floor
-	forget(t.gone, floor)
+// compact discards the removals before an offset.
+func (t *Table) compact(offset galenastair.Offset) {
+	t.compactOffset = offset
+	deleteBefore(t.tombstones, offset)
 	for _, e := range t.entries {
-		forget(e.dropped, floor)
+		deleteBefore(e.removedAt, offset)
 	}
 }
 
-func forget[K comparable](dropped map[K]galenastair.Offset, floor galenastair.Offset) {
-	for k, at := range dropped {
-		if at < floor {
-			delete(dropped, k)
+func deleteBefore[K comparable](removedAt map[K]galenastair.Offset, offset galenastair.Offset) {
+	for k, at := range removedAt {
+		if at < offset {
+			delete(removedAt, k)
 		}
 	}
 }
 
-// Since returns what changed from an offset on, and the end to which that goes; false if
-// some of it is not known here.
+// Since returns the changes made by the records from an offset on, and the offset after the
+// last of these records. It returns false if some removals since from have been discarded.
 func (t *Table) Since(from galenastair.Offset) ([]Change, galenastair.Offset, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if from < t.floor {
+	if from < t.compactOffset {
 		return nil, t.next, false
 	}
 	var out []Change
-	for id, at := range t.gone {
+	for id, at := range t.tombstones {
 		if at >= from {
 			out = append(out, Change{ID: id, Gone: true})
 		}
 	}
 	for id, e := range t.entries {
-		if e.last < from {
+		if e.lastChangedAt < from {
 			continue
 		}
-		if c, changed := e.since(id, from); changed {
+		if c, changed := e.changeSince(id, from); changed {
 			out = append(out, c)
 		}
 	}
 	return out, t.next, true
 }
 
-func (e *entry) since(id galenastair.BackendServerID, from galenastair.Offset) (Change, bool) {
-	c := Change{ID: id, Beat: e.server.Beat, Fresh: e.created >= from}
-	if e.identity >= from {
+func (e *entry) changeSince(id galenastair.BackendServerID, from galenastair.Offset) (Change, bool) {
+	c := Change{ID: id, Beat: e.server.Beat, Fresh: e.createdAt >= from}
+	if e.attributesChangedAt >= from {
 		s := e.server
 		c.Identity = &s
 	}
-	for name, at := range e.names {
+	for name, at := range e.addedAt {
 		if at >= from {
 			c.Added = append(c.Added, name)
 		}
 	}
-	for name, at := range e.dropped {
+	for name, at := range e.removedAt {
 		if at >= from {
 			c.Dropped = append(c.Dropped, name)
 		}
@@ -169,8 +173,8 @@
 	return c, c.Identity != nil || len(c.Added)+len(c.Dropped) > 0
 }
 
-// Apply takes in what another instance told of the records before an offset, and returns
-// the registration as it is now; false if the server is unknown here.
+// Apply applies a change that another instance has sent for the records before next, and
+// returns the resulting registration. It returns false if the server is unknown.
 func (t *Table) Apply(c Change, next galenastair.Offset) (pool.Server, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -180,18 +184,18 @@
 	}
 	e := t.entries[c.ID]
 	if c.Identity != nil {
-		e = t.entryOf(at, *c.Identity)
+		e = t.upsert(at, *c.Identity)
 	}
 	if e == nil {
 		return pool.Server{}, false
 	}
 	for _, name := range c.Dropped {
-		e.drop(at, name)
+		e.remove(at, name)
 	}
 	for _, name := range c.Added {
 		e.add(at, name)
 	}
 	e.server.Beat = max(e.server.Beat, c.Beat)
-	e.server.Models = modelsOf(e.names)
+	e.server.Models = modelsFromNames(e.addedAt)
 	return e.server, true
 }
