--- a/node/exchange.go
+++ b/node/exchange.go
@@ -23,213 +23,215 @@
 )
 
 const (
-	// exchangePeriod is how often an instance tells the planner what it sees. Loads of
-	// others are worth something for about a second.
-	exchangePeriod = 300 * time.Millisecond
-	// idlePeriod is the same for an instance without requests; the lender misses one
-	// that it hears nothing of for twice as long.
-	idlePeriod = 600 * time.Millisecond
-	// startWait is for the first calls of the elector to a sound store, and then some.
-	startWait = 700 * time.Millisecond
+	// reportInterval is the interval of the reports to the leader. The loads that the reply
+	// contains are useful for about a second.
+	reportInterval = 300 * time.Millisecond
+	// idleReportInterval is the interval for an instance without requests. The lender treats an
+	// instance as lost after twice this time without a report.
+	idleReportInterval = 600 * time.Millisecond
+	// electorStartTimeout is longer than the elector's first calls to a healthy store take.
+	electorStartTimeout = 700 * time.Millisecond
 )
 
-// exchange keeps this instance and the one that plans in touch.
+// leaderClient sends this instance's reports and requests to the leader and applies its replies.
 type exchange struct {
-	self     galenastair.InstanceID
-	elector  *lease.Elector
-	client   *planning.Client
-	local    *planner.Planner
-	pool     *pool.Pool
-	share    *quota.Share
-	accounts *account.Accounts
-	stopping func() bool
-	poison   *claim.Poison
-	logger   log.Logger
-	address  string
-	zone     galenastair.AvailabilityZone
-	topics   func() []followed
-
-	shares *ratelimit.Shares
-	// index is this instance's place in the fleet.
+	self         galenastair.InstanceID
+	elector      *lease.Elector
+	client       *planning.Client
+	localPlanner *planner.Planner
+	pool         *pool.Pool
+	borrower     *quota.Share
+	accounts     *account.Accounts
+	stopping     func() bool
+	poisonTable  *claim.Poison
+	logger       log.Logger
+	address      string
+	zone         galenastair.AvailabilityZone
+	topics       func() []topicState
+
+	limitFallback *ratelimit.Shares
+	// index is the position of this instance among all instances, from 0.
 	index atomic.Int64
 
-	mu      sync.Mutex
-	demands map[galenastair.ModelName]time.Duration
-	poisons []claim.Digest
-	lost    bool
+	mu             sync.Mutex
+	demands        map[galenastair.ModelName]time.Duration
+	poisonRequests []claim.Digest
+	leaderLost     bool
 
-	// owned by run: seen is the newest change of placement that seenOf has told
-	seen   int64
-	seenOf string
+	// used by run alone: the number of the last placement change received, and its sender
+	lastChange       int64
+	lastChangeLeader string
 }
 
-// Asked notes the engine time of a request for the planner's forecast.
-func (x *exchange) Asked(name galenastair.ModelName, work time.Duration) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.demands[name] += work
+// RecordDemand adds the engine time of a request to the input of the planner's demand forecast.
+func (c *exchange) Asked(name galenastair.ModelName, work time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.demands[name] += work
 }
 
-// poisoned notes a request that stopped a backend server, for all to know.
-func (x *exchange) poisoned(d claim.Digest) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.poisons = append(x.poisons, d)
+// recordPoisonRequest adds a request that stopped a backend server to the next report, from which
+// all instances learn of it.
+func (c *exchange) recordPoisonRequest(d claim.Digest) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.poisonRequests = append(c.poisonRequests, d)
 }
 
-// run exchanges until the context ends. It begins when this instance has read what a leader
-// before has left, or the store does not answer.
-func (x *exchange) run(ctx context.Context) error {
+// run exchanges reports with the leader until the context is done. It starts once the elector
+// has read the previous leader's checkpoint, or after electorStartTimeout if the store does not
+// answer.
+func (c *exchange) run(ctx context.Context) error {
 	select {
-	case <-x.elector.Started():
-	case <-time.After(startWait):
+	case <-c.elector.Started():
+	case <-time.After(electorStartTimeout):
 	case <-ctx.Done():
 	}
 	for ctx.Err() == nil {
-		busy := x.round(ctx)
-		wait := idlePeriod
+		busy := c.exchangeOnce(ctx)
+		interval := idleReportInterval
 		if busy {
-			wait = exchangePeriod
+			interval = reportInterval
 		}
-		timer.Wait(ctx, wait)
+		timer.Wait(ctx, interval)
 	}
 	return ctx.Err()
 }
 
-// round makes one exchange and says whether the next is due soon.
-func (x *exchange) round(ctx context.Context) bool {
-	r := x.report()
+// exchangeOnce sends one report and applies the reply. It returns whether the next report is due
+// after reportInterval rather than idleReportInterval.
+func (c *exchange) exchangeOnce(ctx context.Context) bool {
+	r := c.buildReport()
 	sent := boottime.Now()
 	busy := len(r.Loads)+len(r.Demands)+len(r.Asks)+len(r.Poisons) > 0
-	leader, _ := x.at()
-	if leader == x.seenOf {
-		r.Seen = x.seen
+	leader, _ := c.leader()
+	if leader == c.lastChangeLeader {
+		r.Seen = c.lastChange
 	}
-	news, err := x.call(ctx, r)
+	update, err := c.sendReport(ctx, r)
 	if err != nil {
-		x.failed(err)
-		x.giveBack(r)
+		c.handleFailure(err)
+		c.requeue(r)
 		return true
 	}
-	x.seen, x.seenOf = news.Newest, leader
-	x.take(news)
-	x.takeOwners(news, sent)
-	hint(x.topics(), news.Tails, sent, func(peer string, t galenastair.Topic, from galenastair.Offset) (galenastair.KeyedBatch, error) {
-		return x.client.Fetch(ctx, peer, t, from)
+	c.lastChange, c.lastChangeLeader = update.Newest, leader
+	c.applyUpdate(update)
+	c.applyOwners(update, sent)
+	forwardTails(c.topics(), update.Tails, sent, func(peer string, t galenastair.Topic, from galenastair.Offset) (galenastair.KeyedBatch, error) {
+		return c.client.Fetch(ctx, peer, t, from)
 	})
 	return busy
 }
 
-func (x *exchange) report() planner.Report {
-	x.mu.Lock()
-	r := planner.Report{Instance: x.self, Demands: x.demands, Poisons: x.poisons}
-	x.demands, x.poisons = map[galenastair.ModelName]time.Duration{}, nil
-	x.mu.Unlock()
-	r.Loads, r.Absent = x.pool.Loads(), x.pool.Absent(time.Now())
-	r.Positions = positions(x.topics())
-	r.Zone, r.Limits = x.zone, x.pool.Limits(time.Now())
-	r.Address, r.TableVersion, r.Stopping = x.address, x.accounts.Table().Version, x.stopping()
+func (c *exchange) buildReport() planner.Report {
+	c.mu.Lock()
+	r := planner.Report{Instance: c.self, Demands: c.demands, Poisons: c.poisonRequests}
+	c.demands, c.poisonRequests = map[galenastair.ModelName]time.Duration{}, nil
+	c.mu.Unlock()
+	r.Loads, r.Absent = c.pool.Loads(), c.pool.Absent(time.Now())
+	r.Positions = readOffsets(c.topics())
+	r.Zone, r.Limits = c.zone, c.pool.Limits(time.Now())
+	r.Address, r.TableVersion, r.Stopping = c.address, c.accounts.Table().Version, c.stopping()
 	now := time.Now()
-	r.Asks, r.Passed = x.share.Asks(now), x.share.Pass(now)
+	r.Asks, r.Passed = c.borrower.Asks(now), c.borrower.Pass(now)
 	return r
 }
 
-// giveBack keeps what was not heard for the next exchange; old demand is dropped, as a
-// planner that has just begun would take it for that of one moment.
-func (x *exchange) giveBack(r planner.Report) {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	x.poisons = append(x.poisons, r.Poisons...)
+// requeue keeps the undelivered poison requests for the next report. Undelivered demand is
+// dropped: a planner that has just started would take the sum for the demand of one interval.
+func (c *exchange) requeue(r planner.Report) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.poisonRequests = append(c.poisonRequests, r.Poisons...)
 }
 
-// at returns the leader's address; the second result says that it is this instance.
-func (x *exchange) at() (string, bool) {
-	leader := x.elector.Leader()
-	return leader, leader == x.address
+// leader returns the leader's address, and whether this instance is the leader.
+func (c *exchange) leader() (string, bool) {
+	leader := c.elector.Leader()
+	return leader, leader == c.address
 }
 
-// errNoLeader says that nobody is known to lead.
-var errNoLeader = errors.New("no instance is known to lead")
+var errNoLeader = errors.New("no leader is known")
 
-func (x *exchange) call(ctx context.Context, r planner.Report) (planner.News, error) {
-	leader, own := x.at()
+func (c *exchange) sendReport(ctx context.Context, r planner.Report) (planner.News, error) {
+	leader, isSelf := c.leader()
 	switch {
-	case own:
-		return x.local.Exchange(ctx, r)
+	case isSelf:
+		return c.localPlanner.Exchange(ctx, r)
 	case leader == "":
 		return planner.News{}, errNoLeader
 	}
-	return x.client.Exchange(ctx, leader, r)
+	return c.client.Exchange(ctx, leader, r)
 }
 
-// failed goes on without the leader and logs the loss once.
-func (x *exchange) failed(err error) {
+// handleFailure switches to operation without the leader, and logs only the first failure.
+func (c *exchange) handleFailure(err error) {
 	if errors.Is(err, planner.ErrNotPlanner) {
-		x.elector.Denied()
+		c.elector.Denied()
 	} else {
-		x.elector.Suspect()
+		c.elector.Suspect()
 	}
-	x.share.MissLender(time.Now())
-	x.shares.Lost(time.Now())
-	if !x.lost {
-		x.lost = true
-		x.logger.Log("event", "dependency lost", "peer", x.elector.Leader(), "err", err)
+	c.borrower.MissLender(time.Now())
+	c.limitFallback.Lost(time.Now())
+	if !c.leaderLost {
+		c.leaderLost = true
+		c.logger.Log("event", "dependency lost", "peer", c.elector.Leader(), "err", err)
 	}
 }
 
-func (x *exchange) take(n planner.News) {
+func (c *exchange) applyUpdate(u planner.News) {
 	now := time.Now()
-	if n.Lapsed {
-		x.elector.Denied()
-		x.shares.Lost(now)
+	if u.Lapsed {
+		c.elector.Denied()
+		c.limitFallback.Lost(now)
 	} else {
-		x.elector.Answered(n.Renewal)
-		x.shares.Answered()
+		c.elector.Answered(u.Renewal)
+		c.limitFallback.Answered()
 	}
-	if x.lost {
-		x.lost = false
-		x.logger.Log("event", "dependency regained", "peer", x.elector.Leader())
+	if c.leaderLost {
+		c.leaderLost = false
+		c.logger.Log("event", "dependency regained", "peer", c.elector.Leader())
 	}
-	x.share.SetStanding(now, n.Standing)
-	for _, l := range n.Loans {
-		x.share.Lent(now, l.Organisation, l.Amount)
+	c.borrower.SetStanding(now, u.Standing)
+	for _, l := range u.Loans {
+		c.borrower.Lent(now, l.Organisation, l.Amount)
 	}
-	x.index.Store(int64(n.Index))
-	x.pool.SetOthersLimits(now, n.Limits)
-	x.pool.SetOthers(now, n.Loads)
-	for _, p := range n.Dropped {
-		x.pool.RemoveModel(now, p.Server, p.Name)
+	c.index.Store(int64(u.Index))
+	c.pool.SetOthersLimits(now, u.Limits)
+	c.pool.SetOthers(now, u.Loads)
+	for _, p := range u.Dropped {
+		c.pool.RemoveModel(now, p.Server, p.Name)
 	}
-	for _, p := range n.Placed {
-		x.pool.AddModel(now, p.Server, p.Name)
+	for _, p := range u.Placed {
+		c.pool.AddModel(now, p.Server, p.Name)
 	}
-	for _, d := range n.Poisons {
-		x.poison.Heard(now, d)
+	for _, d := range u.Poisons {
+		c.poisonTable.Heard(now, d)
 	}
 }
 
-// takeOwners takes in who owns what; sent is from before the call that brought it. Only a
-// leader whose lease has not expired confirms it.
-func (x *exchange) takeOwners(n planner.News, sent boottime.Time) {
-	if n.Lapsed || n.TableVersion == 0 {
+// applyOwners applies the table of organisation owners and this instance's grants. sent is the
+// time before the call that returned them. Only a leader whose lease is valid can confirm grants.
+func (c *exchange) applyOwners(u planner.News, sent boottime.Time) {
+	if u.Lapsed || u.TableVersion == 0 {
 		return
 	}
-	if n.Table.Version == n.TableVersion {
-		x.accounts.SetTable(n.Table)
+	if u.Table.Version == u.TableVersion {
+		c.accounts.SetTable(u.Table)
 	}
-	if x.accounts.Table().Version == n.TableVersion {
-		x.accounts.Confirm(sent, boottime.Now(), n.Grants)
+	if c.accounts.Table().Version == u.TableVersion {
+		c.accounts.Confirm(sent, boottime.Now(), u.Grants)
 	}
 }
 
-// Need asks the planner for a place for a model or adapter.
-func (x *exchange) Need(ctx context.Context, name galenastair.ModelName) (planner.Promise, error) {
-	leader, own := x.at()
+// EnsureLoaded asks the leader to load a model or adapter, or for a server that already has it.
+func (c *exchange) Need(ctx context.Context, name galenastair.ModelName) (planner.Promise, error) {
+	leader, isSelf := c.leader()
 	switch {
-	case own:
-		return x.local.Need(ctx, name)
+	case isSelf:
+		return c.localPlanner.Need(ctx, name)
 	case leader == "":
 		return planner.Promise{}, errNoLeader
 	}
-	return x.client.Need(ctx, leader, name)
+	return c.client.Need(ctx, leader, name)
 }
--- a/node/lease.go
+++ b/node/lease.go
@@ -6,17 +6,17 @@
 	"galenastair/lease"
 )
 
-// heldLease reads the lease by the machine's clock.
+// leaseAdapter implements planner.Lease with the time of the boot clock.
 type heldLease struct{ lease *lease.Lease }
 
-// Order returns the fence for an order sent now.
+// OrderFence returns the fence for an order that is sent now.
 func (h heldLease) Order() (galenastair.Fence, bool) { return h.lease.Order(boottime.Now()) }
 
-// Holds says whether this instance plans and lends.
+// Holds reports whether this instance holds the lease.
 func (h heldLease) Holds() bool { return h.lease.Holds(boottime.Now()) }
 
-// Hosts says whether others may exchange with this instance and borrow from it.
+// ServesPeers reports whether this instance may answer the reports of other instances and lend to them.
 func (h heldLease) Hosts() bool { return h.lease.Hosts(boottime.Now()) }
 
-// Refused ends the term of a fence.
+// FenceRefused ends the term of a fence that an engine has refused.
 func (h heldLease) Refused(f galenastair.Fence) { h.lease.Refused(f) }
--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// limitTimeout is how long after a backend server first named a limit it must be kept.
+	// limitTimeout is the time after its first announcement from which a limit must hold.
 	limitTimeout = 3 * time.Second
-	// limitWindow is the span in which at most limitOver of what the limit allows may arrive,
-	// and limitSlack requests more.
+	// Within limitWindow at most limitRatio times the number of requests that the limit allows
+	// may arrive, plus limitSlack requests.
 	limitWindow = 4 * time.Second
-	limitOver   = 1.5
+	limitRatio  = 1.5
 	limitSlack  = 5
 )
 
-// most returns how many of the times lie in the fullest window that begins at a time or later.
-func most(times []time.Time, from time.Time, window time.Duration) int {
+// maxInWindow returns the largest number of times in any window that begins at or after from.
+func maxInWindow(times []time.Time, from time.Time, window time.Duration) int {
 	best := 0
 	for i, begin := range times {
 		if begin.Before(from) {
@@ -40,58 +40,60 @@
 	return best
 }
 
-// limited has e1 name a limit, calls all nodes for as long as it must be kept and a while more,
-// and returns the most requests that e1 got in a window. The event comes when the limit binds.
-func (x *site) limited(limit float64, event func()) int {
-	x.replicas["e1"].Switch(func(s *replica.Switches) { s.Limit = limit })
-	named := time.Now()
+// maxArrivals has e1 announce a limit, sends requests through all nodes until two windows after the
+// limit must hold, and returns the largest number of requests that e1 received in a window. It
+// calls event when the limit starts to hold.
+func (c *cluster) maxArrivals(limit float64, event func()) int {
+	c.replicas["e1"].Switch(func(s *replica.Switches) { s.Limit = limit })
+	announced := time.Now()
 	var callers sync.WaitGroup
-	for _, n := range x.nodes {
+	for _, n := range c.nodes {
 		callers.Go(func() {
-			for time.Since(named) < limitTimeout+2*limitWindow {
-				x.call(n, "/stream/1", "m2", key)
-				x.call(n, "/stream/1", "m1", key)
+			for time.Since(announced) < limitTimeout+2*limitWindow {
+				c.call(n, "/stream/1", "m2", key)
+				c.call(n, "/stream/1", "m1", key)
 				time.Sleep(200 * time.Millisecond)
 			}
 		})
 	}
-	time.Sleep(time.Until(named.Add(limitTimeout)))
+	time.Sleep(time.Until(announced.Add(limitTimeout)))
 	event()
 	callers.Wait()
 	var times []time.Time
-	for _, r := range x.replicas["e1"].Runs() {
+	for _, r := range c.replicas["e1"].Runs() {
 		times = append(times, r.At)
 	}
-	return most(times, named.Add(limitTimeout), limitWindow)
+	return maxInWindow(times, announced.Add(limitTimeout), limitWindow)
 }
 
-// allowed is the most that may arrive in a window.
-func allowed(limit float64) int { return int(limitOver*limit*limitWindow.Seconds()) + limitSlack }
+// maxAllowed returns the number of requests that may arrive within limitWindow.
+func maxAllowed(limit float64) int { return int(limitRatio*limit*limitWindow.Seconds()) + limitSlack }
 
-// A backend server names how many requests a second it takes from all instances together, and
-// gets as many as before.
-func TestInstancesKeepAServersLimitTogether(t *testing.T) {
+// A backend server announces how many requests per second it accepts. All instances together must
+// stay within that limit.
+func TestInstancesShareServerLimit(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	x := newSite(t, 3)
-	is.True(x.limited(1, func() {}) <= allowed(1))
+	c := newCluster(t, 3)
+	is.True(c.maxArrivals(1, func() {}) <= maxAllowed(1))
 }
 
-// The leader ends while a limit is in force, and the next one grants what it has granted.
-func TestLimitIsKeptWhileTheLeaderChanges(t *testing.T) {
+// The leader stops while a limit holds. The next leader must not grant again what its
+// predecessor has granted.
+func TestLimitHoldsAcrossLeaderChange(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	x := newSite(t, 3)
-	is.True(x.limited(1, func() { x.end(x.leader()) }) <= allowed(1))
+	c := newCluster(t, 3)
+	is.True(c.maxArrivals(1, func() { c.stopNode(c.leader()) }) <= maxAllowed(1))
 }
 
-// leader returns the node that leads, as the nodes' status tells.
-func (x *site) leader() *running {
-	x.t.Helper()
-	var found *running
-	x.until("a leader", func() bool {
-		for _, n := range x.nodes {
-			if x.leads(n) {
+// leader returns the node whose status reports that it is the leader.
+func (c *cluster) leader() *runningNode {
+	c.t.Helper()
+	var found *runningNode
+	c.waitFor("a leader", func() bool {
+		for _, n := range c.nodes {
+			if c.isLeader(n) {
 				found = n
 			}
 		}
@@ -100,16 +102,16 @@
 	return found
 }
 
-func (x *site) leads(n *running) bool {
-	x.t.Helper()
+func (c *cluster) isLeader(n *runningNode) bool {
+	c.t.Helper()
 	resp, err := http.Get("http://" + n.settings.MetricsAddress + StatusPath)
 	if err != nil {
-		x.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	defer resp.Body.Close()
 	var s Status
 	if err := json.NewDecoder(resp.Body).Decode(&s); err != nil {
-		x.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	return s.Plans
 }
--- a/node/limits.go
+++ b/node/limits.go
@@ -9,52 +9,51 @@
 	"galenastair/ratelimit"
 )
 
-// limits admit requests to backend servers that have named a limit: by the leader, and by this
-// instance's own share while that does not answer.
+// limiter admits requests to backend servers that have announced a rate limit. The leader decides;
+// while it does not answer, this instance uses its own fraction of the limit.
 type limits struct {
-	// ask asks the leader, and place is this instance's in the fleet.
-	ask     func(context.Context, ratelimit.Limit, time.Duration) (ratelimit.Verdict, error)
-	place   func() ratelimit.Place
-	shares  *ratelimit.Shares
-	metrics *metrics
-	logger  log.Logger
+	askLeader func(context.Context, ratelimit.Limit, time.Duration) (ratelimit.Verdict, error)
+	position  func() ratelimit.Place
+	fallback  *ratelimit.Shares
+	metrics   *metrics
+	logger    log.Logger
 }
 
-func newLimits(x *exchange, m *metrics) limits {
-	return limits{ask: x.admit, place: x.place, shares: x.shares, metrics: m, logger: x.logger}
+func newLimiter(c *exchange, m *metrics) limits {
+	return limits{askLeader: c.admit, position: c.position, fallback: c.limitFallback, metrics: m, logger: c.logger}
 }
 
-// Admit asks the leader for a turn. Once that has not answered, no request waits for it again
-// until it has answered an exchange.
-func (l limits) Admit(ctx context.Context, limit ratelimit.Limit, patience time.Duration) ratelimit.Verdict {
-	if !l.shares.Alone() {
-		v, err := l.ask(ctx, limit, patience)
+// Admit asks the leader whether and when a request may be sent. After one request without an
+// answer, no other request waits for the leader until it has answered a report.
+func (l limits) Admit(ctx context.Context, limit ratelimit.Limit, maxWait time.Duration) ratelimit.Verdict {
+	if !l.fallback.Alone() {
+		v, err := l.askLeader(ctx, limit, maxWait)
 		if err == nil {
-			l.metrics.turn("Leader", v.Granted)
+			l.metrics.countLimitDecision("Leader", v.Granted)
 			return v
 		}
 		l.logger.Log("event", "limit share", "server", limit.Server, "limit", limit.PerSecond, "err", err)
 	}
 	now := time.Now()
-	l.shares.Lost(now)
-	v := l.shares.Admit(now, limit, l.place())
-	l.metrics.turn("Share", v.Granted)
+	l.fallback.Lost(now)
+	v := l.fallback.Admit(now, limit, l.position())
+	l.metrics.countLimitDecision("Share", v.Granted)
 	return v
 }
 
-func (x *exchange) admit(ctx context.Context, limit ratelimit.Limit, patience time.Duration) (ratelimit.Verdict, error) {
-	leader, own := x.at()
+func (c *exchange) admit(ctx context.Context, limit ratelimit.Limit, maxWait time.Duration) (ratelimit.Verdict, error) {
+	leader, isSelf := c.leader()
 	switch {
-	case own:
-		return x.local.Admit(limit, patience)
+	case isSelf:
+		return c.localPlanner.Admit(limit, maxWait)
 	case leader == "":
 		return ratelimit.Verdict{}, errNoLeader
 	}
-	return x.client.Admit(ctx, leader, limit, patience)
+	return c.client.Admit(ctx, leader, limit, maxWait)
 }
 
-// place is this instance's place in the fleet as the leader last told it.
-func (x *exchange) place() ratelimit.Place {
-	fleet := x.share.Told()
-	return ratelimit.Place{Index: min(int(x.index.Load()), max(0, fleet-1)), Fleet: fleet}
+// position returns the position of this instance among all instances, as last reported by the leader.
+func (c *exchange) position() ratelimit.Place {
+	fleetSize := c.borrower.Told()
+	return ratelimit.Place{Index: min(int(c.index.Load()), max(0, fleetSize-1)), Fleet: fleetSize}
 }
--- a/node/limits_test.go
+++ b/node/limits_test.go
@@ -11,21 +11,21 @@
 	"galenastair/ratelimit"
 )
 
-// The leader is frozen, and each request for a limited server waits for it anew.
-func TestOneRequestWaitsForASilentLeader(t *testing.T) {
+// While the leader does not answer, only one request to a rate-limited server may wait for it.
+func TestOnlyOneRequestWaitsForSilentLeader(t *testing.T) {
 	is := is.New(t)
-	asked := 0
+	calls := 0
 	silent := func(context.Context, ratelimit.Limit, time.Duration) (ratelimit.Verdict, error) {
-		asked++
+		calls++
 		return ratelimit.Verdict{}, context.DeadlineExceeded
 	}
-	nowhere := func() ratelimit.Place { return ratelimit.Place{} }
-	l := limits{ask: silent, place: nowhere, shares: ratelimit.NewShares(nil), metrics: newMetrics(), logger: log.NewNopLogger()}
+	noPosition := func() ratelimit.Place { return ratelimit.Place{} }
+	l := limits{askLeader: silent, position: noPosition, fallback: ratelimit.NewShares(nil), metrics: newMetrics(), logger: log.NewNopLogger()}
 	for range 10 {
 		is.True(!l.Admit(t.Context(), ratelimit.Limit{Server: "s", PerSecond: 1}, 0).Granted)
 	}
-	is.Equal(asked, 1)
-	l.shares.Answered()
+	is.Equal(calls, 1)
+	l.fallback.Answered()
 	l.Admit(t.Context(), ratelimit.Limit{Server: "s", PerSecond: 1}, 0)
-	is.Equal(asked, 2)
+	is.Equal(calls, 2)
 }
--- a/node/metrics_test.go
+++ b/node/metrics_test.go
@@ -10,12 +10,12 @@
 	"galenastair/gateway"
 )
 
-// A platform has thousands of organisations. Each as a label of its own would fill the
-// memory of an instance, and the page that is fetched each few seconds.
+// A platform has thousands of organisations. A label value for each of them would fill the memory
+// of an instance, and the metrics page, which is scraped every few seconds.
 func TestOrganisationLabelsAreBounded(t *testing.T) {
 	is := is.New(t)
 	m := newMetrics()
-	for i := range 10 * namedOrganisations {
+	for i := range 10 * maxOrganisationLabels {
 		m.RequestEnded(gateway.Ending{Organisation: galenastair.Organisation(fmt.Sprint("org-", i))})
 	}
 	families, err := m.registry.Gather()
@@ -33,6 +33,6 @@
 			}
 		}
 	}
-	is.Equal(len(counts), namedOrganisations+1)
-	is.Equal(counts[otherOrganisations], 9.0*namedOrganisations)
+	is.Equal(len(counts), maxOrganisationLabels+1)
+	is.Equal(counts[otherOrganisationsLabel], 9.0*maxOrganisationLabels)
 }
--- a/node/node.go
+++ b/node/node.go
@@ -33,270 +33,277 @@
 )
 
 const (
-	// viewMargin is kept of the time that a withdrawn key may still be admitted, for
-	// the way from the check to the backend server.
-	viewMargin = 300 * time.Millisecond
-	// viewWait and serverWait are the long polls' waits. The first bounds the age of a
-	// view in quiet times; the second how long a silent connection hides a leaving server.
-	viewWait   = 1700 * time.Millisecond
-	serverWait = 2 * time.Second
-	// plannerPace is the least time between two reads of the instance that reads for all.
-	plannerPace = 400 * time.Millisecond
-	// hintMargin is kept of the time in which a change must be in force, for the call that an
-	// instance makes when the leader's word has grown old.
+	// authorizationMargin is subtracted from the time for which a withdrawn key may still be
+	// accepted. It covers the time between the check of a key and the arrival of the request
+	// at the backend server.
+	authorizationMargin = 300 * time.Millisecond
+	// configPollTimeout and registrationPollTimeout are the timeouts of long polls. The first
+	// bounds the age of the configuration while nothing changes; the second bounds how long a
+	// dead connection can hide that a server is leaving.
+	configPollTimeout       = 1700 * time.Millisecond
+	registrationPollTimeout = 2 * time.Second
+	// leaderReadInterval is the minimum time between two reads by the leader, which reads for
+	// all instances.
+	leaderReadInterval = 400 * time.Millisecond
+	// hintMargin is subtracted from the time within which a change must take effect. It covers
+	// the call to the store that an instance makes once the leader's last hint is too old.
 	hintMargin = 400 * time.Millisecond
-	// leaderWait is how long a poll of the instance that reads for all waits: it bounds the
-	// age of its word in quiet times.
-	leaderWait = 450 * time.Millisecond
-	// leastPoll is for a platform whose bounds leave no time at all.
-	leastPoll = 100 * time.Millisecond
-	// viewPace and serverPace gather changes that come in a row into one call; they stay
-	// well below the times in which a version, or a server's leaving, must be in force.
-	viewPace   = 150 * time.Millisecond
-	serverPace = time.Second
-	// leaveLag is how long a request for a leaving server may be on its way here.
-	leaveLag = 600 * time.Millisecond
-	// poisonTrials and poisonTerm: a request that has broken three connections of
-	// backend servers without an answer is refused for a while.
-	poisonTrials = 3
-	poisonTerm   = 20 * time.Second
+	// leaderPollTimeout is the timeout of the leader's long polls. It bounds the age of the
+	// leader's hints while nothing changes.
+	leaderPollTimeout = 450 * time.Millisecond
+	// maxHintAgeFloor is the minimum of maxHintAge on platforms whose bounds leave no time.
+	maxHintAgeFloor = 100 * time.Millisecond
+	// configReadInterval and registrationReadInterval are the minimum times between two reads,
+	// so that one call returns several changes in a row. They are well below the times within
+	// which a version, or the leaving of a server, must take effect.
+	configReadInterval       = 150 * time.Millisecond
+	registrationReadInterval = time.Second
+	// requestTransitTime is the maximum time from the choice of a leaving server to the arrival
+	// of the request there.
+	requestTransitTime = 600 * time.Millisecond
+	// A request that has broken poisonThreshold connections to backend servers without a
+	// response is refused for poisonRefusalTime.
+	poisonThreshold   = 3
+	poisonRefusalTime = 20 * time.Second
 )
 
-// Node is one instance on the users' platform.
+// Node is one instance on a platform that brings its own store.
 type Node struct {
-	settings settings.Gateway
-	logger   log.Logger
-	store    galenastair.Store
-	loop     *control.Loop
-	views    *views
-	servers  *servers
-	// viewTail is what is passed on of the configuration.
-	viewTail   follow.Tail
-	pool       *pool.Pool
-	share      *quota.Share
-	accounts   *account.Accounts
-	backends   *httpconn.Client
-	elector    *lease.Elector
-	lease      heldLease
-	planner    *planner.Planner
-	exchange   *exchange
-	gateway    *gateway.Gateway
-	metrics    *metrics
-	storeCalls storeCalls
-	// stopping is set by the signal, closing when new connections have ended.
-	stopping atomic.Bool
-	closing  atomic.Bool
-	callers  net.Listener
-	// callersServed is closed when the callers' port accepts no more.
-	callersServed <-chan struct{}
-	conns         *httpserve.Conns
+	settings      settings.Gateway
+	logger        log.Logger
+	store         galenastair.Store
+	loop          *control.Loop
+	catalogSource *views
+	serverWatcher *serverWatcher
+	// configTail holds the configuration records that are passed on to other instances.
+	configTail    follow.Tail
+	pool          *pool.Pool
+	borrower      *quota.Share
+	accounts      *account.Accounts
+	backendClient *httpconn.Client
+	elector       *lease.Elector
+	lease         heldLease
+	planner       *planner.Planner
+	leaderClient  *exchange
+	gateway       *gateway.Gateway
+	metrics       *metrics
+	storeCalls    storeCalls
+	// stopping is set on the signal to stop, draining once no new connections are accepted.
+	stopping       atomic.Bool
+	draining       atomic.Bool
+	callerListener net.Listener
+	// callerServerDone is closed once the server of the callers' port has stopped accepting.
+	callerServerDone <-chan struct{}
+	callerConns      *httpserve.Conns
 }
 
-// Option varies a Node.
+// Option configures a Node.
 type Option func(*Node)
 
-// WithLogger says where decisions and events are logged.
+// WithLogger sets the logger for decisions and events.
 func WithLogger(l log.Logger) Option { return func(n *Node) { n.logger = l } }
 
-// WithDropped says how many log lines were left out, for the metrics.
-func WithDropped(f func() int64) Option { return func(n *Node) { n.metrics.droppedLines(f) } }
+// WithDroppedLogLines exports the number of dropped log lines as a metric.
+func WithDropped(f func() int64) Option { return func(n *Node) { n.metrics.registerDroppedLines(f) } }
 
-// New returns a node that does nothing until Run.
+// New returns a node that is inactive until Run is called.
 func New(s settings.Gateway, opts ...Option) *Node {
-	n := &Node{settings: s, logger: log.NewNopLogger(), loop: control.NewLoop(), metrics: newMetrics(), conns: httpserve.NewConns()}
+	n := &Node{settings: s, logger: log.NewNopLogger(), loop: control.NewLoop(), metrics: newMetrics(), callerConns: httpserve.NewConns()}
 	for _, o := range opts {
 		o(n)
 	}
-	n.store = platform.NewStore(s.StoreAddress, platform.WithObserver(n.observeStore))
-	terms := quota.Terms{Window: s.Bounds.QuotaWindow, Over: s.Bounds.QuotaOver, Slack: s.Bounds.QuotaSlack}
-	n.share = quota.NewShare(terms)
-	// until a leader or its note tells, the others may hold all parts
-	n.share.SetFleet(0)
-	n.pool = pool.New(s.AvailabilityZone, pool.WithLeaveGrace(max(0, s.Bounds.LeaveTimeout-leaveLag)), pool.WithFleet(n.share.Told))
-	n.accounts = account.New(s.PeerAddress, terms)
-	n.backends = httpconn.NewClient()
-	backend := platform.NewReplicas(n.backends)
+	n.store = platform.NewStore(s.StoreAddress, platform.WithObserver(n.observeStoreCall))
+	tolerance := quota.Terms{Window: s.Bounds.QuotaWindow, Over: s.Bounds.QuotaOver, Slack: s.Bounds.QuotaSlack}
+	n.borrower = quota.NewShare(tolerance)
+	// until a leader or its checkpoint gives a fleet size, other instances may hold the whole quota
+	n.borrower.SetFleet(0)
+	n.pool = pool.New(s.AvailabilityZone, pool.WithLeaveGrace(max(0, s.Bounds.LeaveTimeout-requestTransitTime)), pool.WithFleet(n.borrower.Told))
+	n.accounts = account.New(s.PeerAddress, tolerance)
+	n.backendClient = httpconn.NewClient()
+	backend := platform.NewReplicas(n.backendClient)
 	l := lease.New(lease.DefaultBounds(s.Bounds.BetweenHolders, s.Bounds.FencesChecked))
 	n.lease = heldLease{l}
 	n.elector = lease.NewElector(n.store, platform.LeaseTopic, l, s.PeerAddress, lease.WithLogger(n.logger),
-		lease.WithNote(n.note(context.Background())), lease.WithFleet(n.share.Told), lease.WithLink(s.LinkMbps), lease.WithElected(n.elected))
-	n.planner = planner.New(string(s.ID), terms, backend, n.lease, n.loop,
-		planner.WithLogger(n.logger), planner.WithOrdered(n.metrics.ordered))
-	n.views = newViews(n.logger)
-	n.servers = newServers(n.logger)
-	n.exchange = n.newExchange()
+		lease.WithNote(n.checkpointer(context.Background())), lease.WithFleet(n.borrower.Told), lease.WithLink(s.LinkMbps), lease.WithElected(n.onElected))
+	n.planner = planner.New(string(s.ID), tolerance, backend, n.lease, n.loop,
+		planner.WithLogger(n.logger), planner.WithOrdered(n.metrics.countOrder))
+	n.catalogSource = newCatalogSource(n.logger)
+	n.serverWatcher = newServerWatcher(n.logger)
+	n.leaderClient = n.newLeaderClient()
 	n.gateway = n.newGateway(backend)
-	n.metrics.watch(n)
+	n.metrics.registerGauges(n)
 	return n
 }
 
-// observeStore counts a call to the store.
-func (n *Node) observeStore(c platform.StoreCall) {
-	n.metrics.storeCalled(c)
+// observeStoreCall records a finished call to the store.
+func (n *Node) observeStoreCall(c platform.StoreCall) {
+	n.metrics.observeStoreCall(c)
 	n.storeCalls.observe(c)
 }
 
-func (n *Node) newExchange() *exchange {
-	x := &exchange{
-		self:     n.settings.ID,
-		elector:  n.elector,
-		client:   planning.NewClient(&http.Client{Transport: httpclient.NewTransport()}),
-		local:    n.planner,
-		pool:     n.pool,
-		share:    n.share,
-		accounts: n.accounts,
-		shares:   ratelimit.NewShares(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		stopping: n.stopping.Load,
-		logger:   n.logger,
-		address:  n.settings.PeerAddress,
-		zone:     n.settings.AvailabilityZone,
-		demands:  map[galenastair.ModelName]time.Duration{},
-		topics:   n.topics,
+func (n *Node) newLeaderClient() *exchange {
+	c := &exchange{
+		self:          n.settings.ID,
+		elector:       n.elector,
+		client:        planning.NewClient(&http.Client{Transport: httpclient.NewTransport()}),
+		localPlanner:  n.planner,
+		pool:          n.pool,
+		borrower:      n.borrower,
+		accounts:      n.accounts,
+		limitFallback: ratelimit.NewShares(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		stopping:      n.stopping.Load,
+		logger:        n.logger,
+		address:       n.settings.PeerAddress,
+		zone:          n.settings.AvailabilityZone,
+		demands:       map[galenastair.ModelName]time.Duration{},
+		topics:        n.topics,
 	}
-	x.poison = claim.NewPoison(x.poisoned, claim.WithTrials(poisonTrials, poisonTerm))
-	return x
+	c.poisonTable = claim.NewPoison(c.recordPoisonRequest, claim.WithTrials(poisonThreshold, poisonRefusalTime))
+	return c
 }
 
 func (n *Node) newGateway(backend galenastair.Backend) *gateway.Gateway {
 	b := n.settings.Bounds
 	return gateway.New(gateway.Settings{
-		ViewLife:   b.KeyLife - viewMargin,
+		ViewLife:   b.KeyLife - authorizationMargin,
 		RetryRatio: b.RetryRatio,
 		RetrySlack: b.RetrySlack,
-		Fleet:      n.share.Fleet,
-		Closing:    n.closing.Load,
+		Fleet:      n.borrower.Fleet,
+		Closing:    n.draining.Load,
 	}, gateway.Ports{
-		Views:     n.views,
+		Views:     n.catalogSource,
 		Pool:      n.pool,
 		Backend:   backend,
-		Quota:     quotas{n.share, n.accounts, n.exchange},
-		Placement: n.exchange,
-		Limits:    newLimits(n.exchange, n.metrics),
-		Poison:    n.exchange.poison,
+		Quota:     quotas{n.borrower, n.accounts, n.leaderClient},
+		Placement: n.leaderClient,
+		Limits:    newLimiter(n.leaderClient, n.metrics),
+		Poison:    n.leaderClient.poisonTable,
 	}, gateway.WithLogger(n.logger), gateway.WithRecorder(n.metrics))
 }
 
-// hintLife is how old the store's word may be by which this instance goes without asking the
+// maxHintAge returns the maximum age of a hint that this instance uses instead of reading the
 // store itself.
-func (n *Node) hintLife() time.Duration {
-	return max(leastPoll, min(n.settings.Bounds.ApplyTimeout, n.settings.Bounds.LeaveTimeout)-hintMargin)
+func (n *Node) maxHintAge() time.Duration {
+	return max(maxHintAgeFloor, min(n.settings.Bounds.ApplyTimeout, n.settings.Bounds.LeaveTimeout)-hintMargin)
 }
 
-// pollWait is how long a poll waits. All others go by the age that the leader tells them, so
-// that it looks more often.
-func (n *Node) pollWait(usual time.Duration) time.Duration {
+// pollTimeout returns the timeout of a long poll. The leader polls more often, because the age of
+// its data bounds the age of all other instances' data.
+func (n *Node) pollTimeout(nonLeader time.Duration) time.Duration {
 	if n.lease.Holds() {
-		return leaderWait
+		return leaderPollTimeout
 	}
-	return usual
+	return nonLeader
 }
 
-// serverPace is the least time between two reads of the registrations; the instance that
-// plans reads for all, and what it tells is on its way for an exchange more.
-func (n *Node) serverPace() time.Duration {
+// registrationReadInterval returns the minimum time between two reads of the registrations. The
+// leader reads more often, because its changes reach the other instances one exchange later.
+func (n *Node) registrationReadInterval() time.Duration {
 	if n.lease.Holds() {
-		return plannerPace
+		return leaderReadInterval
 	}
-	return serverPace
+	return registrationReadInterval
 }
 
-// topics are what this instance reads of the store; none before Run.
-func (n *Node) topics() []followed {
-	return []followed{
-		{topic: platform.ConfigurationTopic, follower: n.views.follower, tail: &n.viewTail},
-		{topic: platform.RegistrationTopic, follower: n.servers.follower, since: n.servers.table.Since, apply: n.servers.applyChanges},
+// topics returns the topics that this instance follows. It must not be called before Run.
+func (n *Node) topics() []topicState {
+	return []topicState{
+		{topic: platform.ConfigurationTopic, follower: n.catalogSource.follower, tail: &n.configTail},
+		{topic: platform.RegistrationTopic, follower: n.serverWatcher.follower, changesSince: n.serverWatcher.table.Since, applyChanges: n.serverWatcher.applyChanges},
 	}
 }
 
-// Run serves until the context ends, then stops without cutting a request.
+// Run serves until the context is done, then shuts down gracefully.
 func (n *Node) Run(ctx context.Context) error {
 	var g run.Group
 	work, stopWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopWork()
-	n.connect(work)
-	add := func(name string, part func(context.Context) error) { rungroup.Add(work, &g, n.logger, name, part) }
+	n.connectFollowers(work)
+	add := func(name string, actor func(context.Context) error) { rungroup.Add(work, &g, n.logger, name, actor) }
 	add("control", n.loop.Run)
-	add("configuration", n.views.run)
-	add("registrations", n.servers.follower.Run)
-	add("backend servers", n.servers.run)
-	// the lease is released as soon as the signal comes, for another to take it while this
-	// instance still serves
-	add("lease", func(work context.Context) error { return n.keepLease(ctx, work) })
+	add("configuration", n.catalogSource.run)
+	add("registrations", n.serverWatcher.follower.Run)
+	add("backend servers", n.serverWatcher.run)
+	// the lease is released on the signal to stop, so that another instance takes it while this
+	// one still serves requests
+	add("lease", func(work context.Context) error { return n.runElector(ctx, work) })
 	add("planner", n.planner.Run)
-	add("exchange", n.exchange.run)
-	add("connections", n.prune)
+	add("exchange", n.leaderClient.run)
+	add("connections", n.pruneConnections)
 	add("store calls", n.logStoreCalls)
 	if err := n.listen(&g); err != nil {
 		return err
 	}
-	// the one actor that sees the signal: it stops serving in order, then the others
-	// end because it has
-	g.Add(func() error { return n.stopOn(ctx) }, func(error) { stopWork() })
+	// the only actor that observes the signal: it shuts down gracefully, and its return stops
+	// all other actors
+	g.Add(func() error { return n.shutdownOn(ctx) }, func(error) { stopWork() })
 	return g.Run()
 }
 
-// connect ties what is read from the store to what uses it.
-func (n *Node) connect(ctx context.Context) {
-	n.views.changed = func(c *catalog.Catalog) {
-		n.share.SetContracts(time.Now(), c)
+// connectFollowers creates the followers and passes what they read to the components that use it.
+func (n *Node) connectFollowers(ctx context.Context) {
+	n.catalogSource.onChange = func(c *catalog.Catalog) {
+		n.borrower.SetContracts(time.Now(), c)
 		n.accounts.SetContracts(c)
-		n.post(n.planner.SetCatalog(ctx, c))
+		n.logPostError(n.planner.SetCatalog(ctx, c))
 	}
-	n.servers.set = func(s pool.Server) {
+	n.serverWatcher.onUpdate = func(s pool.Server) {
 		n.pool.Set(time.Now(), s)
-		n.post(n.planner.SetServer(ctx, s))
+		n.logPostError(n.planner.SetServer(ctx, s))
 	}
-	n.servers.remove = func(id galenastair.BackendServerID) {
+	n.serverWatcher.onRemove = func(id galenastair.BackendServerID) {
 		n.pool.Remove(id)
-		n.post(n.planner.RemoveServer(ctx, id))
+		n.logPostError(n.planner.RemoveServer(ctx, id))
 	}
-	n.views.follower = follow.New(n.store, platform.ConfigurationTopic, noting(&n.viewTail, n.views.apply),
-		follow.WithWaits(func() time.Duration { return n.pollWait(viewWait) }),
-		follow.WithPace(func() time.Duration { return viewPace }),
-		follow.WithHintLife(n.hintLife()),
+	n.catalogSource.follower = follow.New(n.store, platform.ConfigurationTopic, recordingTail(&n.configTail, n.catalogSource.apply),
+		follow.WithWaits(func() time.Duration { return n.pollTimeout(configPollTimeout) }),
+		follow.WithPace(func() time.Duration { return configReadInterval }),
+		follow.WithHintLife(n.maxHintAge()),
 		follow.WithLeads(n.lease.Holds),
 		follow.WithLogger(n.logger))
-	n.servers.follower = follow.New(n.store, platform.RegistrationTopic, n.servers.apply,
-		follow.WithWaits(func() time.Duration { return n.pollWait(serverWait) }),
-		follow.WithPace(n.serverPace),
-		follow.WithHintLife(n.hintLife()),
+	n.serverWatcher.follower = follow.New(n.store, platform.RegistrationTopic, n.serverWatcher.apply,
+		follow.WithWaits(func() time.Duration { return n.pollTimeout(registrationPollTimeout) }),
+		follow.WithPace(n.registrationReadInterval),
+		follow.WithHintLife(n.maxHintAge()),
 		follow.WithLeads(n.lease.Holds),
 		follow.WithLogger(n.logger))
 }
 
-// elected has all registrations read: what others tell leaves out what only the planner needs.
-func (n *Node) elected() {
-	n.views.follower.Refresh()
-	n.servers.follower.Refresh()
+// onElected rereads the topics from the store: changes received from other instances lack the
+// fields that only the planner needs.
+func (n *Node) onElected() {
+	n.catalogSource.follower.Refresh()
+	n.serverWatcher.follower.Refresh()
 }
 
-// keepLease runs for the lease until the instance is told to stop, and ends with the rest.
-func (n *Node) keepLease(signal, work context.Context) error {
-	both, cancel := context.WithCancel(work)
+// runElector campaigns for the lease until the signal to stop, and returns once work is done.
+func (n *Node) runElector(signal, work context.Context) error {
+	ctx, cancel := context.WithCancel(work)
 	defer cancel()
 	defer context.AfterFunc(signal, cancel)()
-	err := n.elector.Run(both)
+	err := n.elector.Run(ctx)
 	<-work.Done()
 	return err
 }
 
-// post logs that the control loop has ended; nothing is lost by it then.
-func (n *Node) post(err error) {
+// logPostError logs that a function could not be posted because the control loop has ended. The
+// instance is stopping then and does not need the update.
+func (n *Node) logPostError(err error) {
 	if err != nil {
 		n.logger.Log("event", "control loop", "err", err)
 	}
 }
 
-// prunePeriod is how often expired connections are closed.
-const prunePeriod = 2 * time.Second
+// pruneInterval is the interval at which expired connections are closed.
+const pruneInterval = 2 * time.Second
 
-func (n *Node) prune(ctx context.Context) error {
-	tick := time.NewTicker(prunePeriod)
+func (n *Node) pruneConnections(ctx context.Context) error {
+	tick := time.NewTicker(pruneInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case now := <-tick.C:
-			n.backends.Prune(now)
+			n.backendClient.Prune(now)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -29,61 +29,61 @@
 	key  = "key-of-org"
 )
 
-// site is a store, replicas and nodes on loopback.
-type site struct {
+// cluster consists of a store, replicas and nodes that listen on loopback addresses.
+type cluster struct {
 	t        *testing.T
 	store    *metastore.Store
 	address  string
 	replicas map[string]*replica.Replica
 	version  int
-	nodes    []*running
+	nodes    []*runningNode
 }
 
-type running struct {
+type runningNode struct {
 	settings settings.Gateway
 	stop     context.CancelFunc
-	ended    chan error
+	done     chan error
 	once     sync.Once
 }
 
-func newSite(t *testing.T, nodes int) *site {
+func newCluster(t *testing.T, nodes int) *cluster {
 	t.Helper()
-	x := &site{t: t, store: metastore.New(), replicas: map[string]*replica.Replica{}}
-	h := httptest.NewServer(x.store.Handler())
+	c := &cluster{t: t, store: metastore.New(), replicas: map[string]*replica.Replica{}}
+	h := httptest.NewServer(c.store.Handler())
 	t.Cleanup(func() {
 		h.CloseClientConnections()
 		h.Close()
 	})
-	x.address = h.Listener.Addr().String()
-	x.replica("e1", "writer", "m1", "m2")
-	x.replica("e2", "writer", "m1")
-	x.replica("p1", "app")
-	x.replica("p2", "app")
-	x.publish(key)
-	beats := make(chan struct{})
+	c.address = h.Listener.Addr().String()
+	c.addReplica("e1", "writer", "m1", "m2")
+	c.addReplica("e2", "writer", "m1")
+	c.addReplica("p1", "app")
+	c.addReplica("p2", "app")
+	c.publish(key)
+	renewalsDone := make(chan struct{})
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		defer close(beats)
-		x.beat(ctx)
+		defer close(renewalsDone)
+		c.renewRegistrations(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
-		<-beats
+		<-renewalsDone
 	})
 	for range nodes {
-		x.node()
+		c.startNode()
 	}
-	for _, n := range x.nodes {
-		// quotas begin empty, and fill once a lender is found
-		x.until("a read is admitted", func() bool { return x.call(n, "/read/1", "", key).status == 200 })
+	for _, n := range c.nodes {
+		// quotas are empty until a lender is found
+		c.waitFor("an accepted read", func() bool { return c.call(n, "/read/1", "", key).status == 200 })
 	}
-	return x
+	return c
 }
 
-func (x *site) replica(id, service string, models ...string) {
+func (c *cluster) addReplica(id, service string, models ...string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		x.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	s := replica.Settings{ID: id, Service: service, Address: l.Addr().String(), Zone: "z1", Slots: 8, Events: 6}
 	if len(models) > 0 {
@@ -92,23 +92,23 @@
 	r := replica.New(s)
 	h := &httptest.Server{Listener: l, Config: &http.Server{Handler: r.Handler()}}
 	h.Start()
-	x.t.Cleanup(func() {
+	c.t.Cleanup(func() {
 		h.CloseClientConnections()
 		h.Close()
 	})
-	x.replicas[id] = r
-	x.store.Put("keyed.servers", id, r.Registration())
+	c.replicas[id] = r
+	c.store.Put("keyed.servers", id, r.Registration())
 }
 
-// beat registers the replicas again and again, as they do.
-func (x *site) beat(ctx context.Context) {
+// renewRegistrations renews the registrations of the replicas periodically, as replicas do.
+func (c *cluster) renewRegistrations(ctx context.Context) {
 	tick := time.NewTicker(200 * time.Millisecond)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			for id, r := range x.replicas {
-				x.store.Put("keyed.servers", id, r.Registration())
+			for id, r := range c.replicas {
+				c.store.Put("keyed.servers", id, r.Registration())
 			}
 		case <-ctx.Done():
 			return
@@ -116,9 +116,9 @@
 	}
 }
 
-// publish writes a new version of the configuration with the keys of the organisation.
-func (x *site) publish(keys ...string) {
-	x.version++
+// publish stores a new version of the configuration with these keys of the organisation.
+func (c *cluster) publish(keys ...string) {
+	c.version++
 	route := func(name, prefix, kind, service string, resumable bool) map[string]any {
 		return map[string]any{"name": name, "host": host, "path-prefix": prefix, "route-type": kind, "timeout-ms": 3000,
 			"target-latency-ms": 500, "priority": 1, "service": service, "attempts": 2, "resumable": resumable}
@@ -128,7 +128,7 @@
 		models = append(models, map[string]any{"name": m, "weights-mb": 70000, "load-s": 0.1, "adapters": 3, "adapter-mb": 60})
 	}
 	data, err := json.Marshal(map[string]any{
-		"version": x.version,
+		"version": c.version,
 		"routes": []any{
 			route("stream", "/stream/", "stream", "writer", true), route("read", "/read/", "safe", "app", false),
 			route("bid", "/bid/", "unsafe", "app", false),
@@ -142,13 +142,13 @@
 		"tenants": []any{map[string]any{"name": "org", "api-keys": keys, "unit": "tokens", "plain-tokens": 10, "rate-per-s": 1000000, "burst": 1000000}},
 	})
 	if err != nil {
-		x.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	x.store.Put("keyed.op", "config", data)
+	c.store.Put("keyed.op", "config", data)
 }
 
-// nextPort counts through ports below those that outgoing connections take: a port that was
-// free a moment ago would else be another's by the time that a node listens.
+// nextPort counts up through ports below the ephemeral range. An outgoing connection could take a
+// port of that range between the check that it is free and the node's listen.
 var nextPort atomic.Int32
 
 func init() { nextPort.Store(20000 + rand.Int32N(10000)) }
@@ -168,34 +168,34 @@
 	return ""
 }
 
-func (x *site) node() *running {
+func (c *cluster) startNode() *runningNode {
 	s := settings.Gateway{
-		ID: galenastair.InstanceID(fmt.Sprintf("n%d", len(x.nodes)+1)), Region: "r", AvailabilityZone: "z1",
-		CallerAddress: freeAddress(x.t), ReadyAddress: freeAddress(x.t), PeerAddress: freeAddress(x.t), MetricsAddress: freeAddress(x.t),
-		StoreAddress: x.address, Memory: 1 << 30,
+		ID: galenastair.InstanceID(fmt.Sprintf("n%d", len(c.nodes)+1)), Region: "r", AvailabilityZone: "z1",
+		CallerAddress: freeAddress(c.t), ReadyAddress: freeAddress(c.t), PeerAddress: freeAddress(c.t), MetricsAddress: freeAddress(c.t),
+		StoreAddress: c.address, Memory: 1 << 30,
 		Bounds: settings.Bounds{KeyLife: 5 * time.Second, StopTimeout: 8 * time.Second, ApplyTimeout: 2 * time.Second, LeaveTimeout: 2 * time.Second, FencesChecked: true,
 			RetryRatio: 0.2, RetrySlack: 50, QuotaWindow: 8 * time.Second, QuotaOver: 0.1, QuotaSlack: 17000},
 	}
-	ctx, cancel := context.WithCancel(context.WithoutCancel(x.t.Context()))
-	r := &running{settings: s, stop: cancel, ended: make(chan error, 1)}
-	go func() { r.ended <- New(s).Run(ctx) }()
-	x.nodes = append(x.nodes, r)
-	x.t.Cleanup(func() { x.end(r) })
-	x.until("a node is ready", func() bool { return x.status("http://"+s.ReadyAddress+"/v1/ready") == 200 })
+	ctx, cancel := context.WithCancel(context.WithoutCancel(c.t.Context()))
+	r := &runningNode{settings: s, stop: cancel, done: make(chan error, 1)}
+	go func() { r.done <- New(s).Run(ctx) }()
+	c.nodes = append(c.nodes, r)
+	c.t.Cleanup(func() { c.stopNode(r) })
+	c.waitFor("the node to be ready", func() bool { return c.status("http://"+s.ReadyAddress+"/v1/ready") == 200 })
 	return r
 }
 
-// end stops a node and waits until its process would have ended.
-func (x *site) end(r *running) {
+// stopNode stops a node and waits until Run has returned.
+func (c *cluster) stopNode(r *runningNode) {
 	r.once.Do(func() {
 		r.stop()
-		if err := <-r.ended; err != nil && !errors.Is(err, context.Canceled) {
-			x.t.Error(err)
+		if err := <-r.done; err != nil && !errors.Is(err, context.Canceled) {
+			c.t.Error(err)
 		}
 	})
 }
 
-func (x *site) status(url string) int {
+func (c *cluster) status(url string) int {
 	resp, err := http.Get(url)
 	if err != nil {
 		return 0
@@ -204,44 +204,44 @@
 	return resp.StatusCode
 }
 
-func (x *site) until(what string, ok func() bool) {
-	x.t.Helper()
+func (c *cluster) waitFor(condition string, ok func() bool) {
+	c.t.Helper()
 	for range 600 {
 		if ok() {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	x.t.Fatal("not seen: " + what)
+	c.t.Fatal("timed out waiting for: " + condition)
 }
 
-type answer struct {
+type response struct {
 	status int
 	body   string
 	err    error
 }
 
-var attempts struct {
+var attemptCounter struct {
 	sync.Mutex
 	n int
 }
 
-func newAttempt() string {
-	attempts.Lock()
-	defer attempts.Unlock()
-	attempts.n++
-	return fmt.Sprintf("r%d", attempts.n)
+func newAttemptID() string {
+	attemptCounter.Lock()
+	defer attemptCounter.Unlock()
+	attemptCounter.n++
+	return fmt.Sprintf("r%d", attemptCounter.n)
 }
 
-// call sends one request to a node as a client does.
-func (x *site) call(n *running, path, model, key string) answer {
-	return x.attempt(newAttempt(), n, path, model, key)
+// call sends a request to a node.
+func (c *cluster) call(n *runningNode, path, model, key string) response {
+	return c.attempt(newAttemptID(), n, path, model, key)
 }
 
-func (x *site) attempt(id string, n *running, path, model, key string) answer {
-	req, err := http.NewRequestWithContext(x.t.Context(), http.MethodPost, "http://"+n.settings.CallerAddress+path, strings.NewReader("body of "+id))
+func (c *cluster) attempt(id string, n *runningNode, path, model, key string) response {
+	req, err := http.NewRequestWithContext(c.t.Context(), http.MethodPost, "http://"+n.settings.CallerAddress+path, strings.NewReader("body of "+id))
 	if err != nil {
-		x.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	req.Host = host
 	req.Header.Set("Galenastair-Attempt-Id", id)
@@ -253,91 +253,91 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	return answer{resp.StatusCode, string(body), err}
+	return response{resp.StatusCode, string(body), err}
 }
 
-const wholeStream = "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\nid: 4\ndata: piece 4\n\nid: 5\ndata: piece 5\n\nid: 6\ndata: piece 6\n\n"
+const completeStream = "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\nid: 4\ndata: piece 4\n\nid: 5\ndata: piece 5\n\nid: 6\ndata: piece 6\n\n"
 
-// The whole path: two nodes find each other through the store, one plans, a model and
-// an adapter that nobody holds are loaded, each kind of request is answered, and no key
-// reaches a replica.
-func TestWholePath(t *testing.T) {
+// Two nodes find each other through the store and one becomes the leader. Every kind of request
+// is answered, a model and an adapter that no engine has are loaded, and no API key reaches a
+// replica.
+func TestEndToEnd(t *testing.T) {
 	is := is.New(t)
-	x := newSite(t, 2)
-	for _, n := range x.nodes {
-		is.Equal(x.call(n, "/bid/1", "", key).status, 200)
-		is.Equal(x.call(n, "/read/1", "", key).status, 200)
-		is.Equal(x.call(n, "/stream/1", "m1", key).body, wholeStream)
-		is.Equal(x.call(n, "/read/1", "", "wrong").status, 401)
-		is.Equal(x.call(n, "/none/1", "", key).status, 404)
+	c := newCluster(t, 2)
+	for _, n := range c.nodes {
+		is.Equal(c.call(n, "/bid/1", "", key).status, 200)
+		is.Equal(c.call(n, "/read/1", "", key).status, 200)
+		is.Equal(c.call(n, "/stream/1", "m1", key).body, completeStream)
+		is.Equal(c.call(n, "/read/1", "", "wrong").status, 401)
+		is.Equal(c.call(n, "/none/1", "", key).status, 404)
 	}
-	x.until("an adapter answers", func() bool { return x.call(x.nodes[0], "/stream/1", "m2/a2", key).body == wholeStream })
-	x.until("a model that nobody held answers", func() bool { return x.call(x.nodes[1], "/stream/1", "m3", key).body == wholeStream })
-	for _, r := range x.replicas {
+	c.waitFor("a response of an adapter that no engine has loaded", func() bool { return c.call(c.nodes[0], "/stream/1", "m2/a2", key).body == completeStream })
+	c.waitFor("a response of a model that no engine has loaded", func() bool { return c.call(c.nodes[1], "/stream/1", "m3", key).body == completeStream })
+	for _, r := range c.replicas {
 		is.Equal(r.Crashed(), "")
 		for _, run := range r.Runs() {
 			is.True(!run.Key)
 			is.Equal(run.Tenant, "org")
 		}
 	}
-	for _, n := range x.nodes {
-		is.Equal(x.status("http://"+n.settings.MetricsAddress+"/metrics"), 200)
+	for _, n := range c.nodes {
+		is.Equal(c.status("http://"+n.settings.MetricsAddress+"/metrics"), 200)
 	}
 }
 
-// An engine breaks its streams off in mid-event; the streams go on at the other one.
-func TestStreamSurvivesItsEngine(t *testing.T) {
+// When an engine cuts its streams in the middle of an event, they continue on the other engine.
+func TestStreamResumesOnAnotherEngine(t *testing.T) {
 	is := is.New(t)
-	x := newSite(t, 1)
-	x.replicas["e1"].Switch(func(s *replica.Switches) { s.CutAfter = 2 })
+	c := newCluster(t, 1)
+	c.replicas["e1"].Switch(func(s *replica.Switches) { s.CutAfter = 2 })
 	for range 6 {
-		is.Equal(x.call(x.nodes[0], "/stream/1", "m1", key).body, wholeStream)
+		is.Equal(c.call(c.nodes[0], "/stream/1", "m1", key).body, completeStream)
 	}
 }
 
-// A withdrawn key ends within the platform's bound on a node that the store turns away,
-// and that never hears of it: it stops admitting any key.
-func TestKeysEndWithoutTheStore(t *testing.T) {
+// A node that the store refuses does not learn that a key is withdrawn. It must stop accepting any
+// key within the platform's bound.
+func TestKeysExpireWithoutStore(t *testing.T) {
 	is := is.New(t)
-	x := newSite(t, 1)
-	n := x.nodes[0]
-	is.Equal(x.call(n, "/read/1", "", key).status, 200)
-	x.store.Switch(func(s *metastore.Switches) { s.Refuse = true })
-	x.publish()
+	c := newCluster(t, 1)
+	n := c.nodes[0]
+	is.Equal(c.call(n, "/read/1", "", key).status, 200)
+	c.store.Switch(func(s *metastore.Switches) { s.Refuse = true })
+	c.publish()
 	withdrawn := time.Now()
-	x.until("no key is admitted", func() bool { return x.call(n, "/read/1", "", key).status == 503 })
+	c.waitFor("all keys to be refused", func() bool { return c.call(n, "/read/1", "", key).status == 503 })
 	is.True(time.Since(withdrawn) < 5*time.Second)
-	x.until("the node is not ready", func() bool { return x.status("http://"+n.settings.ReadyAddress+"/v1/ready") == 503 })
-	x.store.Switch(func(s *metastore.Switches) { s.Refuse = false })
-	x.until("the key is unknown", func() bool { return x.call(n, "/read/1", "", key).status == 401 })
+	c.waitFor("the node to be unready", func() bool { return c.status("http://"+n.settings.ReadyAddress+"/v1/ready") == 503 })
+	c.store.Switch(func(s *metastore.Switches) { s.Refuse = false })
+	c.waitFor("the key to be unknown", func() bool { return c.call(n, "/read/1", "", key).status == 401 })
 }
 
-// A replica says that it leaves: it gets nothing new soon after.
-func TestLeavingReplicaGetsNothingNew(t *testing.T) {
+// A replica that announces that it leaves must get no new requests shortly after.
+func TestLeavingReplicaGetsNoNewRequests(t *testing.T) {
 	is := is.New(t)
-	x := newSite(t, 1)
-	x.replicas["p1"].Drain()
+	c := newCluster(t, 1)
+	c.replicas["p1"].Drain()
 	time.Sleep(1800 * time.Millisecond)
-	before := len(x.replicas["p1"].Runs())
+	before := len(c.replicas["p1"].Runs())
 	for range 20 {
-		is.Equal(x.call(x.nodes[0], "/bid/1", "", key).status, 200)
+		is.Equal(c.call(c.nodes[0], "/bid/1", "", key).status, 200)
 	}
-	is.Equal(len(x.replicas["p1"].Runs()), before)
+	is.Equal(len(c.replicas["p1"].Runs()), before)
 }
 
-// A client leaves in mid-stream: its engine stops within half a second.
-func TestClientThatLeavesStopsItsEngine(t *testing.T) {
+// When a client disconnects during a stream, the engine must stop within half a second.
+func TestClientDisconnectStopsEngine(t *testing.T) {
 	is := is.New(t)
-	x := newSite(t, 1)
-	for _, r := range x.replicas {
+	c := newCluster(t, 1)
+	for _, r := range c.replicas {
 		r.Switch(func(s *replica.Switches) { s.EventGap = 200 * time.Millisecond })
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+x.nodes[0].settings.CallerAddress+"/stream/1", strings.NewReader("b"))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.nodes[0].settings.CallerAddress+"/stream/1", strings.NewReader("b"))
 	is.NoErr(err)
 	req.Host = host
 	for k, v := range map[string]string{"Galenastair-Attempt-Id": "left", "Authorization": "Bearer " + key, "Galenastair-Model": "m2",
@@ -350,31 +350,31 @@
 	is.NoErr(err)
 	cancel()
 	resp.Body.Close()
-	left := time.Now()
-	x.until("the engine stops", func() bool {
-		for _, run := range x.replicas["e1"].Runs() {
+	disconnected := time.Now()
+	c.waitFor("the engine to stop", func() bool {
+		for _, run := range c.replicas["e1"].Runs() {
 			if run.ID == "left" && run.Left {
 				return true
 			}
 		}
 		return false
 	})
-	is.True(time.Since(left) < 500*time.Millisecond)
+	is.True(time.Since(disconnected) < 500*time.Millisecond)
 }
 
-// A node is told to stop under load: every request is answered whole or refused as not
-// run, and the other node takes the lease over.
-func TestStopCutsNothing(t *testing.T) {
+// When a node is stopped under load, every request must be answered completely or refused as not
+// executed, and the other node must take over the lease.
+func TestShutdownDrainsRequests(t *testing.T) {
 	is := is.New(t)
-	x := newSite(t, 2)
-	for _, r := range x.replicas {
+	c := newCluster(t, 2)
+	for _, r := range c.replicas {
 		r.Switch(func(s *replica.Switches) { s.EventGap = 20 * time.Millisecond })
 	}
-	first := x.nodes[0]
+	first := c.nodes[0]
 	stopped := make(chan struct{})
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	var wrong []answer
+	var failures []response
 	for range 4 {
 		wg.Go(func() {
 			for {
@@ -383,22 +383,22 @@
 					return
 				default:
 				}
-				a := x.call(first, "/stream/1", "m1", key)
-				refused := a.status == 503 || a.status == 429 || a.err != nil && a.status == 0
-				if a.body != wholeStream && !refused {
+				r := c.call(first, "/stream/1", "m1", key)
+				refused := r.status == 503 || r.status == 429 || r.err != nil && r.status == 0
+				if r.body != completeStream && !refused {
 					mu.Lock()
-					wrong = append(wrong, a)
+					failures = append(failures, r)
 					mu.Unlock()
 				}
 			}
 		})
 	}
 	time.Sleep(300 * time.Millisecond)
-	x.end(first)
+	c.stopNode(first)
 	close(stopped)
 	wg.Wait()
-	for _, a := range wrong {
-		t.Errorf("status %d, err %v, body %q", a.status, a.err, a.body)
+	for _, r := range failures {
+		t.Errorf("status %d, err %v, body %q", r.status, r.err, r.body)
 	}
-	is.Equal(x.call(x.nodes[1], "/stream/1", "m1", key).body, wholeStream)
+	is.Equal(c.call(c.nodes[1], "/stream/1", "m1", key).body, completeStream)
 }
--- a/node/note.go
+++ b/node/note.go
@@ -10,42 +10,43 @@
 	"galenastair/platform"
 )
 
-// note ties what the lender leaves on the platform to those that read it.
-func (n *Node) note(ctx context.Context) lease.Note {
+// checkpointer returns the callbacks with which the elector stores the leader's state on the
+// platform and restores it.
+func (n *Node) checkpointer(ctx context.Context) lease.Note {
 	return lease.Note{
 		Topic: platform.NoteTopic,
 		Write: func() []byte {
-			note, ok := n.planner.Note(ctx)
+			state, ok := n.planner.Note(ctx)
 			if !ok {
 				return nil
 			}
-			data, err := json.Marshal(note)
+			data, err := json.Marshal(state)
 			if err != nil {
 				n.logger.Log("event", "note", "err", err)
 			}
 			return data
 		},
 		Written: func(data []byte) {
-			if note, ok := n.decodeNote(data); ok {
-				n.post(n.planner.Noted(ctx, note))
+			if state, ok := n.decodeLeaderState(data); ok {
+				n.logPostError(n.planner.Noted(ctx, state))
 			}
 		},
 		Read: func(data []byte, first bool) {
-			note, ok := n.decodeNote(data)
+			state, ok := n.decodeLeaderState(data)
 			if !ok {
 				return
 			}
-			n.post(n.planner.SetNote(ctx, note))
-			n.share.Presume(time.Now(), n.settings.ID, note.Note, first)
+			n.logPostError(n.planner.SetNote(ctx, state))
+			n.borrower.Presume(time.Now(), n.settings.ID, state.Note, first)
 		},
 	}
 }
 
-func (n *Node) decodeNote(data []byte) (planner.Note, bool) {
-	var note planner.Note
-	err := json.Unmarshal(data, &note)
+func (n *Node) decodeLeaderState(data []byte) (planner.Note, bool) {
+	var state planner.Note
+	err := json.Unmarshal(data, &state)
 	if err != nil {
 		n.logger.Log("event", "note", "note", string(data), "err", err)
 	}
-	return note, err == nil
+	return state, err == nil
 }
--- a/node/quotas_test.go
+++ b/node/quotas_test.go
@@ -10,15 +10,16 @@
 	"galenastair/settings"
 )
 
-// All of a large fleet are killed; each starts with the part of one of a few instances, and
-// together they grant many times the contract until a leader is there.
-func TestStartedInstanceGrantsNothingByItself(t *testing.T) {
+// A new instance must grant nothing before a leader answers. When all instances of a large fleet
+// restarted, each used to grant the fraction of an instance of a small fleet, and together they
+// granted many times the contract until there was a leader.
+func TestNewInstanceGrantsNothingWithoutLeader(t *testing.T) {
 	is := is.New(t)
 	n := New(settings.Gateway{PeerAddress: "127.0.0.1:1", Bounds: settings.Bounds{QuotaWindow: 8 * time.Second, QuotaOver: 0.1, QuotaSlack: 17000}})
-	n.share.SetContracts(time.Now(), catalog.New(1, catalog.Limits{}, nil, nil, []*catalog.Organisation{{Name: "org", Rate: 400000, Burst: 400000, InTokens: true}}))
+	n.borrower.SetContracts(time.Now(), catalog.New(1, catalog.Limits{}, nil, nil, []*catalog.Organisation{{Name: "org", Rate: 400000, Burst: 400000, InTokens: true}}))
 	now := time.Now()
-	n.share.MissLender(now)
+	n.borrower.MissLender(now)
 	for i := range 100 {
-		is.True(!n.share.Take(now.Add(time.Duration(i)*20*time.Millisecond), "org", 1000))
+		is.True(!n.borrower.Take(now.Add(time.Duration(i)*20*time.Millisecond), "org", 1000))
 	}
 }
--- a/node/servers.go
+++ b/node/servers.go
@@ -15,121 +15,122 @@
 )
 
 const (
-	// reregisterTimeout is how long after a call that the store did not answer an entry that
-	// expired meanwhile may take to come back; one that is missing then is gone. It ends, with
-	// a sweep, before an instance counts as in touch with the store again.
+	// reregisterTimeout is the time after a failed call to the store within which a server whose
+	// registration has expired may register again; after that the server is removed. Together
+	// with sweepInterval it is shorter than the time after an outage at which the platform's
+	// bounds apply again.
 	reregisterTimeout = 2600 * time.Millisecond
-	// sweepPeriod is how often expired entries are looked at.
-	sweepPeriod = 250 * time.Millisecond
+	// sweepInterval is the interval at which expired registrations are checked.
+	sweepInterval = 250 * time.Millisecond
 )
 
-// servers follows the registrations of backend servers.
-type servers struct {
+// serverWatcher follows the registrations of backend servers.
+type serverWatcher struct {
 	follower *follow.Follower
 	logger   log.Logger
 	clock    galenastair.Clock
-	set      func(pool.Server)
-	remove   func(galenastair.BackendServerID)
+	onUpdate func(pool.Server)
+	onRemove func(galenastair.BackendServerID)
 
 	batches chan serverBatch
-	// ended is closed when run has returned.
-	ended chan struct{}
-	// table answers others for what changed.
+	// done is closed when run has returned.
+	done chan struct{}
+	// table holds the changes for other instances.
 	table *registry.Table
 
-	// owned by run
-	known   map[galenastair.BackendServerID]galenastair.Offset
-	expired map[galenastair.BackendServerID]bool
-	foreign map[galenastair.BackendServerID]bool
-	leaving map[galenastair.BackendServerID]bool
-	// unlogged are the servers of each event since the last line.
-	unlogged [serverEvents][]string
+	// used by run alone
+	offsets     map[galenastair.BackendServerID]galenastair.Offset
+	expired     map[galenastair.BackendServerID]bool
+	undecodable map[galenastair.BackendServerID]bool
+	leaving     map[galenastair.BackendServerID]bool
+	// pendingEvents are the servers of each kind of event that are not logged yet.
+	pendingEvents [numServerEvents][]string
 }
 
-// serverEvent is what becomes of a backend server's registration.
+// serverEvent is a kind of change of a backend server's registration.
 type serverEvent int
 
 const (
 	serverLeaving serverEvent = iota
-	// serverExpired is one whose entry is gone and may come back.
+	// serverExpired is the loss of a registration whose server may register again.
 	serverExpired
-	serverGone
-	serverEvents
+	serverRemoved
+	numServerEvents
 )
 
-var eventNames = [serverEvents]string{"backend server leaving", "backend server expired", "backend server gone"}
+var eventNames = [numServerEvents]string{"backend server leaving", "backend server expired", "backend server gone"}
 
-func (s *servers) note(e serverEvent, id galenastair.BackendServerID) {
-	s.unlogged[e] = append(s.unlogged[e], string(id))
+func (s *serverWatcher) recordEvent(e serverEvent, id galenastair.BackendServerID) {
+	s.pendingEvents[e] = append(s.pendingEvents[e], string(id))
 }
 
-// logEvents writes one line for each event: after a loss of power a line for each server at each
-// instance would be the fleet times the servers.
-func (s *servers) logEvents() {
-	for e, ids := range s.unlogged {
+// logEvents writes one line for each kind of event. With a line for each server, a loss of power
+// would cause as many lines as there are instances times servers.
+func (s *serverWatcher) logEvents() {
+	for e, ids := range s.pendingEvents {
 		if len(ids) > 0 {
 			s.logger.Log("event", eventNames[e], "count", len(ids), "server", strings.Join(ids, ","))
 		}
 	}
-	s.unlogged = [serverEvents][]string{}
+	s.pendingEvents = [numServerEvents][]string{}
 }
 
-// serverBatch is what was read, or told by another instance.
+// serverBatch contains records read from the store or changes sent by another instance.
 type serverBatch struct {
 	galenastair.KeyedBatch
-	whole   bool
-	changes []registry.Change
-	// taken is closed once the batch has been taken in.
-	taken chan struct{}
+	snapshot bool
+	changes  []registry.Change
+	// applied is closed once the batch has been applied.
+	applied chan struct{}
 }
 
-// newServers returns what knows no registration; its owner sets the follower, set and
-// remove before it runs.
-func newServers(logger log.Logger) *servers {
-	return &servers{
-		logger:  logger,
-		clock:   galenastair.SystemClock{},
-		batches: make(chan serverBatch),
-		ended:   make(chan struct{}),
-		known:   map[galenastair.BackendServerID]galenastair.Offset{},
-		expired: map[galenastair.BackendServerID]bool{},
-		foreign: map[galenastair.BackendServerID]bool{},
-		leaving: map[galenastair.BackendServerID]bool{},
-		table:   registry.NewTable(),
+// newServerWatcher returns a watcher without registrations. The caller sets follower, onUpdate and
+// onRemove before run.
+func newServerWatcher(logger log.Logger) *serverWatcher {
+	return &serverWatcher{
+		logger:      logger,
+		clock:       galenastair.SystemClock{},
+		batches:     make(chan serverBatch),
+		done:        make(chan struct{}),
+		offsets:     map[galenastair.BackendServerID]galenastair.Offset{},
+		expired:     map[galenastair.BackendServerID]bool{},
+		undecodable: map[galenastair.BackendServerID]bool{},
+		leaving:     map[galenastair.BackendServerID]bool{},
+		table:       registry.NewTable(),
 	}
 }
 
-// apply takes in what the follower has read.
-func (s *servers) apply(b galenastair.KeyedBatch, whole bool) {
-	s.submit(serverBatch{KeyedBatch: b, whole: whole})
+// apply applies a batch that the follower has read.
+func (s *serverWatcher) apply(b galenastair.KeyedBatch, snapshot bool) {
+	s.submit(serverBatch{KeyedBatch: b, snapshot: snapshot})
 }
 
-// applyChanges takes in what another instance told of the records before an offset.
-func (s *servers) applyChanges(changes []registry.Change, end galenastair.Offset) {
+// applyChanges applies the changes that another instance has sent for the records before end.
+func (s *serverWatcher) applyChanges(changes []registry.Change, end galenastair.Offset) {
 	s.submit(serverBatch{KeyedBatch: galenastair.KeyedBatch{Next: end, End: end}, changes: changes})
 }
 
-// submit waits until run has taken a batch in.
-func (s *servers) submit(b serverBatch) {
-	b.taken = make(chan struct{})
+// submit hands a batch to run and waits until it has been applied.
+func (s *serverWatcher) submit(b serverBatch) {
+	b.applied = make(chan struct{})
 	select {
 	case s.batches <- b:
-	case <-s.ended:
+	case <-s.done:
 		return
 	}
-	<-b.taken
+	<-b.applied
 }
 
-// run takes in batches and sweeps expired entries until the context ends.
-func (s *servers) run(ctx context.Context) error {
-	defer close(s.ended)
-	tick := time.NewTicker(sweepPeriod)
+// run applies batches and removes expired registrations until the context is done.
+func (s *serverWatcher) run(ctx context.Context) error {
+	defer close(s.done)
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case b := <-s.batches:
-			s.take(s.clock.Now(), b)
-			close(b.taken)
+			s.applyBatch(s.clock.Now(), b)
+			close(b.applied)
 			s.logEvents()
 		case <-tick.C:
 			s.sweep()
@@ -140,35 +141,35 @@
 	}
 }
 
-func (s *servers) take(now time.Time, b serverBatch) {
+func (s *serverWatcher) applyBatch(now time.Time, b serverBatch) {
 	seen := map[galenastair.BackendServerID]bool{}
 	for _, r := range b.Records {
 		id := galenastair.BackendServerID(r.Key)
 		seen[id] = true
-		if old, ok := s.known[id]; ok && r.Offset < old {
+		if old, ok := s.offsets[id]; ok && r.Offset < old {
 			continue
 		}
-		s.known[id] = r.Offset
-		s.takeRecord(now, id, r)
+		s.offsets[id] = r.Offset
+		s.applyRecord(now, id, r)
 	}
 	for _, c := range b.changes {
-		s.takeChange(now, c, b.Next)
+		s.applyChange(now, c, b.Next)
 	}
-	if b.whole {
-		for id := range s.known {
+	if b.snapshot {
+		for id := range s.offsets {
 			if !seen[id] {
-				s.expire(id, b.Next)
+				s.handleRemoval(id, b.Next)
 			}
 		}
 	}
-	s.table.AdvanceTo(b.Next, b.whole)
+	s.table.AdvanceTo(b.Next, b.snapshot)
 }
 
-// takeChange takes in what another instance knows of a server.
-func (s *servers) takeChange(now time.Time, c registry.Change, end galenastair.Offset) {
+// applyChange applies a change that another instance has sent for the records before end.
+func (s *serverWatcher) applyChange(now time.Time, c registry.Change, end galenastair.Offset) {
 	if c.Gone {
-		if _, there := s.known[c.ID]; there {
-			s.expire(c.ID, end)
+		if _, known := s.offsets[c.ID]; known {
+			s.handleRemoval(c.ID, end)
 		}
 		return
 	}
@@ -176,13 +177,13 @@
 	if !ok {
 		return
 	}
-	s.known[c.ID] = end - 1
-	s.use(now, srv)
+	s.offsets[c.ID] = end - 1
+	s.update(now, srv)
 }
 
-// since says when a server that leaves may have said so first: when the store was last known
-// not to have heard it yet.
-func (s *servers) since(now time.Time, srv pool.Server) pool.Server {
+// withLeavingSince sets the earliest time at which a leaving server may have announced that it
+// leaves: the last time at which the store was known not to have the announcement.
+func (s *serverWatcher) withLeavingSince(now time.Time, srv pool.Server) pool.Server {
 	if !srv.Leaving {
 		return srv
 	}
@@ -192,69 +193,70 @@
 	return srv
 }
 
-func (s *servers) takeRecord(now time.Time, id galenastair.BackendServerID, r galenastair.KeyedRecord) {
+func (s *serverWatcher) applyRecord(now time.Time, id galenastair.BackendServerID, r galenastair.KeyedRecord) {
 	if len(r.Value) == 0 {
-		s.expire(id, r.Offset)
+		s.handleRemoval(id, r.Offset)
 		return
 	}
 	srv, err := platform.DecodeServer(r.Key, r.Value)
 	if err != nil {
-		if !s.foreign[id] {
-			s.foreign[id] = true
+		if !s.undecodable[id] {
+			s.undecodable[id] = true
 			s.logger.Log("event", "registration unreadable", "server", id, "err", err)
 		}
 		return
 	}
 	s.table.Set(r.Offset, srv)
-	s.use(now, srv)
+	s.update(now, srv)
 }
 
-// use hands on a server as it is registered now.
-func (s *servers) use(now time.Time, srv pool.Server) {
+// update passes the current registration of a server to onUpdate.
+func (s *serverWatcher) update(now time.Time, srv pool.Server) {
 	delete(s.expired, srv.ID)
 	if srv.Leaving && !s.leaving[srv.ID] {
-		s.note(serverLeaving, srv.ID)
+		s.recordEvent(serverLeaving, srv.ID)
 	}
 	s.leaving[srv.ID] = srv.Leaving
-	s.set(s.since(now, srv))
+	s.onUpdate(s.withLeavingSince(now, srv))
 }
 
-// expire notes that an entry is gone. Right after an outage of the store all are gone for a
-// moment, as their owners could not renew them. Others are told at once: whether the store
-// was away for them too, each knows for itself.
-func (s *servers) expire(id galenastair.BackendServerID, at galenastair.Offset) {
+// handleRemoval handles a registration that no longer exists. It defers the removal of the server
+// after a failed call to the store: in an outage no server can renew its registration, so that all
+// of them expire at once and return shortly after. Other instances are sent the removal
+// immediately, as each of them knows whether its own calls have failed.
+func (s *serverWatcher) handleRemoval(id galenastair.BackendServerID, at galenastair.Offset) {
 	if s.expired[id] {
 		return
 	}
 	s.table.Remove(at, id)
-	if s.mayReturn() {
+	if s.mayReregister() {
 		s.expired[id] = true
-		s.note(serverExpired, id)
+		s.recordEvent(serverExpired, id)
 		return
 	}
-	s.forget(id)
+	s.removeServer(id)
 }
 
-// mayReturn says whether entries that are gone may have expired for lack of the store.
-func (s *servers) mayReturn() bool {
-	since, lost := s.follower.SinceUnanswered()
-	return lost && since < reregisterTimeout
+// mayReregister reports whether registrations may have expired because of a recent store outage.
+func (s *serverWatcher) mayReregister() bool {
+	since, failed := s.follower.SinceUnanswered()
+	return failed && since < reregisterTimeout
 }
 
-func (s *servers) forget(id galenastair.BackendServerID) {
-	delete(s.known, id)
+func (s *serverWatcher) removeServer(id galenastair.BackendServerID) {
+	delete(s.offsets, id)
 	delete(s.expired, id)
 	delete(s.leaving, id)
-	s.note(serverGone, id)
-	s.remove(id)
+	s.recordEvent(serverRemoved, id)
+	s.onRemove(id)
 }
 
-// sweep drops expired entries that have not come back in time.
-func (s *servers) sweep() {
-	if s.mayReturn() {
+// sweep removes the servers that have not registered again within reregisterTimeout.
+func (s *serverWatcher) sweep() {
+	if s.mayReregister() {
 		return
 	}
 	for id := range s.expired {
-		s.forget(id)
+		s.removeServer(id)
 	}
 }
--- a/node/servers_test.go
+++ b/node/servers_test.go
@@ -18,23 +18,23 @@
 	"galenastair/standin/metastore"
 )
 
-// registrations are what one instance knows of backend servers, without a store.
-type registrations struct {
-	*servers
-	used map[galenastair.BackendServerID]bool
-	next galenastair.Offset
+// serverView is a serverWatcher without a store, with the servers that it has reported.
+type serverView struct {
+	*serverWatcher
+	inUse map[galenastair.BackendServerID]bool
+	next  galenastair.Offset
 }
 
-func newRegistrations() *registrations {
-	r := &registrations{servers: newServers(log.NewNopLogger()), used: map[galenastair.BackendServerID]bool{}}
+func newServerView() *serverView {
+	r := &serverView{serverWatcher: newServerWatcher(log.NewNopLogger()), inUse: map[galenastair.BackendServerID]bool{}}
 	r.follower = follow.New(nil, platform.RegistrationTopic, nil)
-	r.set = func(s pool.Server) { r.used[s.ID] = true }
-	r.remove = func(id galenastair.BackendServerID) { delete(r.used, id) }
+	r.onUpdate = func(s pool.Server) { r.inUse[s.ID] = true }
+	r.onRemove = func(id galenastair.BackendServerID) { delete(r.inUse, id) }
 	return r
 }
 
-// loseStore has the store refuse one call just now.
-func (r *registrations) loseStore(t *testing.T) {
+// failStoreCall has the follower make one call that the store refuses.
+func (r *serverView) failStoreCall(t *testing.T) {
 	t.Helper()
 	store := metastore.New()
 	store.Switch(func(sw *metastore.Switches) { sw.Refuse = true })
@@ -46,74 +46,74 @@
 	_ = r.follower.Run(ctx)
 }
 
-// read takes in records of the store from an offset on.
-func (r *registrations) read(now time.Time, from galenastair.Offset, whole bool, records ...galenastair.KeyedRecord) {
+// applyRecords applies records of the store from an offset on.
+func (r *serverView) applyRecords(now time.Time, from galenastair.Offset, snapshot bool, records ...galenastair.KeyedRecord) {
 	for i := range records {
 		records[i].Offset = from + galenastair.Offset(i)
 	}
 	end := from + galenastair.Offset(len(records))
-	r.take(now, serverBatch{KeyedBatch: galenastair.KeyedBatch{Records: records, Next: end, End: end}, whole: whole})
+	r.applyBatch(now, serverBatch{KeyedBatch: galenastair.KeyedBatch{Records: records, Next: end, End: end}, snapshot: snapshot})
 	r.next = end
 }
 
-// learn takes in what another instance tells of the records from this one's position on.
-func (r *registrations) learn(t *testing.T, now time.Time, from *registrations) {
+// applyPeerChanges applies the changes that another instance has from this one's offset on.
+func (r *serverView) applyPeerChanges(t *testing.T, now time.Time, from *serverView) {
 	t.Helper()
 	changes, end, ok := from.table.Since(r.next)
 	if !ok {
-		t.Fatal("the position is not known")
+		t.Fatal("Since: the offset has been compacted")
 	}
-	r.take(now, serverBatch{KeyedBatch: galenastair.KeyedBatch{Next: end, End: end}, changes: changes})
+	r.applyBatch(now, serverBatch{KeyedBatch: galenastair.KeyedBatch{Next: end, End: end}, changes: changes})
 	r.next = end
 }
 
-func registration(id string, beat int) galenastair.KeyedRecord {
-	value := fmt.Sprintf(`{"service":"s","address":"10.0.0.1:80","zone":"z","slots":4,"state":"ready","born":1,"sequence":%d}`, beat)
+func registration(id string, heartbeat int) galenastair.KeyedRecord {
+	value := fmt.Sprintf(`{"service":"s","address":"10.0.0.1:80","zone":"z","slots":4,"state":"ready","born":1,"sequence":%d}`, heartbeat)
 	return galenastair.KeyedRecord{Key: id, Value: []byte(value)}
 }
 
-func removal(id string) galenastair.KeyedRecord { return galenastair.KeyedRecord{Key: id} }
+func tombstone(id string) galenastair.KeyedRecord { return galenastair.KeyedRecord{Key: id} }
 
-// The leader's contact with the store breaks for a moment, and for seconds it does not pass
-// on that a backend server is gone.
-func TestRemovalIsToldWhileTheLeaderRegainsTheStore(t *testing.T) {
+// The leader must send the removal of a backend server while it defers the removal itself. After
+// one failed call to the store, it used to withhold the removal from the others for seconds.
+func TestRemovalIsSentWhileLeaderReconnects(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	leader, other := newRegistrations(), newRegistrations()
-	for _, r := range []*registrations{leader, other} {
-		r.read(now, 0, true, registration("e1", 1), registration("e2", 1))
+	leader, other := newServerView(), newServerView()
+	for _, r := range []*serverView{leader, other} {
+		r.applyRecords(now, 0, true, registration("e1", 1), registration("e2", 1))
 	}
-	leader.loseStore(t)
-	leader.read(now, 2, false, removal("e1"), registration("e2", 2))
-	other.learn(t, now.Add(300*time.Millisecond), leader)
-	is.True(!other.used["e1"])
-	is.True(other.used["e2"])
+	leader.failStoreCall(t)
+	leader.applyRecords(now, 2, false, tombstone("e1"), registration("e2", 2))
+	other.applyPeerChanges(t, now.Add(300*time.Millisecond), leader)
+	is.True(!other.inUse["e1"])
+	is.True(other.inUse["e2"])
 }
 
-// An entry expires and comes back while the leader waits for that; an instance that has read
-// the expiry itself is not told that the server is there again.
-func TestReturnIsToldAfterAnExpiryThatTheLeaderWaitedOut(t *testing.T) {
+// A registration expires and returns while the leader defers the removal. An instance that has
+// read the expiry from the store must receive the new registration from the leader.
+func TestReregistrationIsSentAfterDeferredRemoval(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	leader, other := newRegistrations(), newRegistrations()
-	for _, r := range []*registrations{leader, other} {
-		r.read(now, 0, true, registration("e1", 1))
+	leader, other := newServerView(), newServerView()
+	for _, r := range []*serverView{leader, other} {
+		r.applyRecords(now, 0, true, registration("e1", 1))
 	}
-	leader.loseStore(t)
-	leader.read(now, 1, false, removal("e1"))
-	other.read(now, 1, false, removal("e1"))
-	is.True(!other.used["e1"])
-	leader.read(now.Add(time.Second), 2, false, registration("e1", 2))
-	other.learn(t, now.Add(time.Second), leader)
-	is.True(other.used["e1"])
+	leader.failStoreCall(t)
+	leader.applyRecords(now, 1, false, tombstone("e1"))
+	other.applyRecords(now, 1, false, tombstone("e1"))
+	is.True(!other.inUse["e1"])
+	leader.applyRecords(now.Add(time.Second), 2, false, registration("e1", 2))
+	other.applyPeerChanges(t, now.Add(time.Second), leader)
+	is.True(other.inUse["e1"])
 }
 
-// inTouch is how long after an outage the platform's bounds hold again.
-const inTouch = 3 * time.Second
+// outageRecoveryTime is the time after an outage at which the platform's bounds apply again.
+const outageRecoveryTime = 3 * time.Second
 
-// A server is gone while the store turns some instances away. They go on using it for longer
-// than the time after which they count as in touch again.
-func TestRemovalDuringAnOutageIsInForceOnceInTouch(t *testing.T) {
+// A server is removed while the store refuses calls. All instances must stop using it within
+// outageRecoveryTime after the store's return.
+func TestRemovalDuringOutageAppliesAfterReconnect(t *testing.T) {
 	is := is.New(t)
 	store := metastore.New()
 	h := httptest.NewServer(store.Handler())
@@ -122,28 +122,28 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	removed := make(chan time.Time, 16)
-	used := make(chan bool, cap(removed))
-	var ended sync.WaitGroup
+	updated := make(chan bool, cap(removed))
+	var running sync.WaitGroup
 	for range cap(removed) {
-		s := newServers(log.NewNopLogger())
-		s.set = func(pool.Server) { used <- true }
-		s.remove = func(galenastair.BackendServerID) { removed <- time.Now() }
-		s.follower = follow.New(platform.NewStore(h.Listener.Addr().String()), platform.RegistrationTopic, s.apply, follow.WithWait(leaderWait))
-		ended.Go(func() { _ = s.run(ctx) })
-		ended.Go(func() { _ = s.follower.Run(ctx) })
+		s := newServerWatcher(log.NewNopLogger())
+		s.onUpdate = func(pool.Server) { updated <- true }
+		s.onRemove = func(galenastair.BackendServerID) { removed <- time.Now() }
+		s.follower = follow.New(platform.NewStore(h.Listener.Addr().String()), platform.RegistrationTopic, s.apply, follow.WithWait(leaderPollTimeout))
+		running.Go(func() { _ = s.run(ctx) })
+		running.Go(func() { _ = s.follower.Run(ctx) })
 		time.Sleep(30 * time.Millisecond)
 	}
-	for range cap(used) {
-		<-used
+	for range cap(updated) {
+		<-updated
 	}
 	store.Switch(func(sw *metastore.Switches) { sw.Refuse = true })
 	time.Sleep(1500 * time.Millisecond)
 	store.Put(string(platform.RegistrationTopic), "e1", nil)
 	store.Switch(func(sw *metastore.Switches) { sw.Refuse = false })
-	returned := time.Now()
+	recovered := time.Now()
 	for range cap(removed) {
-		is.True((<-removed).Sub(returned) < inTouch)
+		is.True((<-removed).Sub(recovered) < outageRecoveryTime)
 	}
 	cancel()
-	ended.Wait()
+	running.Wait()
 }
--- a/node/sources.go
+++ b/node/sources.go
@@ -8,67 +8,68 @@
 	"galenastair/boottime"
 )
 
-// sources says where instances get records that are too large to be told to all: a few of each
-// availability zone read the store, and the others of the zone ask those that are ahead of
-// them. It is made for hundreds of instances, of which the store may refuse some, and for
-// versions that come faster than one gets around.
-type sources struct {
+// fetchScheduler assigns each instance a source for records that are too large to be sent to all
+// by the leader: a few instances of each availability zone read the store, and the others fetch
+// from instances of the zone that have read further. It is designed for hundreds of instances,
+// some of which the store may refuse, and for versions that are published faster than one
+// version reaches all instances.
+type fetchScheduler struct {
 	mu    sync.Mutex
 	zones map[galenastair.AvailabilityZone]map[string]*reader
 }
 
-// reader is an instance that has reported how far it has read.
+// reader is an instance that reports how far it has read.
 type reader struct {
-	position galenastair.Offset
-	heard    boottime.Time
-	// asked is when it was sent to the store, if it has not come further since.
-	asked boottime.Time
-	// served are the times at which others were sent to it.
-	served []boottime.Time
+	offset     galenastair.Offset
+	lastReport boottime.Time
+	// assignedAt is when the instance was assigned the store, 0 if it has read further since.
+	assignedAt boottime.Time
+	// assignments are the times at which this instance was assigned as the source of another.
+	assignments []boottime.Time
 }
 
 const (
-	// readTime is what an instance takes to read the store and to report that it has.
-	readTime = 800 * time.Millisecond
-	// readerLife is how long an instance that reports no more counts: two exchanges, and one
-	// that was lost.
-	readerLife = 2 * time.Second
-	// fanOut is how many others an instance serves within readTime: the records of so many
-	// fit a small link.
+	// storeReadTimeout is the time within which an instance reads the store and reports it.
+	storeReadTimeout = 800 * time.Millisecond
+	// reportTimeout is the time after its last report at which an instance is removed: two
+	// report intervals and one lost report.
+	reportTimeout = 2 * time.Second
+	// fanOut is the number of instances that one instance serves within storeReadTimeout. A slow
+	// link can carry that many copies of the records.
 	fanOut = 8
 )
 
-// direction is where an instance gets the records that it lacks.
-type direction struct {
-	// Wait says that another instance is reading them.
+// fetchSource is the source from which an instance gets the records that it lacks.
+type fetchSource struct {
+	// Wait reports that another instance is still reading the records.
 	Wait bool
-	// Peer is the address of an instance that has some of them, and with Wait not all; if
-	// empty, the store has.
+	// Peer is the address of an instance that has the records, or only some of them if Wait is
+	// set. If Peer is empty and Wait is not set, the source is the store.
 	Peer string
 }
 
-// direct records how far an instance has read and says where it gets the rest.
-func (s *sources) direct(now boottime.Time, zone galenastair.AvailabilityZone, address string, position, end galenastair.Offset) direction {
+// assign records the offset that an instance has reported and returns a source for the rest.
+func (s *fetchScheduler) assign(now boottime.Time, zone galenastair.AvailabilityZone, address string, offset, end galenastair.Offset) fetchSource {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	own := s.record(now, zone, address, position)
-	if position >= end {
-		return direction{}
+	own := s.recordReport(now, zone, address, offset)
+	if offset >= end {
+		return fetchSource{}
 	}
 	readers := s.zones[zone]
-	if peer, r := furthest(now, readers, address); r != nil && r.position > position {
-		r.served = append(r.served, now)
-		return direction{Peer: peer, Wait: r.position < end}
+	if peer, r := mostAdvanced(now, readers, address); r != nil && r.offset > offset {
+		r.assignments = append(r.assignments, now)
+		return fetchSource{Peer: peer, Wait: r.offset < end}
 	}
-	if reading(now, readers) >= (len(readers)+fanOut-1)/fanOut {
-		return direction{Wait: true}
+	if storeReaders(now, readers) >= (len(readers)+fanOut-1)/fanOut {
+		return fetchSource{Wait: true}
 	}
-	own.asked = now
-	return direction{}
+	own.assignedAt = now
+	return fetchSource{}
 }
 
-// record takes in a report, and forgets the instances that report no more.
-func (s *sources) record(now boottime.Time, zone galenastair.AvailabilityZone, address string, position galenastair.Offset) *reader {
+// recordReport records a report, and removes instances of the zone that have stopped reporting.
+func (s *fetchScheduler) recordReport(now boottime.Time, zone galenastair.AvailabilityZone, address string, offset galenastair.Offset) *reader {
 	if s.zones == nil {
 		s.zones = map[galenastair.AvailabilityZone]map[string]*reader{}
 	}
@@ -78,7 +79,7 @@
 		s.zones[zone] = readers
 	}
 	for other, r := range readers {
-		if now.Sub(r.heard) > readerLife {
+		if now.Sub(r.lastReport) > reportTimeout {
 			delete(readers, other)
 		}
 	}
@@ -87,42 +88,43 @@
 		r = &reader{}
 		readers[address] = r
 	}
-	if position > r.position {
-		r.asked = 0
+	if offset > r.offset {
+		r.assignedAt = 0
 	}
-	r.position, r.heard = position, now
+	r.offset, r.lastReport = offset, now
 	return r
 }
 
-// furthest returns the instance that has read the furthest of those that have room for one
-// more to serve, and of equals the one that serves the fewest; nil if none has.
-func furthest(now boottime.Time, readers map[string]*reader, except string) (string, *reader) {
+// mostAdvanced returns, among the instances with capacity, the one that has read furthest, and of
+// equals the one with the fewest assignments. It returns nil if no instance has capacity.
+func mostAdvanced(now boottime.Time, readers map[string]*reader, except string) (string, *reader) {
 	var address string
 	var best *reader
 	for other, r := range readers {
-		if other == except || !r.hasRoom(now) {
+		if other == except || !r.hasCapacity(now) {
 			continue
 		}
-		if best == nil || r.position > best.position || r.position == best.position && len(r.served) < len(best.served) {
+		if best == nil || r.offset > best.offset || r.offset == best.offset && len(r.assignments) < len(best.assignments) {
 			address, best = other, r
 		}
 	}
 	return address, best
 }
 
-// hasRoom says whether the instance may serve one more.
-func (r *reader) hasRoom(now boottime.Time) bool {
-	for len(r.served) > 0 && now.Sub(r.served[0]) >= readTime {
-		r.served = r.served[1:]
+// hasCapacity reports whether the instance may be assigned as a source once more.
+func (r *reader) hasCapacity(now boottime.Time) bool {
+	for len(r.assignments) > 0 && now.Sub(r.assignments[0]) >= storeReadTimeout {
+		r.assignments = r.assignments[1:]
 	}
-	return len(r.served) < fanOut
+	return len(r.assignments) < fanOut
 }
 
-// reading counts the instances that were sent to the store and have not come further yet.
-func reading(now boottime.Time, readers map[string]*reader) int {
+// storeReaders returns the number of instances that are assigned the store and have not read
+// further yet.
+func storeReaders(now boottime.Time, readers map[string]*reader) int {
 	n := 0
 	for _, r := range readers {
-		if r.asked != 0 && now.Sub(r.asked) < readTime {
+		if r.assignedAt != 0 && now.Sub(r.assignedAt) < storeReadTimeout {
 			n++
 		}
 	}
--- a/node/status.go
+++ b/node/status.go
@@ -9,32 +9,32 @@
 	"galenastair/pool"
 )
 
-// StatusPath is where an instance tells on its metrics port what it knows and holds.
+// StatusPath is the path on the metrics port at which an instance serves its Status as JSON.
 const StatusPath = "/status"
 
-// Status is what an instance knows at one moment.
+// Status is a snapshot of the state of an instance.
 type Status struct {
 	Instance         galenastair.InstanceID
 	AvailabilityZone galenastair.AvailabilityZone
 	Ready            bool
-	// NotReady says why new connections are not welcome.
+	// NotReady is the reason why the instance accepts no new connections; empty if it is ready.
 	NotReady string
-	// Version is that of the configuration in force, 0 for none, and Age how long ago
-	// the store confirmed it.
+	// Version is the version of the current configuration, 0 if there is none, and Age the time
+	// since the store confirmed it.
 	Version int64
 	Age     time.Duration
-	// Planner is the peer address of the instance that plans and lends, as known here;
-	// Plans says that it is this one.
-	Planner string
-	Plans   bool
-	// Fleet is the number of instances that the quotas are dealt to; Alone says that no
-	// lender answers.
-	Fleet          int
-	Alone          bool
+	// Leader is the peer address of the last known leader, which plans placement and lends
+	// quota; IsLeader reports whether it is this instance.
+	Planner string `json:"Planner"`
+	Plans   bool   `json:"Plans"`
+	// FleetSize is the number of instances among which the quotas are divided; InFallback
+	// reports whether no lender answers, so that the instance spends only its own fraction.
+	Fleet          int  `json:"Fleet"`
+	Alone          bool `json:"Alone"`
 	BackendServers []pool.State
 }
 
-// Status returns what the instance knows now.
+// Status returns the current state of the instance.
 func (n *Node) Status() Status {
 	s := Status{
 		Instance:         n.settings.ID,
@@ -42,15 +42,15 @@
 		Ready:            true,
 		Planner:          n.elector.Leader(),
 		Plans:            n.lease.Holds(),
-		Fleet:            n.share.Fleet(),
-		Alone:            n.share.Alone(),
+		Fleet:            n.borrower.Fleet(),
+		Alone:            n.borrower.Alone(),
 		BackendServers:   n.pool.States(time.Now()),
 	}
 	if err := n.ready(); err != nil {
 		s.Ready, s.NotReady = false, err.Error()
 	}
-	if view, age := n.views.View(); view != nil {
-		s.Version, s.Age = view.Version, age
+	if current, age := n.catalogSource.View(); current != nil {
+		s.Version, s.Age = current.Version, age
 	}
 	return s
 }
--- a/node/storecalls.go
+++ b/node/storecalls.go
@@ -12,16 +12,16 @@
 	"galenastair/platform"
 )
 
-// storeCallsPeriod is how often an instance logs what it has asked the store, if anything.
-const storeCallsPeriod = 10 * time.Second
+// storeCallLogInterval is the interval at which the calls to the store are logged, if there were any.
+const storeCallLogInterval = 10 * time.Second
 
-// storeCalls counts the calls to the store since the last line.
+// storeCalls counts the calls to the store since they were last logged.
 type storeCalls struct {
 	mu     sync.Mutex
 	counts map[string]int
 }
 
-// observe takes in a call that has ended.
+// observe counts a finished call.
 func (c *storeCalls) observe(call platform.StoreCall) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -31,8 +31,8 @@
 	c.counts[fmt.Sprintf("%s/%s/%s", call.Call, call.Topic, storeOutcome(call.Err))]++
 }
 
-// take returns the counts in the order of their names, and begins anew.
-func (c *storeCalls) take() []any {
+// drain returns the counts as log keys and values, sorted by name, and resets them.
+func (c *storeCalls) drain() []any {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	names := make([]string, 0, len(c.counts))
@@ -62,14 +62,14 @@
 	return "Unanswered"
 }
 
-// logStoreCalls logs the counts until the context ends.
+// logStoreCalls logs the counts of calls to the store until the context is done.
 func (n *Node) logStoreCalls(ctx context.Context) error {
-	tick := time.NewTicker(storeCallsPeriod)
+	tick := time.NewTicker(storeCallLogInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			if counts := n.storeCalls.take(); len(counts) > 0 {
+			if counts := n.storeCalls.drain(); len(counts) > 0 {
 				n.logger.Log(append([]any{"event", "store calls"}, counts...)...)
 			}
 		case <-ctx.Done():
--- a/node/tails.go
+++ b/node/tails.go
@@ -13,66 +13,66 @@
 	"galenastair/registry"
 )
 
-// followed is one topic that this instance reads, and what it tells others of it.
-type followed struct {
+// topicState is the state of a topic that this instance follows, with the data for other instances.
+type topicState struct {
 	topic    galenastair.Topic
 	follower *follow.Follower
-	// tail is passed on as it was read; nil where changes are told instead.
+	// tail holds the records that are sent to others; nil if changes are sent instead.
 	tail *follow.Tail
-	// since returns what changed from a position on, and apply takes that in.
-	since func(galenastair.Offset) ([]registry.Change, galenastair.Offset, bool)
-	apply func([]registry.Change, galenastair.Offset)
+	// changesSince returns the changes since an offset, and applyChanges applies them.
+	changesSince func(galenastair.Offset) ([]registry.Change, galenastair.Offset, bool)
+	applyChanges func([]registry.Change, galenastair.Offset)
 }
 
-// peerServer answers the instances' reports: the planner's news, with what this instance
-// has read of the store beyond what they have.
+// peerServer answers the reports of other instances. It adds to the planner's update what this
+// instance has read of the store beyond the reported offsets.
 type peerServer struct {
 	*planner.Planner
-	topics   func() []followed
+	topics   func() []topicState
 	elector  *lease.Elector
 	accounts *account.Accounts
-	// sources direct the instances of a large fleet; nil where the platform's bounds leave no
-	// time for it.
-	sources *sources
+	// scheduler assigns sources to the instances of a large fleet; nil if the platform's
+	// ApplyTimeout is too short for that.
+	scheduler *fetchScheduler
 }
 
-// Charge answers for an organisation that this instance may own.
+// Charge charges a request to an organisation that this instance may own.
 func (t peerServer) Charge(o galenastair.Organisation, cost float64, known lease.Record) (account.Verdict, lease.Record) {
 	t.elector.Learn(known)
 	return t.accounts.Charge(boottime.Now(), o, cost), t.elector.Known()
 }
 
-// Exchange takes in a report.
+// Exchange answers the report of an instance.
 func (t peerServer) Exchange(ctx context.Context, r planner.Report) (planner.News, error) {
-	news, err := t.Planner.Exchange(ctx, r)
+	update, err := t.Planner.Exchange(ctx, r)
 	if err != nil {
-		return news, err
+		return update, err
 	}
-	news.Renewal = t.elector.Renewal()
+	update.Renewal = t.elector.Renewal()
 	for _, f := range t.topics() {
-		from, asked := r.Positions[f.topic]
+		from, reported := r.Positions[f.topic]
 		age, known := f.follower.Age()
-		if asked && known {
-			news.Tails = append(news.Tails, t.direct(r, news.Standing.Fleet, f.tailFrom(from, age)))
+		if reported && known {
+			update.Tails = append(update.Tails, t.assignSource(r, update.Standing.Fleet, f.tailFrom(from, age)))
 		}
 	}
-	return news, nil
+	return update, nil
 }
 
-// direct adds where the records are to be had that are not told.
-func (t peerServer) direct(r planner.Report, fleet int, tail planner.Tail) planner.Tail {
-	if t.sources == nil || fleet <= directed || tail.Changed || r.Address == "" {
+// assignSource sets the source of the records that the tail does not contain.
+func (t peerServer) assignSource(r planner.Report, fleetSize int, tail planner.Tail) planner.Tail {
+	if t.scheduler == nil || fleetSize <= maxDirectReaders || tail.Changed || r.Address == "" {
 		return tail
 	}
-	d := t.sources.direct(boottime.Now(), r.Zone, r.Address, tail.Next, tail.End)
-	tail.Peer, tail.Wait = d.Peer, d.Wait
+	source := t.scheduler.assign(boottime.Now(), r.Zone, r.Address, tail.Next, tail.End)
+	tail.Peer, tail.Wait = source.Peer, source.Wait
 	return tail
 }
 
-// directed is the largest fleet whose instances all read the store.
-const directed = 24
+// maxDirectReaders is the largest fleet in which every instance reads the store itself.
+const maxDirectReaders = 24
 
-// Fetch returns what this instance has read of a topic from an offset on.
+// Fetch returns the records that this instance has of a topic from an offset on.
 func (t peerServer) Fetch(topic galenastair.Topic, from galenastair.Offset) galenastair.KeyedBatch {
 	for _, f := range t.topics() {
 		if f.topic == topic && f.tail != nil {
@@ -82,8 +82,9 @@
 	return galenastair.KeyedBatch{Next: from}
 }
 
-// tailFrom returns what follows a position; the age is from before it is looked up.
-func (f followed) tailFrom(from galenastair.Offset, age time.Duration) planner.Tail {
+// tailFrom returns the part of the topic after an offset. The caller reads age before the call, so
+// that it is not shorter than the age of the returned records.
+func (f topicState) tailFrom(from galenastair.Offset, age time.Duration) planner.Tail {
 	tail := planner.Tail{Topic: f.topic, Age: age}
 	if fromAge, ok := f.follower.AgeAt(from); ok {
 		tail.FromAge = fromAge
@@ -92,14 +93,14 @@
 		tail.KeyedBatch = f.tail.Since(from)
 		return tail
 	}
-	changes, end, ok := f.since(from)
+	changes, end, ok := f.changesSince(from)
 	tail.KeyedBatch = galenastair.KeyedBatch{Next: from, End: end}
 	tail.Changes, tail.Changed = changes, ok
 	return tail
 }
 
-// positions returns how far this instance has read.
-func positions(topics []followed) map[galenastair.Topic]galenastair.Offset {
+// readOffsets returns the offset that this instance has reached in each topic.
+func readOffsets(topics []topicState) map[galenastair.Topic]galenastair.Offset {
 	out := make(map[galenastair.Topic]galenastair.Offset, len(topics))
 	for _, f := range topics {
 		if from, ok := f.follower.Position(); ok {
@@ -109,12 +110,12 @@
 	return out
 }
 
-// fetcher gets records from another instance.
-type fetcher func(peer string, t galenastair.Topic, from galenastair.Offset) (galenastair.KeyedBatch, error)
+// fetchFunc fetches records from another instance.
+type fetchFunc func(peer string, t galenastair.Topic, from galenastair.Offset) (galenastair.KeyedBatch, error)
 
-// hint hands what the leader has read to the followers; sent is from before the call that
-// brought it.
-func hint(topics []followed, tails []planner.Tail, sent boottime.Time, fetch fetcher) {
+// forwardTails passes the tails sent by the leader to the followers as hints. sent is the time
+// before the call that returned them.
+func forwardTails(topics []topicState, tails []planner.Tail, sent boottime.Time, fetch fetchFunc) {
 	for _, t := range tails {
 		for _, f := range topics {
 			if f.topic != t.Topic {
@@ -128,17 +129,17 @@
 				h.Fetch = func(from galenastair.Offset) (galenastair.KeyedBatch, error) { return fetch(t.Peer, t.Topic, from) }
 			}
 			if t.Changed {
-				h.Changes = func() { f.apply(t.Changes, t.End) }
+				h.Changes = func() { f.applyChanges(t.Changes, t.End) }
 			}
 			f.follower.Tell(h)
 		}
 	}
 }
 
-// noting adds what is applied to a tail.
-func noting(t *follow.Tail, apply follow.Apply) follow.Apply {
-	return func(b galenastair.KeyedBatch, whole bool) {
-		apply(b, whole)
-		t.Add(b, whole)
+// recordingTail returns an apply function that also adds the batches to a tail.
+func recordingTail(t *follow.Tail, apply follow.Apply) follow.Apply {
+	return func(b galenastair.KeyedBatch, snapshot bool) {
+		apply(b, snapshot)
+		t.Add(b, snapshot)
 	}
 }
--- a/node/tails_test.go
+++ b/node/tails_test.go
@@ -18,7 +18,7 @@
 	"galenastair/standin/metastore"
 )
 
-// holding is the lease of an instance that has just got it.
+// fakeLease is a lease that this instance has just acquired.
 type holding struct{}
 
 func (holding) Order() (galenastair.Fence, bool) { return 0, false }
@@ -26,10 +26,9 @@
 func (holding) Hosts() bool                      { return true }
 func (holding) Refused(galenastair.Fence)        {}
 
-// The lease has changed hands, and for the first seconds the new holder doesn't know how many
-// instances there are. It told them nothing of what it read meanwhile, so that each of a
-// large fleet asked the store for itself.
-func TestTailsAreToldBeforeTheFleetIsCounted(t *testing.T) {
+// A new leader must send tails before it knows the fleet size, which takes it some seconds.
+// Without the tails every instance of a large fleet reads the store itself.
+func TestTailsAreSentBeforeFleetIsCounted(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -38,24 +37,26 @@
 	loop := control.NewLoop()
 	go func() { _ = loop.Run(ctx) }()
 	p := planner.New("me", quota.Terms{Window: time.Second}, nil, holding{}, loop)
-	planned := make(chan error, 1)
-	go func() { planned <- p.Run(ctx) }()
+	plannerDone := make(chan error, 1)
+	go func() { plannerDone <- p.Run(ctx) }()
 	var tail follow.Tail
 	f := follow.New(platform.NewStore(server.Listener.Addr().String()), platform.ConfigurationTopic,
-		noting(&tail, func(galenastair.KeyedBatch, bool) {}))
-	ended := make(chan error, 1)
-	go func() { ended <- f.Run(ctx) }()
+		recordingTail(&tail, func(galenastair.KeyedBatch, bool) {}))
+	followerDone := make(chan error, 1)
+	go func() { followerDone <- f.Run(ctx) }()
 	for _, known := f.Age(); !known; _, known = f.Age() {
 		time.Sleep(5 * time.Millisecond)
 	}
-	// its term begins with the planner's first round
+	// the term begins with the planner's first round
 	time.Sleep(300 * time.Millisecond)
-	told := peerServer{p, func() []followed { return []followed{{topic: platform.ConfigurationTopic, follower: f, tail: &tail}} }, lease.NewElector(nil, platform.LeaseTopic, lease.New(lease.Bounds{}), "me"), nil, nil}
-	news, err := told.Exchange(ctx, planner.Report{Instance: "i", Positions: map[galenastair.Topic]galenastair.Offset{platform.ConfigurationTopic: 0}})
+	peers := peerServer{p, func() []topicState {
+		return []topicState{{topic: platform.ConfigurationTopic, follower: f, tail: &tail}}
+	}, lease.NewElector(nil, platform.LeaseTopic, lease.New(lease.Bounds{}), "me"), nil, nil}
+	update, err := peers.Exchange(ctx, planner.Report{Instance: "i", Positions: map[galenastair.Topic]galenastair.Offset{platform.ConfigurationTopic: 0}})
 	is.NoErr(err)
-	is.Equal(news.Standing.Fleet, 0)
-	is.Equal(len(news.Tails), 1)
+	is.Equal(update.Standing.Fleet, 0)
+	is.Equal(len(update.Tails), 1)
 	cancel()
-	<-ended
-	<-planned
+	<-followerDone
+	<-plannerDone
 }
--- a/node/views.go
+++ b/node/views.go
@@ -13,67 +13,69 @@
 	"galenastair/platform"
 )
 
-// views holds the operator's configuration in force.
+// catalogSource holds the operator's current configuration.
 type views struct {
 	current  atomic.Pointer[catalog.Catalog]
 	follower *follow.Follower
 	logger   log.Logger
-	changed  func(*catalog.Catalog)
-	// known is closed once there is a configuration.
-	known chan struct{}
-	// started is when the instance did.
-	started time.Time
+	onChange func(*catalog.Catalog)
+	// loaded is closed once the first configuration has been read.
+	loaded    chan struct{}
+	startTime time.Time
 }
 
-// firstView is how long after its start an instance usually has read its first configuration.
-const firstView = time.Second
+// firstLoadTimeout is the time after its start within which an instance usually has read its
+// first configuration.
+const firstLoadTimeout = time.Second
 
-func newViews(logger log.Logger) *views {
-	return &views{logger: logger, known: make(chan struct{}), started: time.Now()}
+func newCatalogSource(logger log.Logger) *views {
+	return &views{logger: logger, loaded: make(chan struct{}), startTime: time.Now()}
 }
 
-// Await waits for the first configuration of an instance that has just started.
-func (v *views) Await(ctx context.Context) {
+// WaitReady waits for the first configuration, at most until firstLoadTimeout after the start.
+func (s *views) Await(ctx context.Context) {
 	select {
-	case <-v.known:
+	case <-s.loaded:
 		return
 	default:
 	}
-	left := firstView - time.Since(v.started)
-	if left <= 0 {
+	remaining := firstLoadTimeout - time.Since(s.startTime)
+	if remaining <= 0 {
 		return
 	}
-	t := time.NewTimer(left)
+	t := time.NewTimer(remaining)
 	defer t.Stop()
 	select {
-	case <-v.known:
+	case <-s.loaded:
 	case <-t.C:
 	case <-ctx.Done():
 	}
 }
 
-// View returns the configuration in force and how old the store's word on it is.
-func (v *views) View() (*catalog.Catalog, time.Duration) {
-	c := v.current.Load()
-	age, ok := v.follower.Age()
+// Current returns the current configuration, and how long ago the store confirmed it. It returns
+// nil before the first configuration.
+func (s *views) View() (*catalog.Catalog, time.Duration) {
+	c := s.current.Load()
+	age, ok := s.follower.Age()
 	if c == nil || !ok {
 		return nil, 0
 	}
 	return c, age
 }
 
-// BodyBytes returns how large a caller's body may be; a guess before the first view.
-func (v *views) BodyBytes() int64 {
-	const beforeTheFirst = 1 << 20
-	if c := v.current.Load(); c != nil && c.Limits.BodyBytes > 0 {
+// MaxBodyBytes returns the maximum size of a caller's request body. Before the first configuration
+// it returns a default.
+func (s *views) BodyBytes() int64 {
+	const defaultBodyBytes = 1 << 20
+	if c := s.current.Load(); c != nil && c.Limits.BodyBytes > 0 {
 		return c.Limits.BodyBytes
 	}
-	return beforeTheFirst
+	return defaultBodyBytes
 }
 
-// apply takes in the newest version of a batch. A version never goes back: an older
-// one may come again when the store's history was dropped.
-func (v *views) apply(b galenastair.KeyedBatch, _ bool) {
+// apply loads the newest version in a batch. It ignores versions older than the current one, as
+// the store may return an older one after it has dropped its history.
+func (s *views) apply(b galenastair.KeyedBatch, _ bool) {
 	var newest []byte
 	for _, r := range b.Records {
 		if r.Key == platform.ConfigurationKey && len(r.Value) > 0 {
@@ -85,34 +87,34 @@
 	}
 	c, err := platform.DecodeConfiguration(newest)
 	if err != nil {
-		v.logger.Log("event", "configuration unreadable", "err", err)
+		s.logger.Log("event", "configuration unreadable", "err", err)
 		return
 	}
-	old := v.current.Load()
+	old := s.current.Load()
 	if old != nil && c.Version <= old.Version {
 		return
 	}
-	v.current.Store(c)
+	s.current.Store(c)
 	if old == nil {
-		close(v.known)
+		close(s.loaded)
 	}
-	v.logger.Log("event", "configuration", "version", c.Version)
-	v.logQuotas(old, c)
-	v.changed(c)
+	s.logger.Log("event", "configuration", "version", c.Version)
+	s.logQuotas(old, c)
+	s.onChange(c)
 }
 
-// logQuotas logs the quotas that a version changes, so that a refusal can be checked
-// against what was in force.
-func (v *views) logQuotas(old, now *catalog.Catalog) {
-	now.Organisations(func(o *catalog.Organisation) {
+// logQuotas logs the quotas that a version changes, so that a refused request can be checked
+// against the quota at that time.
+func (s *views) logQuotas(old, current *catalog.Catalog) {
+	current.Organisations(func(o *catalog.Organisation) {
 		var before *catalog.Organisation
 		if old != nil {
 			before = old.Organisation(o.Name)
 		}
 		if before == nil || before.Rate != o.Rate || before.Burst != o.Burst {
-			v.logger.Log("event", "quota", "organisation", o.Name, "rate", o.Rate, "burst", o.Burst, "version", now.Version)
+			s.logger.Log("event", "quota", "organisation", o.Name, "rate", o.Rate, "burst", o.Burst, "version", current.Version)
 		}
 	})
 }
 
-func (v *views) run(ctx context.Context) error { return v.follower.Run(ctx) }
+func (s *views) run(ctx context.Context) error { return s.follower.Run(ctx) }
