--- a/follow/confirmation.go
+++ b/follow/confirmation.go
@@ -8,50 +8,50 @@
 	"galenastair/boottime"
 )
 
-// confirmation says that no record stood beyond a position at a moment.
+// confirmation is the time at which the store confirmed a topic's end.
 type confirmation struct {
-	position galenastair.Offset
-	at       boottime.Time
+	end galenastair.Offset
+	at  boottime.Time
 }
 
-// mostConfirmations covers more time than a hint lives, at a confirmation each poll.
-const mostConfirmations = 64
+// maxConfirmations covers more time than the maximum hint age, at one confirmation per poll.
+const maxConfirmations = 64
 
-// confirmations are the newest ones, the oldest first.
+// confirmations keeps the latest confirmations, oldest first.
 type confirmations struct {
-	mu  sync.Mutex
-	all []confirmation
+	mu      sync.Mutex
+	entries []confirmation
 }
 
 func (c *confirmations) add(position galenastair.Offset, at boottime.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if n := len(c.all); n > 0 && c.all[n-1].position == position {
-		c.all[n-1].at = at
+	if n := len(c.entries); n > 0 && c.entries[n-1].end == position {
+		c.entries[n-1].at = at
 		return
 	}
-	c.all = append(c.all, confirmation{position, at})
-	if len(c.all) > mostConfirmations {
-		c.all = c.all[1:]
+	c.entries = append(c.entries, confirmation{position, at})
+	if len(c.entries) > maxConfirmations {
+		c.entries = c.entries[1:]
 	}
 }
 
-// upTo returns the last moment at which no record stood beyond a position; false if too long
-// ago.
-func (c *confirmations) upTo(position galenastair.Offset) (boottime.Time, bool) {
+// lastAt returns the last time at which the topic's end was confirmed to be at or before a
+// position; false if no such confirmation is kept.
+func (c *confirmations) lastAt(position galenastair.Offset) (boottime.Time, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for i := len(c.all) - 1; i >= 0; i-- {
-		if c.all[i].position <= position {
-			return c.all[i].at, true
+	for i := len(c.entries) - 1; i >= 0; i-- {
+		if c.entries[i].end <= position {
+			return c.entries[i].at, true
 		}
 	}
 	return 0, false
 }
 
-// AgeAt returns how long ago the store last confirmed that nothing stood in the topic beyond a
-// position; false if that is longer ago than is kept.
+// AgeAt returns the time since the store last confirmed that the topic had no record at or after
+// a position; false if no such confirmation is kept.
 func (f *Follower) AgeAt(position galenastair.Offset) (time.Duration, bool) {
-	at, ok := f.history.upTo(position)
+	at, ok := f.confirmations.lastAt(position)
 	return f.clock().Sub(at), ok
 }
--- a/follow/doc.go
+++ b/follow/doc.go
@@ -1,7 +1,7 @@
-// Package follow reads a keyed topic of the platform's store to its end and stays
-// there: first the newest record of each key, then each change as it comes.
+// Package follow watches a keyed topic of the platform's metadata store: it lists the
+// newest record of each key, then reads each change by long polling.
 //
-// It knows when the store last confirmed that nothing newer stands in the topic: the
-// moment before the call was sent that found its end. Cost: one long poll each Wait,
-// about 300 bytes.
+// It also tracks when the store last confirmed that the topic has no newer record. That
+// time is taken before the call is sent, since the answer may describe any later moment.
+// Cost: one long poll of about 300 bytes per poll timeout.
 package follow
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -20,16 +20,16 @@
 
 const topic galenastair.Topic = "keyed.op"
 
-// reader keeps the newest value of each key as a follower's owner does.
+// reader keeps the newest value of each key.
 type reader struct {
 	mu     sync.Mutex
 	values map[string]string
 }
 
-func (r *reader) apply(b galenastair.KeyedBatch, whole bool) {
+func (r *reader) apply(b galenastair.KeyedBatch, snapshot bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if whole {
+	if snapshot {
 		r.values = map[string]string{}
 	}
 	for _, rec := range b.Records {
@@ -47,7 +47,7 @@
 	return r.values[key]
 }
 
-func start(t *testing.T, opts ...follow.Option) (*metastore.Store, *follow.Follower, *reader) {
+func startFollower(t *testing.T, opts ...follow.Option) (*metastore.Store, *follow.Follower, *reader) {
 	t.Helper()
 	s := metastore.New()
 	server := httptest.NewServer(s.Handler())
@@ -67,7 +67,7 @@
 	return s, f, r
 }
 
-func until(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, event string, ok func() bool) {
 	t.Helper()
 	for range 400 {
 		if ok() {
@@ -75,46 +75,45 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("not seen: " + what)
+	t.Fatal("timed out after 4 s waiting for " + event)
 }
 
-// A follower reads all pages of the newest records, then each change.
+// A follower reads all pages of the listing, then each change.
 func TestFollowsAllPagesAndChanges(t *testing.T) {
-	s, _, r := start(t)
+	s, _, r := startFollower(t)
 	for _, key := range []string{"a", "b", "c", "d", "e", "f", "g"} {
 		s.Put(string(topic), key, []byte("1"))
 	}
-	until(t, "the last key", func() bool { return r.get("g") == "1" })
+	waitFor(t, "the last key", func() bool { return r.get("g") == "1" })
 	s.Put(string(topic), "c", []byte("2"))
-	until(t, "the change", func() bool { return r.get("c") == "2" })
+	waitFor(t, "the change", func() bool { return r.get("c") == "2" })
 	s.Put(string(topic), "c", nil)
-	until(t, "the end of a key", func() bool { return r.get("c") == "" })
+	waitFor(t, "the deletion of the key", func() bool { return r.get("c") == "" })
 }
 
-// The store drops its history while changes are made: the follower begins with the
-// newest records again and misses none.
-func TestBeginsAnewWhenHistoryIsGone(t *testing.T) {
-	s, _, r := start(t)
+// The store drops the records that a follower has not read yet. The follower must list the
+// newest records again, or it misses the changes.
+func TestListsAgainAfterHistoryIsDropped(t *testing.T) {
+	s, _, r := startFollower(t)
 	s.Put(string(topic), "a", []byte("1"))
-	until(t, "the first", func() bool { return r.get("a") == "1" })
+	waitFor(t, "the first value", func() bool { return r.get("a") == "1" })
 	s.Switch(func(sw *metastore.Switches) { sw.Refuse = true })
 	s.Put(string(topic), "a", []byte("2"))
 	s.Put(string(topic), "b", []byte("1"))
 	s.Compact(string(topic))
 	s.Switch(func(sw *metastore.Switches) { sw.Refuse = false })
-	until(t, "the change", func() bool { return r.get("a") == "2" && r.get("b") == "1" })
+	waitFor(t, "the change", func() bool { return r.get("a") == "2" && r.get("b") == "1" })
 }
 
-// After the history was dropped, the newest records come from a state of a moment ago.
-// A key withdrawn meanwhile would be back; the answer is not taken, and does not count
-// as a confirmation.
-func TestOlderNewestIsNotTaken(t *testing.T) {
+// After the store has compacted a topic, a listing may show an earlier state. Applied, it would
+// bring back deleted keys, so that it must be discarded and must not count as a confirmation.
+func TestStaleListingIsDiscarded(t *testing.T) {
 	is := is.New(t)
-	s, f, r := start(t)
+	s, f, r := startFollower(t)
 	s.Put(string(topic), "config", []byte("old"))
-	until(t, "the first", func() bool { return r.get("config") == "old" })
+	waitFor(t, "the first value", func() bool { return r.get("config") == "old" })
 	s.Put(string(topic), "config", []byte("new"))
-	until(t, "the second", func() bool { return r.get("config") == "new" })
+	waitFor(t, "the second value", func() bool { return r.get("config") == "new" })
 	s.Switch(func(sw *metastore.Switches) { sw.Stale = true })
 	s.Compact(string(topic))
 	s.Put(string(topic), "other", []byte("x"))
@@ -122,15 +121,15 @@
 	time.Sleep(250 * time.Millisecond)
 	is.Equal(r.get("config"), "new")
 	s.Switch(func(sw *metastore.Switches) { sw.Stale = false })
-	until(t, "the rest", func() bool { return r.get("other") == "x" })
+	waitFor(t, "the other key", func() bool { return r.get("other") == "x" })
 	age, ok := f.Age()
 	is.True(ok)
 	is.True(age < time.Second)
 }
 
-// The store goes silent: the age of what is known grows, on a clock that goes on while
-// the machine is suspended.
-func TestAgeGrowsWithoutTheStore(t *testing.T) {
+// While the store doesn't answer, the age must grow, on a clock that also advances while the
+// machine is suspended.
+func TestAgeGrowsWhileStoreIsSilent(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
 	shift := time.Duration(0)
@@ -139,61 +138,61 @@
 		defer mu.Unlock()
 		return boottime.Now().Add(shift)
 	}
-	s, f, r := start(t, follow.WithClock(clock))
+	s, f, r := startFollower(t, follow.WithClock(clock))
 	_, ok := f.Age()
 	is.True(!ok)
 	s.Put(string(topic), "a", []byte("1"))
-	until(t, "the first", func() bool { return r.get("a") == "1" })
+	waitFor(t, "the first value", func() bool { return r.get("a") == "1" })
 	s.Switch(func(sw *metastore.Switches) { sw.Silent = true })
 	mu.Lock()
 	shift = 10 * time.Second
 	mu.Unlock()
 	age, _ := f.Age()
 	is.True(age >= 9*time.Second)
-	until(t, "the loss", f.Away)
+	waitFor(t, "the loss of contact", f.Away)
 	s.Switch(func(sw *metastore.Switches) { sw.Silent = false })
-	until(t, "the return", func() bool {
+	waitFor(t, "the regained contact", func() bool {
 		age, _ := f.Age()
 		return age < time.Second
 	})
 }
 
-// A confirmation counts from before the call that brought it: a store that takes a
-// second to answer may have been asked a second before a key was withdrawn.
+// A confirmation dates from before its call was sent: a store that takes a second to answer may
+// have read the topic a second before a key was deleted.
 func TestAgeCountsFromBeforeTheCall(t *testing.T) {
 	is := is.New(t)
-	s, f, r := start(t)
+	s, f, r := startFollower(t)
 	s.Put(string(topic), "a", []byte("1"))
-	until(t, "the first", func() bool { return r.get("a") == "1" })
+	waitFor(t, "the first value", func() bool { return r.get("a") == "1" })
 	s.Switch(func(sw *metastore.Switches) { sw.Delay = 400 * time.Millisecond })
 	time.Sleep(1500 * time.Millisecond)
 	age, _ := f.Age()
 	is.True(age >= 400*time.Millisecond)
 }
 
-// One instance reads the store and tells another, which then has no need to ask: it
-// takes in the changes and the age, and asks for itself once nobody tells it any more.
-func TestHintsSpareTheStore(t *testing.T) {
+// A follower that gets hints takes the changes and the age from them and doesn't poll the store;
+// without hints it polls again.
+func TestHintsReplacePolls(t *testing.T) {
 	is := is.New(t)
-	s, f, r := start(t)
+	s, f, r := startFollower(t)
 	s.Put(string(topic), "a", []byte("1"))
-	until(t, "the first", func() bool { return r.get("a") == "1" })
+	waitFor(t, "the first value", func() bool { return r.get("a") == "1" })
 	from, ok := f.Position()
 	is.True(ok)
 	var tail follow.Tail
 	tail.Add(galenastair.KeyedBatch{Next: from, End: from}, true)
 	record := galenastair.KeyedRecord{Key: "a", Value: []byte("2"), Offset: from}
 	tail.Add(galenastair.KeyedBatch{Records: []galenastair.KeyedRecord{record}, Next: from + 1, End: from + 1}, false)
-	told := func() {
+	notify := func() {
 		at, _ := f.Position()
 		f.Tell(follow.Hint{KeyedBatch: tail.Since(at), AsOf: boottime.Now()})
 	}
-	// a poll may be under way yet
-	told()
-	until(t, "the change that was told", func() bool { told(); return r.get("a") == "2" })
+	// a poll may still be in flight
+	notify()
+	waitFor(t, "the change from the hint", func() bool { notify(); return r.get("a") == "2" })
 	calls := s.Calls("/v1/log-read")
 	for range 30 {
-		told()
+		notify()
 		time.Sleep(20 * time.Millisecond)
 	}
 	is.True(s.Calls("/v1/log-read")-calls <= 1)
@@ -201,56 +200,58 @@
 	is.True(age < 200*time.Millisecond)
 	s.Put(string(topic), "a", []byte("3"))
 	s.Put(string(topic), "a", []byte("4"))
-	until(t, "the store is asked again", func() bool { return r.get("a") == "4" })
+	waitFor(t, "the change from the store", func() bool { return r.get("a") == "4" })
 }
 
-// Changes come all the time, and each that is told costs a call all the same, or one that is
-// read beyond what the others know starts a poll that never ends.
-func TestToldChangesSpareTheStore(t *testing.T) {
+// Hints with changes in another form than records must replace polls too, also if the follower
+// has already read further than the hint. Otherwise each change costs a call to the store, and a
+// follower that is ahead of the hints polls without end.
+func TestChangesInHintsReplacePolls(t *testing.T) {
 	is := is.New(t)
-	s, f, r := start(t)
+	s, f, r := startFollower(t)
 	s.Put(string(topic), "a", []byte("1"))
-	until(t, "the first", func() bool { return r.get("a") == "1" })
+	waitFor(t, "the first value", func() bool { return r.get("a") == "1" })
 	at, _ := f.Position()
-	var told atomic.Int64
-	hint := func(end galenastair.Offset) {
-		f.Tell(follow.Hint{KeyedBatch: galenastair.KeyedBatch{Next: at, End: end}, AsOf: boottime.Now(), Changes: func() { told.Add(1) }})
+	var applied atomic.Int64
+	notify := func(end galenastair.Offset) {
+		f.Tell(follow.Hint{KeyedBatch: galenastair.KeyedBatch{Next: at, End: end}, AsOf: boottime.Now(), Changes: func() { applied.Add(1) }})
 	}
-	spared := func(end galenastair.Offset) bool {
+	noCalls := func(end galenastair.Offset) bool {
 		calls := s.Calls("/v1/log-read")
 		for range 15 {
-			hint(end)
+			notify(end)
 			time.Sleep(20 * time.Millisecond)
 		}
 		return s.Calls("/v1/log-read") == calls
 	}
-	until(t, "the poll under way ends", func() bool { return spared(at + 1) })
-	is.Equal(told.Load(), int64(1))
-	is.True(spared(at + 1))
-	is.True(spared(at))
+	waitFor(t, "the end of the poll in flight", func() bool { return noCalls(at + 1) })
+	is.Equal(applied.Load(), int64(1))
+	is.True(noCalls(at + 1))
+	is.True(noCalls(at))
 	age, _ := f.Age()
 	is.True(age < 200*time.Millisecond)
 }
 
-// The next leader goes on by what it was told, and never reads what others need not know.
-func TestRefreshReadsAllAnew(t *testing.T) {
-	s, f, r := start(t)
+// Hints leave out records that only the leader needs. A new leader must list the topic again, or
+// it would never read them.
+func TestResyncListsAgain(t *testing.T) {
+	s, f, r := startFollower(t)
 	s.Put(string(topic), "a", []byte("1"))
-	until(t, "the first", func() bool { return r.get("a") == "1" })
+	waitFor(t, "the first value", func() bool { return r.get("a") == "1" })
 	newest := s.Calls("/v1/log-newest")
 	f.Refresh()
-	until(t, "a whole reading", func() bool { return s.Calls("/v1/log-newest") > newest })
+	waitFor(t, "a new listing", func() bool { return s.Calls("/v1/log-newest") > newest })
 }
 
-// Whoever gives hints has lost the store itself: its word grows old, and must not make
-// another's view look fresh.
+// The instance that sends hints has lost the store itself. Its old confirmation must not make
+// another instance's data look fresh.
 func TestOldHintConfirmsNothing(t *testing.T) {
 	is := is.New(t)
-	s, f, r := start(t)
+	s, f, r := startFollower(t)
 	s.Put(string(topic), "a", []byte("1"))
-	until(t, "the first", func() bool { return r.get("a") == "1" })
+	waitFor(t, "the first value", func() bool { return r.get("a") == "1" })
 	s.Switch(func(sw *metastore.Switches) { sw.Refuse = true })
-	until(t, "the loss", f.Away)
+	waitFor(t, "the loss of contact", f.Away)
 	at, _ := f.Position()
 	for range 20 {
 		f.Tell(follow.Hint{KeyedBatch: galenastair.KeyedBatch{Next: at, End: at}, AsOf: boottime.Now().Add(-5 * time.Second)})
@@ -261,7 +262,7 @@
 	is.True(age >= 200*time.Millisecond)
 }
 
-// A tail passes on what follows a position, nothing across a gap, and no large record.
+// A tail returns the records from an offset on, none across a gap, and no large record.
 func TestTail(t *testing.T) {
 	is := is.New(t)
 	var tail follow.Tail
@@ -280,8 +281,9 @@
 	is.Equal(tail.Since(20).End, galenastair.Offset(20))
 }
 
-// In a storm of versions the tail keeps only the last few, and whoever is behind those gets none.
-func TestTailKeepsTheNewestOfEachKey(t *testing.T) {
+// Many versions of a large record are written in a row. If the tail kept them all, only the last
+// few would fit, and an instance that is further behind would get none.
+func TestTailKeepsNewestRecordOfEachKey(t *testing.T) {
 	is := is.New(t)
 	const versions = 26
 	var source, next follow.Tail
@@ -294,7 +296,7 @@
 		at := galenastair.Offset(4 + v)
 		source.Add(galenastair.KeyedBatch{Records: []galenastair.KeyedRecord{r}, Next: at, End: at}, false)
 	}
-	// passed on by the one that got it
+	// a tail that is filled from another tail
 	next.Add(source.All(3), false)
 	for _, tail := range []*follow.Tail{&source, &next} {
 		b := tail.All(5)
@@ -307,12 +309,12 @@
 	}
 }
 
-// A hint with gaps moves a follower over the versions that it leaves out.
-func TestHintWithSupersededRecordsLeftOut(t *testing.T) {
+// A hint that leaves out superseded records advances the follower past them.
+func TestHintSkipsSupersededRecords(t *testing.T) {
 	is := is.New(t)
-	s, f, r := start(t)
+	s, f, r := startFollower(t)
 	s.Put(string(topic), "a", []byte("1"))
-	until(t, "the first", func() bool { return r.get("a") == "1" })
+	waitFor(t, "the first value", func() bool { return r.get("a") == "1" })
 	from, _ := f.Position()
 	var tail follow.Tail
 	tail.Add(galenastair.KeyedBatch{Next: from, End: from}, true)
@@ -320,7 +322,7 @@
 		at := from + galenastair.Offset(i) + 1
 		tail.Add(galenastair.KeyedBatch{Records: []galenastair.KeyedRecord{{Key: "a", Value: []byte(value)}}, Next: at, End: at}, false)
 	}
-	until(t, "the newest", func() bool {
+	waitFor(t, "the newest value", func() bool {
 		f.Tell(follow.Hint{KeyedBatch: tail.Since(from), AsOf: boottime.Now()})
 		return r.get("a") == "4"
 	})
@@ -328,35 +330,35 @@
 	is.Equal(at, from+3)
 }
 
-// Versions come faster than they get around: what an instance has is a moment old and never
-// all there is, and it asks the store for each version itself.
-func TestHintsOfAStormSpareTheStore(t *testing.T) {
+// Records are written faster than they reach the instances, so that none ever has them all. A
+// follower whose records are recent enough must not poll the store for each new one.
+func TestHintsReplacePollsDuringFrequentWrites(t *testing.T) {
 	is := is.New(t)
-	s, f, r := start(t)
+	s, f, r := startFollower(t)
 	s.Put(string(topic), "a", []byte("1"))
-	until(t, "the first", func() bool { return r.get("a") == "1" })
+	waitFor(t, "the first value", func() bool { return r.get("a") == "1" })
 	at, _ := f.Position()
-	hint := func(behind time.Duration) {
+	notify := func(behind time.Duration) {
 		now := boottime.Now()
 		f.Tell(follow.Hint{KeyedBatch: galenastair.KeyedBatch{Next: at, End: at + 1}, AsOf: now, FromAsOf: now.Add(-behind), Wait: true})
 	}
-	spared := func(behind time.Duration) bool {
+	noCalls := func(behind time.Duration) bool {
 		calls := s.Calls("/v1/log-read")
 		for range 100 {
-			hint(behind)
+			notify(behind)
 			time.Sleep(20 * time.Millisecond)
 		}
 		return s.Calls("/v1/log-read") == calls
 	}
-	until(t, "the poll under way ends", func() bool {
-		hint(0)
+	waitFor(t, "the end of the poll in flight", func() bool {
+		notify(0)
 		calls := s.Calls("/v1/log-read")
 		time.Sleep(120 * time.Millisecond)
 		return s.Calls("/v1/log-read") == calls
 	})
-	is.True(spared(500 * time.Millisecond))
+	is.True(noCalls(500 * time.Millisecond))
 	age, _ := f.Age()
 	is.True(age >= 500*time.Millisecond && age < time.Second)
-	// too old a version is not gone by
-	is.True(!spared(3 * time.Second))
+	// records that are too old don't replace a poll
+	is.True(!noCalls(3 * time.Second))
 }
--- a/follow/follower.go
+++ b/follow/follower.go
@@ -14,88 +14,92 @@
 )
 
 const (
-	// defaultWait bounds how old a confirmation gets in quiet times.
-	defaultWait = time.Second
-	// firstPause and lastPause space the calls to a store that refuses or is away: an
-	// instance is back in touch within the last one, and 370 of them make a tenth of
-	// what the store stands.
-	firstPause = 100 * time.Millisecond
-	lastPause  = 500 * time.Millisecond
-	// rewound is how many answers in a row may show a topic shorter than what was read
-	// before it is taken for a new beginning rather than a late answer.
-	rewound = 8
+	// defaultPollTimeout bounds the age of a confirmation while the topic doesn't change.
+	defaultPollTimeout = time.Second
+	// minBackoff and maxBackoff bound the exponential backoff while the store fails calls or
+	// is unreachable. An instance reconnects within maxBackoff after the store recovers,
+	// and the retries of 370 instances take a tenth of the store's capacity.
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 500 * time.Millisecond
+	// maxStaleReads is the number of consecutive answers with a topic end below the current
+	// offset after which the topic counts as recreated; fewer are treated as stale reads.
+	maxStaleReads = 8
 )
 
-// Apply takes in what was read; whole says that keys not in the batch are gone.
-type Apply func(b galenastair.KeyedBatch, whole bool)
+// ApplyFunc processes a batch of records. If snapshot is true, the batch has the newest record of
+// each key, and keys that are not in it no longer exist.
+type Apply func(b galenastair.KeyedBatch, snapshot bool)
 
-// Follower follows one topic.
+// Follower watches one topic.
 type Follower struct {
-	store galenastair.Store
-	topic galenastair.Topic
-	apply Apply
-	wait  func() time.Duration
-	pace  func() time.Duration
-	// hintLife is how old the store's word may be by which this follower goes without asking
-	// the store itself; leads says that it goes by no hints at all.
-	hintLife time.Duration
-	leads    func() bool
-	clock    boottime.Clock
-	logger   log.Logger
-
-	confirmed atomic.Int64
-	history   confirmations
-	answered  atomic.Int64
-	// unanswered is when the last call that got no usable answer was sent; 0 if all did.
-	unanswered atomic.Int64
-	started    atomic.Bool
-	away       atomic.Bool
-	// position is the offset to go on from, plus one.
+	store       galenastair.Store
+	topic       galenastair.Topic
+	apply       Apply
+	pollTimeout func() time.Duration
+	minInterval func() time.Duration
+	// maxHintAge is the age up to which another instance's confirmation replaces a poll of the
+	// store. While isLeader returns true, hints replace no polls.
+	maxHintAge time.Duration
+	isLeader   func() bool
+	clock      boottime.Clock
+	logger     log.Logger
+
+	confirmedAt   atomic.Int64
+	confirmations confirmations
+	lastAnswer    atomic.Int64
+	// lastFailure is when the last call without a usable answer was sent; 0 if none was.
+	lastFailure atomic.Int64
+	synced      atomic.Bool
+	unavailable atomic.Bool
+	// position is the offset to read next, plus one; 0 before the first answer.
 	position atomic.Int64
 	hints    chan Hint
-	// refresh says that all is to be read anew.
-	refresh atomic.Bool
-	woken   chan struct{}
-
-	// owned by Run
-	from    galenastair.Offset
-	know    bool
-	shorter int
-	// hinted is as of when the last useful hint was.
-	hinted boottime.Time
+	// resync requests a new listing.
+	resync atomic.Bool
+	wake   chan struct{}
+
+	// used only by the goroutine of Run
+	// listed is false until next is known from a listing, and after the store has dropped the
+	// records at next
+	next       galenastair.Offset
+	listed     bool
+	staleReads int
+	// lastHint is the time of the newest confirmation from a hint, or of the last listing.
+	lastHint boottime.Time
 }
 
-// Option varies a Follower.
+// Option configures a Follower.
 type Option func(*Follower)
 
-// WithWait sets how long a poll waits for a record.
+// WithPollTimeout sets how long the store may hold a poll while there is no new record.
 func WithWait(d time.Duration) Option { return WithWaits(func() time.Duration { return d }) }
 
-// WithWaits is WithWait for a time that changes.
-func WithWaits(wait func() time.Duration) Option { return func(f *Follower) { f.wait = wait } }
+// WithPollTimeoutFunc is like WithPollTimeout, for a timeout that changes at run time.
+func WithWaits(wait func() time.Duration) Option { return func(f *Follower) { f.pollTimeout = wait } }
 
-// WithPace sets the least time from records to the next call. Without it, each of many
-// changes in a row costs every instance a call of its own.
-func WithPace(pace func() time.Duration) Option { return func(f *Follower) { f.pace = pace } }
+// WithMinInterval sets the minimum time between an answer with records and the next call.
+// Without it, each change in a burst costs every instance a separate call.
+func WithPace(d func() time.Duration) Option { return func(f *Follower) { f.minInterval = d } }
 
-// WithHintLife sets how old the store's word may be, as told by another instance, that spares
-// the store a call.
-func WithHintLife(d time.Duration) Option { return func(f *Follower) { f.hintLife = d } }
+// WithMaxHintAge sets the age up to which a confirmation from another instance replaces a
+// poll of the store.
+func WithHintLife(d time.Duration) Option { return func(f *Follower) { f.maxHintAge = d } }
 
-// WithLeads says when this follower reads for all others, and goes by no hints.
-func WithLeads(leads func() bool) Option { return func(f *Follower) { f.leads = leads } }
+// WithIsLeader sets the function that reports whether this instance reads the topic for all
+// others. While it returns true, hints replace no polls of the store.
+func WithLeads(isLeader func() bool) Option { return func(f *Follower) { f.isLeader = isLeader } }
 
-// WithClock replaces the machine's clock.
+// WithClock replaces the system's boot-time clock.
 func WithClock(c boottime.Clock) Option { return func(f *Follower) { f.clock = c } }
 
-// WithLogger says where lost and regained contact is logged.
+// WithLogger sets the logger for lost and regained contact with the store.
 func WithLogger(l log.Logger) Option { return func(f *Follower) { f.logger = l } }
 
-// New returns a follower that does nothing until Run.
+// New returns a follower of a topic; Run starts it.
 func New(s galenastair.Store, t galenastair.Topic, apply Apply, opts ...Option) *Follower {
 	f := &Follower{store: s, topic: t, apply: apply, clock: boottime.Now, logger: log.NewNopLogger(), hints: make(chan Hint, 1),
-		hintLife: defaultHintLife, leads: func() bool { return false }, woken: make(chan struct{}, 1)}
-	WithWait(defaultWait)(f)
+		maxHintAge: defaultMaxHintAge, isLeader: func() bool { return false }, wake: make(chan struct{}, 1)}
+	WithWait(defaultPollTimeout)(f)
 	WithPace(func() time.Duration { return 0 })(f)
 	for _, o := range opts {
 		o(f)
@@ -103,147 +107,150 @@
 	return f
 }
 
-// Age returns how long ago the store confirmed that nothing newer stands in the
-// topic; false before it ever did.
+// Age returns the time since the store last confirmed that the topic has no newer record;
+// false before the first confirmation.
 func (f *Follower) Age() (time.Duration, bool) {
-	if !f.started.Load() {
+	if !f.synced.Load() {
 		return 0, false
 	}
-	return f.clock().Sub(boottime.Time(f.confirmed.Load())), true
+	return f.clock().Sub(boottime.Time(f.confirmedAt.Load())), true
 }
 
-// Silence returns how long ago the store's last answer came; false before the first.
+// SinceAnswer returns the time since the store's last known answer, to this instance or, as a
+// hint tells, to another; false before the first.
 func (f *Follower) Silence() (time.Duration, bool) {
-	at := f.answered.Load()
+	at := f.lastAnswer.Load()
 	return f.clock().Sub(boottime.Time(at)), at != 0
 }
 
-// Away says whether the last call got no usable answer.
-func (f *Follower) Away() bool { return f.away.Load() }
+// Unavailable reports whether the last call got no usable answer and no hint has come since.
+func (f *Follower) Away() bool { return f.unavailable.Load() }
 
-// SinceUnanswered returns how long ago the last call that got no usable answer was sent: the
-// store may have been away until then. False if it has answered every call.
+// SinceFailure returns the time since the last call without a usable answer was sent: the store
+// may have been unavailable until then. False if the store has answered every call.
 func (f *Follower) SinceUnanswered() (time.Duration, bool) {
-	at := f.unanswered.Load()
+	at := f.lastFailure.Load()
 	return f.clock().Sub(boottime.Time(at)), at != 0
 }
 
-// Run follows until the context ends.
+// Run watches the topic until the context ends.
 func (f *Follower) Run(ctx context.Context) error {
-	pause := firstPause
+	backoff := minBackoff
 	for ctx.Err() == nil {
-		if f.rest(ctx) {
+		if f.waitForHint(ctx) {
 			continue
 		}
 		sent := f.clock()
-		got, err := f.round(ctx, sent)
+		records, err := f.poll(ctx, sent)
 		if err == nil {
-			pause = firstPause
-			if got > 0 {
-				timer.Wait(ctx, f.pace())
+			backoff = minBackoff
+			if records > 0 {
+				timer.Wait(ctx, f.minInterval())
 			}
 			continue
 		}
-		f.unanswered.Store(int64(sent))
-		if ctx.Err() == nil && !f.away.Swap(true) {
-			f.logger.Log("event", "dependency lost", "topic", f.topic, "offset", f.from, "err", err)
+		f.lastFailure.Store(int64(sent))
+		if ctx.Err() == nil && !f.unavailable.Swap(true) {
+			f.logger.Log("event", "dependency lost", "topic", f.topic, "offset", f.next, "err", err)
 		}
-		timer.Wait(ctx, pause)
-		pause = min(2*pause, lastPause)
+		timer.Wait(ctx, backoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 	return ctx.Err()
 }
 
-// rest waits for a hint while hints spare the store a call; false if it is to be asked.
-func (f *Follower) rest(ctx context.Context) bool {
-	if f.refresh.Swap(false) {
-		f.know = false
+// waitForHint waits for a hint while hints replace polls. It returns false if the store has to
+// be polled now.
+func (f *Follower) waitForHint(ctx context.Context) bool {
+	if f.resync.Swap(false) {
+		f.listed = false
 	}
-	spared := f.spared()
-	if spared <= 0 {
+	delay := f.pollDelay()
+	if delay <= 0 {
 		select {
 		case h := <-f.hints:
-			return f.take(h)
+			return f.applyHint(h)
 		default:
 			return false
 		}
 	}
-	next := time.NewTimer(spared)
-	defer next.Stop()
+	pollTimer := time.NewTimer(delay)
+	defer pollTimer.Stop()
 	select {
 	case h := <-f.hints:
-		return f.take(h)
-	case <-next.C:
+		return f.applyHint(h)
+	case <-pollTimer.C:
 		return false
-	case <-f.woken:
+	case <-f.wake:
 		return true
 	case <-ctx.Done():
 		return true
 	}
 }
 
-// Refresh has the newest record of each key read again, as by one that has just started.
+// Resync makes Run list the newest record of each key again.
 func (f *Follower) Refresh() {
-	f.refresh.Store(true)
+	f.resync.Store(true)
 	select {
-	case f.woken <- struct{}{}:
+	case f.wake <- struct{}{}:
 	default:
 	}
 }
 
-// round makes one call, takes in its answer and returns how many records came.
-func (f *Follower) round(ctx context.Context, sent boottime.Time) (int, error) {
-	batch, err := f.ask(ctx)
+// poll makes one call, applies its answer and returns the number of records in it.
+func (f *Follower) poll(ctx context.Context, sent boottime.Time) (int, error) {
+	batch, err := f.read(ctx)
 	switch {
 	case errors.Is(err, galenastair.ErrExpired):
-		f.know = false
-		f.logger.Log("event", "history gone", "topic", f.topic, "offset", f.from)
+		f.listed = false
+		f.logger.Log("event", "history gone", "topic", f.topic, "offset", f.next)
 		return 0, nil
 	case err != nil:
 		return 0, err
 	}
-	whole := !f.know
-	if batch.End < f.from && f.stale() {
+	snapshot := !f.listed
+	if batch.End < f.next && f.countStaleRead() {
 		return 0, galenastair.ErrStoreUnavailable
 	}
-	f.shorter = 0
-	f.apply(batch, whole)
-	f.moveTo(batch.Next)
-	if f.from >= batch.End {
+	f.staleReads = 0
+	f.apply(batch, snapshot)
+	f.advance(batch.Next)
+	if f.next >= batch.End {
 		f.confirm(sent)
-		if whole {
-			// others that read for all may tell the rest
-			f.hinted = sent
+		if snapshot {
+			// the leader may send the later changes as hints
+			f.lastHint = sent
 		}
 	}
-	f.heard(f.clock())
+	f.markAvailable(f.clock())
 	return len(batch.Records), nil
 }
 
-func (f *Follower) ask(ctx context.Context) (galenastair.KeyedBatch, error) {
-	if !f.know {
+func (f *Follower) read(ctx context.Context) (galenastair.KeyedBatch, error) {
+	if !f.listed {
 		return f.store.Newest(ctx, f.topic)
 	}
-	wait := f.wait()
-	if f.away.Load() {
-		// a call that the store never gets ends sooner, and the return shows sooner
+	wait := f.pollTimeout()
+	if f.unavailable.Load() {
+		// a call that doesn't reach the store fails sooner without a long poll, and its
+		// recovery is noticed sooner
 		wait = 0
 	}
-	return f.store.Follow(ctx, f.topic, f.from, wait)
+	return f.store.Follow(ctx, f.topic, f.next, wait)
 }
 
-// stale counts an answer that knows less than what was read before: after the store has dropped
-// its history, one may come from a state of seconds ago, with keys that have been withdrawn. A
-// topic that stays shorter was begun anew.
-func (f *Follower) stale() bool {
-	f.shorter++
-	return f.shorter < rewound
+// countStaleRead counts an answer whose end is below the current offset and reports whether to
+// discard it. After the store has compacted a topic, an answer may show a state of seconds ago,
+// with keys that have been deleted since. A topic whose end stays lower was recreated.
+func (f *Follower) countStaleRead() bool {
+	f.staleReads++
+	return f.staleReads < maxStaleReads
 }
 
 func (f *Follower) confirm(sent boottime.Time) {
-	if int64(sent) > f.confirmed.Load() {
-		f.confirmed.Store(int64(sent))
-		f.history.add(f.from, sent)
+	if int64(sent) > f.confirmedAt.Load() {
+		f.confirmedAt.Store(int64(sent))
+		f.confirmations.add(f.next, sent)
 	}
-	f.started.Store(true)
+	f.synced.Store(true)
 }
--- a/follow/hint.go
+++ b/follow/hint.go
@@ -7,35 +7,36 @@
 	"galenastair/boottime"
 )
 
-// defaultHintLife is for a follower whose owner sets none.
-const defaultHintLife = 1600 * time.Millisecond
+const defaultMaxHintAge = 1600 * time.Millisecond
 
-// Hint is what another instance has read of the topic.
+// Hint is what another instance has read from the topic.
 type Hint struct {
 	galenastair.KeyedBatch
-	// AsOf is when the store confirmed that the topic ended there, by this instance's
-	// clock: not later than it was.
+	// ConfirmedAt is when the store confirmed that the topic ended at End. It is on this
+	// instance's clock and never later than the true time.
 	AsOf boottime.Time
-	// FromAsOf is when the store last confirmed that the topic ended where the hint begins, as
-	// this instance had read it; 0 is not known. While records come faster than they get
-	// around, an instance never has all, and goes by how old what it has is.
+	// StartConfirmedAt is when the store last confirmed that the topic ended at the start of
+	// the hint, which this instance has reached already; 0 if unknown. While records are
+	// written faster than they reach the instances, an instance never has all of them, and
+	// uses the age of those that it has.
 	FromAsOf boottime.Time
-	// Changes takes in what was told in another form than records, from Next to End; nil if
-	// nothing was.
+	// ApplyChanges applies the changes from Next to End, if they were sent in another form
+	// than records; else nil.
 	Changes func()
-	// Wait says that the records which this instance lacks will be had elsewhere soon.
+	// Wait is set if another instance will have the missing records soon, so that the store
+	// need not be polled for them.
 	Wait bool
-	// Fetch gets them from another instance; nil if only the store has them.
+	// Fetch reads the missing records from another instance; nil if only the store has them.
 	Fetch func(from galenastair.Offset) (galenastair.KeyedBatch, error)
 }
 
-// Position returns the offset to go on from; false before the first answer.
+// Position returns the offset to read next; false before the first answer.
 func (f *Follower) Position() (galenastair.Offset, bool) {
 	at := f.position.Load()
 	return galenastair.Offset(at - 1), at != 0
 }
 
-// Tell hands a hint to the follower; an older one that it has not looked at is dropped.
+// Notify passes a hint to the follower. It replaces an earlier hint that is still unprocessed.
 func (f *Follower) Tell(h Hint) {
 	select {
 	case <-f.hints:
@@ -47,37 +48,37 @@
 	}
 }
 
-// take goes by a hint. It says whether the store need not be asked for now.
-func (f *Follower) take(h Hint) bool {
-	if !f.know || f.clock().Sub(h.AsOf) > f.hintLife {
+// applyHint applies a hint and reports whether it replaces a poll of the store.
+func (f *Follower) applyHint(h Hint) bool {
+	if !f.listed || f.clock().Sub(h.AsOf) > f.maxHintAge {
 		return false
 	}
 	switch {
-	case h.Changes != nil && h.Next <= f.from && f.from < h.End:
+	case h.Changes != nil && h.Next <= f.next && f.next < h.End:
 		h.Changes()
-		f.moveTo(h.End)
-	case len(h.Records) > 0 && h.From() <= f.from && h.Next > f.from:
-		f.apply(h.after(f.from), false)
-		f.moveTo(h.Next)
+		f.advance(h.End)
+	case len(h.Records) > 0 && h.From() <= f.next && h.Next > f.next:
+		f.apply(h.recordsFrom(f.next), false)
+		f.advance(h.Next)
 	}
-	f.heard(h.AsOf)
-	if h.FromAsOf != 0 && h.From() <= f.from {
-		f.confirmByHint(h.FromAsOf)
+	f.markAvailable(h.AsOf)
+	if h.FromAsOf != 0 && h.From() <= f.next {
+		f.confirmFromHint(h.FromAsOf)
 	}
-	if f.from < h.End && !f.fetch(h) {
+	if f.next < h.End && !f.fetchMissing(h) {
 		return h.Wait
 	}
-	f.confirmByHint(h.AsOf)
+	f.confirmFromHint(h.AsOf)
 	return true
 }
 
-func (f *Follower) confirmByHint(asOf boottime.Time) {
+func (f *Follower) confirmFromHint(asOf boottime.Time) {
 	f.confirm(asOf)
-	f.hinted = max(f.hinted, asOf)
+	f.lastHint = max(f.lastHint, asOf)
 }
 
-// after returns what a hint tells from an offset on, which it has records of.
-func (h Hint) after(from galenastair.Offset) galenastair.KeyedBatch {
+// recordsFrom returns the hint's records from an offset on; the offset lies within them.
+func (h Hint) recordsFrom(from galenastair.Offset) galenastair.KeyedBatch {
 	first := h.From()
 	b := galenastair.KeyedBatch{Next: h.Next, End: h.End}
 	for i, r := range h.Records {
@@ -92,40 +93,41 @@
 	return b
 }
 
-// fetch gets the records before a hint's end from another instance; false if it can't.
-func (f *Follower) fetch(h Hint) bool {
+// fetchMissing reads the records up to the hint's end from another instance, and reports
+// whether it got them all.
+func (f *Follower) fetchMissing(h Hint) bool {
 	if h.Fetch == nil {
 		return false
 	}
-	b, err := h.Fetch(f.from)
-	if err != nil || b.From() != f.from {
-		f.logger.Log("event", "fetch", "topic", f.topic, "offset", f.from, "err", err)
+	b, err := h.Fetch(f.next)
+	if err != nil || b.From() != f.next {
+		f.logger.Log("event", "fetch", "topic", f.topic, "offset", f.next, "err", err)
 		return false
 	}
 	f.apply(b, false)
-	f.moveTo(b.Next)
-	return f.from >= h.End
+	f.advance(b.Next)
+	return f.next >= h.End
 }
 
-func (f *Follower) moveTo(next galenastair.Offset) {
-	f.from, f.know = next, true
+func (f *Follower) advance(next galenastair.Offset) {
+	f.next, f.listed = next, true
 	f.position.Store(int64(next) + 1)
 }
 
-// heard notes that the store lives.
-func (f *Follower) heard(at boottime.Time) {
-	if int64(at) > f.answered.Load() {
-		f.answered.Store(int64(at))
+// markAvailable records that the store answered.
+func (f *Follower) markAvailable(at boottime.Time) {
+	if int64(at) > f.lastAnswer.Load() {
+		f.lastAnswer.Store(int64(at))
 	}
-	if f.away.Swap(false) {
-		f.logger.Log("event", "dependency regained", "topic", f.topic, "offset", f.from)
+	if f.unavailable.Swap(false) {
+		f.logger.Log("event", "dependency regained", "topic", f.topic, "offset", f.next)
 	}
 }
 
-// spared says for how long hints spare the store a call.
-func (f *Follower) spared() time.Duration {
-	if !f.know || f.hinted == 0 || f.leads() {
+// pollDelay returns for how long the last hint replaces a poll.
+func (f *Follower) pollDelay() time.Duration {
+	if !f.listed || f.lastHint == 0 || f.isLeader() {
 		return 0
 	}
-	return f.hintLife - f.clock().Sub(f.hinted)
+	return f.maxHintAge - f.clock().Sub(f.lastHint)
 }
--- a/follow/tail.go
+++ b/follow/tail.go
@@ -9,32 +9,34 @@
 )
 
 const (
-	// tailRecords and tailBytes bound what is kept of a topic to pass on: some seconds
-	// of the changes of a large fleet.
-	tailRecords = 512
-	tailBytes   = 256 << 10
-	// largestPassed is the largest record that is passed on: a longer one is cheaper
-	// read by each instance from the store than sent to each from one.
-	largestPassed = 4 << 10
+	// maxTailRecords and maxTailBytes bound the records that are kept for other instances.
+	// They hold some seconds of the changes of a large fleet.
+	maxTailRecords = 512
+	maxTailBytes   = 256 << 10
+	// maxForwardedBytes is the largest record that is sent to other instances. For a larger
+	// one, a read of the store by each instance costs less than sending it to all from one.
+	maxForwardedBytes = 4 << 10
 )
 
-// Tail is the end of a topic as one instance has read it, for others: the newest record of
-// each key, so that whoever is many versions behind is sent one.
+// Tail keeps the end of a topic as one instance has read it, to be sent to other instances. It
+// keeps only the newest record of each key, so that an instance that is many versions of a key
+// behind is sent one record.
 type Tail struct {
 	mu      sync.Mutex
 	records []galenastair.KeyedRecord
 	size    int
-	// from is the first offset that this tail reaches back to.
-	from galenastair.Offset
-	next galenastair.Offset
+	// first is the lowest offset that the tail covers.
+	first galenastair.Offset
+	next  galenastair.Offset
 }
 
-// Add takes in a batch that was applied.
-func (t *Tail) Add(b galenastair.KeyedBatch, whole bool) {
+// Add adds a batch that was applied. After a snapshot, or a batch that doesn't continue the tail,
+// the tail is empty and starts at the batch's end.
+func (t *Tail) Add(b galenastair.KeyedBatch, snapshot bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if whole || b.From() != t.next {
-		t.records, t.size, t.from, t.next = nil, 0, b.Next, b.Next
+	if snapshot || b.From() != t.next {
+		t.records, t.size, t.first, t.next = nil, 0, b.Next, b.Next
 		return
 	}
 	for i, r := range b.Records {
@@ -44,40 +46,41 @@
 		t.replace(r)
 	}
 	t.next = b.Next
-	for len(t.records) > tailRecords || t.size > tailBytes {
-		t.from = t.records[0].Offset + 1
-		t.remove(0)
+	for len(t.records) > maxTailRecords || t.size > maxTailBytes {
+		t.first = t.records[0].Offset + 1
+		t.removeAt(0)
 	}
 }
 
-// replace adds a record in place of the one that it supersedes.
+// replace adds a record and removes the previous one with its key.
 func (t *Tail) replace(r galenastair.KeyedRecord) {
 	old := slices.IndexFunc(t.records, func(o galenastair.KeyedRecord) bool { return o.Key == r.Key })
 	if old >= 0 {
-		t.remove(old)
+		t.removeAt(old)
 	}
 	t.records = append(t.records, r)
 	t.size += len(r.Value)
 }
 
-func (t *Tail) remove(i int) {
+func (t *Tail) removeAt(i int) {
 	t.size -= len(t.records[i].Value)
 	t.records = slices.Delete(t.records, i, i+1)
 }
 
-// Since returns the records from an offset on, as far as they are kept and small.
+// Since returns the kept records from an offset on, up to the first that is larger than
+// maxForwardedBytes.
 func (t *Tail) Since(from galenastair.Offset) galenastair.KeyedBatch {
-	return t.since(from, largestPassed)
+	return t.since(from, maxForwardedBytes)
 }
 
-// All returns the records from an offset on, as far as they are kept.
+// AllSince returns the kept records from an offset on, whatever their size.
 func (t *Tail) All(from galenastair.Offset) galenastair.KeyedBatch { return t.since(from, math.MaxInt) }
 
-func (t *Tail) since(from galenastair.Offset, largest int) galenastair.KeyedBatch {
+func (t *Tail) since(from galenastair.Offset, maxBytes int) galenastair.KeyedBatch {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	b := galenastair.KeyedBatch{Next: from, End: t.next}
-	if from < t.from || from > t.next {
+	if from < t.first || from > t.next {
 		return b
 	}
 	b.Next = t.next
@@ -85,7 +88,7 @@
 		if r.Offset < from {
 			continue
 		}
-		if len(r.Value) > largest {
+		if len(r.Value) > maxBytes {
 			b.Next = from
 			if n := len(b.Records); n > 0 {
 				b.Next = b.Records[n-1].Offset + 1
