--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -9,64 +9,68 @@
 	"galenastair"
 )
 
-// Kind says what may be done with a request more than once.
+// Kind classifies requests by how they are answered and whether they may be retried.
 type Kind int
 
-// The kinds of request.
+// The kinds of requests.
 const (
-	// AtMostOnce requests run once at most.
+	// AtMostOnce requests run at most once.
 	AtMostOnce Kind = iota
-	// Idempotent requests may be sent again after any failure.
+	// Idempotent requests may be retried after any failure.
 	Idempotent
-	// Stream requests are answered by events and run once at most.
+	// Stream requests are answered by a stream of events and run at most once.
 	Stream
-	// ResumableStream requests may go on at another backend server behind the last event.
+	// ResumableStream requests are answered by a stream that another backend server can
+	// continue after the last event.
 	ResumableStream
 )
 
-// Streamed says whether the answer comes event by event.
+// Streamed reports whether the answer is a stream of events.
 func (k Kind) Streamed() bool { return k == Stream || k == ResumableStream }
 
-// Repeatable says whether a second run does no harm.
+// Retryable reports whether a request may run more than once.
 func (k Kind) Repeatable() bool { return k == Idempotent || k == ResumableStream }
 
-// Target is one service that a route may lead to, and its share of the requests.
+// Target is a service that receives requests of a route, and its weight.
 type Target struct {
 	Service galenastair.ServiceName
 	Weight  float64
 }
 
-// Route says where the requests of one host and path prefix go, and how.
+// Route configures the requests of one host and path prefix.
 type Route struct {
 	Name       string
 	Host       string
 	PathPrefix string
 	Kind       Kind
-	// Timeout is the longest that a caller is kept waiting.
+	// Timeout is the maximum time of a request.
 	Timeout time.Duration
-	// Aim is the time to the answer, or to a stream's first event, that is still on time.
+	// TargetLatency is the longest time to the answer, or to a stream's first event, that still
+	// counts as on time.
 	Aim time.Duration
-	// Gap is the longest pause between events that is still on time.
+	// TargetEventGap is the longest time between two events of a stream that still counts as on
+	// time.
 	Gap time.Duration
-	// Priority ranks requests; 0 goes first.
+	// Priority orders waiting requests; 0 is the highest.
 	Priority int
-	// Attempts is the most backend servers that may run one request.
+	// MaxAttempts is the maximum number of backend servers that may run one request.
 	Attempts int
-	Public   bool
-	Targets  []Target
+	// Public routes need no key.
+	Public  bool
+	Targets []Target
 }
 
-// Model is one model that the engines of a service can load.
+// Model is a model that the engines of a service can load.
 type Model struct {
 	Name   galenastair.ModelName
 	Memory galenastair.Bytes
-	// Load is what a load from the weight store takes.
+	// LoadTime is how long a load from the weight store takes.
 	Load          time.Duration
 	Adapters      int
 	AdapterMemory galenastair.Bytes
 }
 
-// Engine describes the model engines of a service; all are alike.
+// Engine describes the model engines of a service, which are all the same.
 type Engine struct {
 	Slots          int
 	CacheTokens    galenastair.Tokens
@@ -80,27 +84,29 @@
 type Service struct {
 	Name           galenastair.ServiceName
 	MaxConnections int
-	// Engine is nil for a plain service.
+	// Engine is nil for a service without model engines.
 	Engine *Engine
 }
 
-// Organisation is one customer's contract as far as a gateway enforces it.
+// Organisation has the parts of a customer's contract that a gateway enforces.
 type Organisation struct {
 	Name galenastair.Organisation
 	Keys []galenastair.KeyHash
-	// Priority goes before a route's, if HasPriority.
+	// Priority overrides the priority of a route if HasPriority is set.
 	Priority    int
 	HasPriority bool
-	// Rate and Burst are its quota over all instances; a Rate of 0 is no limit.
+	// Rate, per second, and Burst are the quota over all instances together. A Rate of 0 is no
+	// limit.
 	Rate  float64
 	Burst float64
-	// InTokens says that the quota counts tokens; else it counts requests.
+	// CountsTokens makes the quota count tokens instead of requests.
 	InTokens bool
-	// PlainTokens is what a request without token counts costs.
+	// DefaultTokens is the cost of a request without token counts.
 	PlainTokens galenastair.Tokens
 }
 
-// Cost is what one request takes of the organisation's quota.
+// Cost returns what one request takes from the organisation's quota. If counted is false, the
+// caller gave no token counts.
 func (o *Organisation) Cost(tokens galenastair.Tokens, counted bool) float64 {
 	switch {
 	case !o.InTokens:
@@ -112,7 +118,7 @@
 	}
 }
 
-// Limits bound what a caller may send.
+// Limits bound the requests and connections of callers.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
@@ -120,28 +126,28 @@
 	Idle        time.Duration
 }
 
-// Catalog is one version of the configuration.
+// Catalog is one version of the configuration. It is immutable.
 type Catalog struct {
 	Version int64
 	Limits  Limits
 
-	services      map[galenastair.ServiceName]*Service
-	organisations map[galenastair.Organisation]*Organisation
-	byKey         map[galenastair.KeyHash]*Organisation
-	byHost        map[string][]*Route
-	keyed         bool
+	services           map[galenastair.ServiceName]*Service
+	organisations      map[galenastair.Organisation]*Organisation
+	organisationsByKey map[galenastair.KeyHash]*Organisation
+	routesByHost       map[string][]*Route
+	requireKeys        bool
 }
 
-// New builds a catalog from its parts.
+// New returns a catalog.
 func New(version int64, l Limits, routes []*Route, services []*Service, organisations []*Organisation) *Catalog {
 	c := &Catalog{
-		Version:       version,
-		Limits:        l,
-		services:      make(map[galenastair.ServiceName]*Service, len(services)),
-		organisations: make(map[galenastair.Organisation]*Organisation, len(organisations)),
-		byKey:         map[galenastair.KeyHash]*Organisation{},
-		byHost:        map[string][]*Route{},
-		keyed:         len(organisations) > 0,
+		Version:            version,
+		Limits:             l,
+		services:           make(map[galenastair.ServiceName]*Service, len(services)),
+		organisations:      make(map[galenastair.Organisation]*Organisation, len(organisations)),
+		organisationsByKey: map[galenastair.KeyHash]*Organisation{},
+		routesByHost:       map[string][]*Route{},
+		requireKeys:        len(organisations) > 0,
 	}
 	for _, s := range services {
 		c.services[s.Name] = s
@@ -149,21 +155,21 @@
 	for _, o := range organisations {
 		c.organisations[o.Name] = o
 		for _, k := range o.Keys {
-			c.byKey[k] = o
+			c.organisationsByKey[k] = o
 		}
 	}
 	for _, r := range routes {
-		c.byHost[r.Host] = append(c.byHost[r.Host], r)
+		c.routesByHost[r.Host] = append(c.routesByHost[r.Host], r)
 	}
-	for _, rs := range c.byHost {
+	for _, rs := range c.routesByHost {
 		slices.SortStableFunc(rs, func(a, b *Route) int { return cmp.Compare(len(b.PathPrefix), len(a.PathPrefix)) })
 	}
 	return c
 }
 
-// Match returns the route of the host with the longest prefix of the path; nil for none.
+// Match returns the host's route with the longest matching path prefix, or nil.
 func (c *Catalog) Match(host, path string) *Route {
-	for _, r := range c.byHost[host] {
+	for _, r := range c.routesByHost[host] {
 		if strings.HasPrefix(path, r.PathPrefix) {
 			return r
 		}
@@ -171,41 +177,43 @@
 	return nil
 }
 
-// NeedsKey says whether requests on a route carry a key.
-func (c *Catalog) NeedsKey(r *Route) bool { return c.keyed && !r.Public }
+// RequiresKey reports whether the requests of a route need a key. None do if the configuration has
+// no organisations.
+func (c *Catalog) NeedsKey(r *Route) bool { return c.requireKeys && !r.Public }
 
-// ByKey returns the organisation that holds a key; nil for none.
-func (c *Catalog) ByKey(k galenastair.KeyHash) *Organisation { return c.byKey[k] }
+// OrganisationByKey returns the organisation that owns a key, or nil.
+func (c *Catalog) ByKey(k galenastair.KeyHash) *Organisation { return c.organisationsByKey[k] }
 
-// Organisation returns an organisation by its name; nil for none.
+// Organisation returns the organisation with the given name, or nil.
 func (c *Catalog) Organisation(name galenastair.Organisation) *Organisation {
 	return c.organisations[name]
 }
 
-// Organisations calls f for each organisation.
+// ForEachOrganisation calls f for each organisation.
 func (c *Catalog) Organisations(f func(*Organisation)) {
 	for _, o := range c.organisations {
 		f(o)
 	}
 }
 
-// Service returns a service by its name; nil for none.
+// Service returns the service with the given name, or nil.
 func (c *Catalog) Service(name galenastair.ServiceName) *Service { return c.services[name] }
 
-// Services calls f for each service.
+// ForEachService calls f for each service.
 func (c *Catalog) Services(f func(*Service)) {
 	for _, s := range c.services {
 		f(s)
 	}
 }
 
-// Choose deals a route's requests to its targets by weight; draw is in [0, 1).
+// PickService picks one of the route's targets at random by weight; draw is a random number in
+// [0, 1).
 func (r *Route) Choose(draw float64) galenastair.ServiceName {
-	sum := 0.0
+	total := 0.0
 	for _, t := range r.Targets {
-		sum += t.Weight
+		total += t.Weight
 	}
-	at := draw * sum
+	at := draw * total
 	for _, t := range r.Targets {
 		if at < t.Weight {
 			return t.Service
