--- a/forecast/doc.go
+++ b/forecast/doc.go
@@ -1,5 +1,5 @@
-// Package forecast foretells the demand for each model and adapter from what
-// callers asked for so far. It opens no socket and starts no goroutine.
+// Package forecast predicts the demand for each model and adapter from past requests. It
+// opens no socket and starts no goroutine.
 //
-// Size: about 100 bytes for each model or adapter, 25 KB at 250 models of a region.
+// Memory: about 100 bytes per model or adapter, 25 KB for a region with 250 models.
 package forecast
--- a/forecast/forecast.go
+++ b/forecast/forecast.go
@@ -8,104 +8,104 @@
 )
 
 const (
-	// levelMemory smooths the bursts of single callers: placement takes tens of
-	// seconds to pay off, so shorter bursts must not move models.
-	levelMemory = 30 * time.Second
-	// trendMemory is how far the growth looks back. Tenfold in an hour doubles in
-	// 18 minutes; three minutes of it are 12 %, enough to tell from noise.
-	trendMemory = 3 * time.Minute
-	// horizon is how far ahead placement asks: a load waits for its turn at the
-	// weight store and the routers learn of the copy some seconds later.
-	horizon = time.Minute
-	// mostGrowth bounds what the trend may add, so that the first seconds of a
-	// burst do not foretell a flood: e-fold within the horizon is far above
-	// tenfold within an hour.
-	mostGrowth = 2.0
+	// levelTimeConstant smooths the bursts of single callers. Moving a model takes tens of
+	// seconds to pay off, so that shorter bursts must not move one.
+	levelTimeConstant = 30 * time.Second
+	// trendTimeConstant smooths the trend. Demand that grows tenfold in an hour doubles in 18
+	// minutes and grows by 12 % in three minutes, which is enough to tell it from noise.
+	trendTimeConstant = 3 * time.Minute
+	// forecastHorizon is how far ahead demand is predicted. It covers the wait of a model load at
+	// the weight store and the seconds until the routers know the new copy.
+	forecastHorizon = time.Minute
+	// maxGrowth bounds the ratio of the prediction to the level, and its reciprocal. Without
+	// it, the first seconds of a burst would predict far too much. Doubling within the horizon
+	// is far above the tenfold growth in an hour that the trend has to follow.
+	maxGrowth = 2.0
 )
 
-// Forecast keeps the level and the trend of the demand for each model.
+// Forecast estimates the level and the trend of the demand for each model.
 type Forecast struct {
-	models  map[galenastair.ModelName]*demand
-	last    time.Time
-	memory  time.Duration
-	horizon time.Duration
+	models            map[galenastair.ModelName]*series
+	lastUpdate        time.Time
+	levelTimeConstant time.Duration
+	horizon           time.Duration
 }
 
-// Option varies a Forecast.
+// Option configures a Forecast.
 type Option func(*Forecast)
 
-// WithMemory replaces how long single bursts are smoothed over; nothing is foretold
-// beyond it then. It is for placing that pays off within seconds.
+// WithTimeConstant sets the time constant of the level and turns off the trend in predictions. It
+// is for placement that pays off within seconds.
 func WithMemory(d time.Duration) Option {
-	return func(f *Forecast) { f.memory, f.horizon = d, 0 }
+	return func(f *Forecast) { f.levelTimeConstant, f.horizon = d, 0 }
 }
 
-type demand struct {
-	arrived float64
-	level   float64
-	trend   float64
-	steps   int
+type series struct {
+	observed float64
+	level    float64
+	trend    float64
+	updates  int
 }
 
-// New returns a forecast that knows no demand.
+// New returns a forecast without observations.
 func New(opts ...Option) *Forecast {
-	f := &Forecast{models: map[galenastair.ModelName]*demand{}, memory: levelMemory, horizon: horizon}
+	f := &Forecast{models: map[galenastair.ModelName]*series{}, levelTimeConstant: levelTimeConstant, horizon: forecastHorizon}
 	for _, o := range opts {
 		o(f)
 	}
 	return f
 }
 
-// Observe adds work that callers asked for.
+// Observe adds requested work to the current period.
 func (f *Forecast) Observe(m galenastair.ModelName, work float64) {
-	d := f.models[m]
-	if d == nil {
-		d = &demand{}
-		f.models[m] = d
+	s := f.models[m]
+	if s == nil {
+		s = &series{}
+		f.models[m] = s
 	}
-	d.arrived += work
+	s.observed += work
 }
 
-// Step ends a period: what was observed since the last one becomes its rate.
+// EndPeriod ends a period: the work observed since the last call becomes the period's rate.
 func (f *Forecast) Step(now time.Time) {
-	period := now.Sub(f.last)
-	first := f.last.IsZero()
-	f.last = now
+	period := now.Sub(f.lastUpdate)
+	first := f.lastUpdate.IsZero()
+	f.lastUpdate = now
 	if first || period <= 0 {
 		return
 	}
-	for m, d := range f.models {
-		d.step(period, f.memory)
-		if d.level < 1e-6 && d.arrived == 0 {
+	for m, s := range f.models {
+		s.update(period, f.levelTimeConstant)
+		if s.level < 1e-6 && s.observed == 0 {
 			delete(f.models, m)
 		}
 	}
 }
 
-// step is Holt's linear smoothing with the weights of a period of any length.
-func (d *demand) step(period, memory time.Duration) {
-	rate := d.arrived / period.Seconds()
-	d.arrived = 0
-	d.steps++
-	// the first samples weigh as in a plain mean, else demand at a cold start
-	// would be seen only after the memory
-	alpha := max(1-math.Exp(-float64(period)/float64(memory)), 1/float64(d.steps))
-	beta := 1 - math.Exp(-float64(period)/float64(trendMemory))
-	before := d.level
-	d.level += d.trend*period.Seconds()*(1-alpha) + alpha*(rate-d.level)
-	d.level = max(0, d.level)
-	if float64(d.steps)*float64(period) < float64(memory) {
+// update applies Holt's linear exponential smoothing to a period of any length.
+func (s *series) update(period, timeConstant time.Duration) {
+	rate := s.observed / period.Seconds()
+	s.observed = 0
+	s.updates++
+	// The first samples have the weights of a plain mean. Otherwise it would take the time
+	// constant to see the demand after a cold start.
+	alpha := max(1-math.Exp(-float64(period)/float64(timeConstant)), 1/float64(s.updates))
+	beta := 1 - math.Exp(-float64(period)/float64(trendTimeConstant))
+	previous := s.level
+	s.level += s.trend*period.Seconds()*(1-alpha) + alpha*(rate-s.level)
+	s.level = max(0, s.level)
+	if float64(s.updates)*float64(period) < float64(timeConstant) {
 		return
 	}
-	d.trend += beta * ((d.level-before)/period.Seconds() - d.trend)
+	s.trend += beta * ((s.level-previous)/period.Seconds() - s.trend)
 }
 
-// Work returns the work per second foretold for a model.
+// Predict returns the predicted work per second for a model.
 func (f *Forecast) Work(m galenastair.ModelName) float64 {
-	d := f.models[m]
-	if d == nil {
+	s := f.models[m]
+	if s == nil {
 		return 0
 	}
-	ahead := d.level + d.trend*f.horizon.Seconds()
-	return min(max(ahead, d.level/mostGrowth), d.level*mostGrowth)
+	predicted := s.level + s.trend*f.horizon.Seconds()
+	return min(max(predicted, s.level/maxGrowth), s.level*maxGrowth)
 }
--- a/forecast/forecast_test.go
+++ b/forecast/forecast_test.go
@@ -8,9 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// Demand for a model grows tenfold within an hour; a copy ordered when the demand
-// is there comes a minute late for all its callers. Seen failing without the trend.
-func TestLooksAheadOnTenfoldWithinAnHour(t *testing.T) {
+// Demand for a model grows tenfold within an hour. Without the trend, the forecast lags behind
+// the demand, and a copy would be loaded a minute too late for all callers.
+func TestPredictsTenfoldGrowthWithinAnHour(t *testing.T) {
 	is := is.New(t)
 	f := New()
 	now := time.Unix(1000, 0)
@@ -19,13 +19,13 @@
 		f.Observe("m", 5*rate(at))
 		f.Step(now.Add(at + 5*time.Second))
 	}
-	is.True(f.Work("m") > rate(time.Hour))             // ahead of the demand
-	is.True(f.Work("m") < 1.2*rate(time.Hour+horizon)) // and not far off
+	is.True(f.Work("m") > rate(time.Hour))                     // not behind the demand
+	is.True(f.Work("m") < 1.2*rate(time.Hour+forecastHorizon)) // and not far above it
 }
 
-// A burst of five seconds in an hour of calm moves no model, and what is over is
-// forgotten. Seen failing with levelMemory at a second.
-func TestShortBurstsCountLittle(t *testing.T) {
+// A burst of five seconds during steady demand must not move a model, as it would with a
+// levelTimeConstant of one second. A model without demand must be removed.
+func TestShortBurstsHaveLittleEffect(t *testing.T) {
 	is := is.New(t)
 	f := New()
 	now := time.Unix(1000, 0)
