--- a/entry/entry.go
+++ b/entry/entry.go
@@ -93,7 +93,7 @@
 	e.limiter = limiter
 	e.claims = claim.New(claimDuties{e.members},
 		claim.WithHTTPClient(&http.Client{Transport: httpclient.NewTransport()}), claim.WithMetrics(e.metrics.Registry()))
-	e.server = request.NewServer(request.Ports{
+	e.server = request.NewServer(request.Dependencies{
 		Configuration: e.follower,
 		Lease:         e,
 		Limiter:       charges{e.limiter},
@@ -166,7 +166,7 @@
 
 // endWithdrawn ends the requests of withdrawn keys at each change of configuration.
 func (e *Entry) endWithdrawn(ctx context.Context) error {
-	return e.server.Active().Follow(ctx, e.follower)
+	return e.server.Active().Watch(ctx, e.follower)
 }
 
 // register shows the platform that this instance lives, or is leaving.
--- a/request/active.go
+++ b/request/active.go
@@ -9,10 +9,11 @@
 	"galenastair/config"
 )
 
-// Active knows the requests under way by key, so that a withdrawn key ends them.
-type Active struct {
-	mu   sync.Mutex
-	byID map[*activeRequest]struct{}
+// ActiveRequests tracks the requests in flight and their keys, so that they can be
+// cancelled when their key is withdrawn.
+type ActiveRequests struct {
+	mu       sync.Mutex
+	requests map[*activeRequest]struct{}
 }
 
 type activeRequest struct {
@@ -20,73 +21,75 @@
 	cancel context.CancelCauseFunc
 }
 
-// NewActive returns an empty set.
-func NewActive() *Active {
-	return &Active{byID: map[*activeRequest]struct{}{}}
+// NewActiveRequests returns an empty set.
+func NewActiveRequests() *ActiveRequests {
+	return &ActiveRequests{requests: map[*activeRequest]struct{}{}}
 }
 
-// Begin adds a request; the returned function takes it out again.
-func (a *Active) Begin(ctx context.Context, key galenastair.KeyHash) (context.Context, func()) {
+// Add adds a request and returns a context that is cancelled when the request's key
+// is withdrawn. The returned function removes the request.
+func (a *ActiveRequests) Add(ctx context.Context, key galenastair.KeyHash) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	r := &activeRequest{key: key, cancel: cancel}
 	a.mu.Lock()
-	a.byID[r] = struct{}{}
+	a.requests[r] = struct{}{}
 	a.mu.Unlock()
 	return ctx, func() {
 		a.mu.Lock()
-		delete(a.byID, r)
+		delete(a.requests, r)
 		a.mu.Unlock()
 		cancel(nil)
 	}
 }
 
-// Len counts the requests under way.
-func (a *Active) Len() int {
+// Len returns the number of requests in flight.
+func (a *ActiveRequests) Len() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return len(a.byID)
+	return len(a.requests)
 }
 
-// EndWithdrawn cancels the requests whose key the configuration no longer knows
-// as good. A stream can outlive its key by hours; without this an organisation
-// would go on being served, and charged, on a key it has withdrawn.
-func (a *Active) EndWithdrawn(c Configuration) int {
+// CancelWithdrawn cancels the requests whose key is no longer valid in the
+// configuration and returns their number. Without it, a stream could run for hours
+// after its key was withdrawn, and the organisation would be charged for it.
+func (a *ActiveRequests) CancelWithdrawn(c ConfigurationSource) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	ended := 0
+	cancelled := 0
 	v := c.View()
-	for r := range a.byID {
-		if _, err := authorise(v, r.key); err != nil {
+	for r := range a.requests {
+		if _, err := lookUpKey(v, r.key); err != nil {
 			r.cancel(err)
-			ended++
+			cancelled++
 		}
 	}
-	return ended
+	return cancelled
 }
 
-// firstViewPeriod is how often a starting instance looks for its first configuration.
-const firstViewPeriod = 50 * time.Millisecond
+// initialPollPeriod is how often a starting instance checks for its first configuration.
+const initialPollPeriod = 50 * time.Millisecond
 
-// Follow ends requests of withdrawn keys at every change of configuration until
-// the context ends.
-func (a *Active) Follow(ctx context.Context, c Configuration) error {
+// Watch calls CancelWithdrawn after every change of the configuration until the
+// context is done.
+func (a *ActiveRequests) Watch(ctx context.Context, c ConfigurationSource) error {
 	for {
 		v := c.View()
-		// the view is taken before the sweep, so that a change during it is not missed
-		a.EndWithdrawn(c)
-		if err := changed(ctx, v); err != nil {
+		// The view is taken before the cancellation, so that a change during it is not missed.
+		a.CancelWithdrawn(c)
+		if err := waitForChange(ctx, v); err != nil {
 			return err
 		}
 	}
 }
 
-// changed waits until a view is superseded or, before the first, for a moment.
-func changed(ctx context.Context, v *config.View) error {
+// waitForChange waits until a view is superseded, or for initialPollPeriod if there
+// is no view yet.
+func waitForChange(ctx context.Context, v *config.View) error {
 	if v == nil {
-		first := time.NewTimer(firstViewPeriod)
-		defer first.Stop()
+		poll := time.NewTimer(initialPollPeriod)
+		defer poll.Stop()
 		select {
-		case <-first.C:
+		case <-poll.C:
 			return nil
 		case <-ctx.Done():
 			return ctx.Err()
--- a/request/call.go
+++ b/request/call.go
@@ -7,22 +7,22 @@
 	"galenastair"
 )
 
-// Call is one model request as a caller made it.
+// Call is a caller's request to a model.
 type Call struct {
 	ID             galenastair.RequestID
 	Key            galenastair.KeyHash
 	IdempotencyKey galenastair.IdempotencyKey
 	Model          galenastair.ModelName
 	Chat           bool
-	// Body is what the engine gets: the caller's own, with streaming asked for.
+	// Body is the caller's body with streaming enabled, as sent to the engine.
 	Body         []byte
 	Prompt       []byte
 	OutputTokens galenastair.Tokens
-	// Deadline is when the caller is no longer served.
+	// Deadline is the time at which the request is abandoned.
 	Deadline time.Time
 }
 
-// ServiceCall is one request to a plain service as a caller made it.
+// ServiceCall is a caller's request to a plain service, which is not a model engine.
 type ServiceCall struct {
 	galenastair.ServiceCall
 	Service        galenastair.ServiceName
@@ -31,14 +31,16 @@
 	Deadline       time.Time
 }
 
-// Repeatable says whether the call may be sent again after it may have run.
+// Repeatable reports whether the call may be sent again after it may have run.
 func (c ServiceCall) Repeatable() bool {
-	// only methods that change nothing: a bid or an acknowledgement sent
-	// twice commits its caller twice, whatever its own service makes of PUT
+	// Only safe methods: sending a bid or an acknowledgement twice would commit
+	// the caller twice. PUT is left out because a service need not implement it
+	// idempotently.
 	return c.IdempotencyKey == "" && (c.Method == http.MethodGet || c.Method == http.MethodHead || c.Method == http.MethodOptions)
 }
 
-// Sink takes a streamed answer, chunk by chunk; the end mark is its last chunk.
+// ResponseWriter receives a streamed response chunk by chunk. The last chunk is
+// the end marker.
 type Sink interface {
 	Chunk(galenastair.Chunk) error
 }
--- a/request/complete.go
+++ b/request/complete.go
@@ -14,48 +14,48 @@
 	"galenastair/route"
 )
 
-// cancelTimeout bounds how long a caller that has gone keeps its goroutine for
-// telling the engine to stop.
+// cancelTimeout bounds how long the goroutine of a disconnected caller is kept to
+// cancel the request on the engine.
 const cancelTimeout = time.Second
 
-// completion is one model request under way.
+// completion is a model request in flight.
 type completion struct {
 	s      *Server
 	call   Call
-	sink   Sink
-	auth   authority
+	writer Sink
+	auth   principal
 	digest claim.Digest
-	// prompt is the estimate that was charged.
-	prompt galenastair.Tokens
-	progress
-	// reached says that the last attempt's backend server got the request.
-	reached bool
-	ending  Ending
-	begun   time.Time
-	granted time.Time
-	first   time.Time
-	last    time.Time
-	grant   *dispatch.Grant
-	tried   []galenastair.BackendServerID
+	// promptTokens is the estimated size of the prompt, as charged.
+	promptTokens galenastair.Tokens
+	requestProgress
+	// delivered reports that the backend server of the last attempt may have received the request.
+	delivered    bool
+	summary      Ending
+	startedAt    time.Time
+	grantedAt    time.Time
+	firstChunkAt time.Time
+	lastChunkAt  time.Time
+	grant        *dispatch.Grant
+	tried        []galenastair.BackendServerID
 }
 
-// Complete carries one model request and passes its answer to the sink; a nil
-// error means that the whole answer, with its end mark, was passed.
-func (s *Server) Complete(ctx context.Context, call Call, sink Sink) error {
-	c := &completion{s: s, call: call, sink: sink, begun: s.clock.Now()}
+// Complete serves a model request and forwards the response to writer. A nil error
+// means that the complete response, including its end marker, was forwarded.
+func (s *Server) Complete(ctx context.Context, call Call, writer Sink) error {
+	c := &completion{s: s, call: call, writer: writer, startedAt: s.clock.Now()}
 	c.idempotent = call.IdempotencyKey == ""
-	c.ending = Ending{ID: call.ID, Model: call.Model}
+	c.summary = Ending{ID: call.ID, Model: call.Model}
 	err := c.admit(ctx)
 	if err != nil {
-		err = refusalOf(cause(ctx, err), c.outcome())
+		err = refusalOf(cancellationCause(ctx, err), c.outcome())
 	}
-	c.record(err)
+	c.recordSummary(err)
 	return err
 }
 
-// cause prefers the reason for which a request was cancelled, such as a
-// withdrawn key, to the bare cancellation.
-func cause(ctx context.Context, err error) error {
+// cancellationCause replaces context.Canceled by the cause of the cancellation, such
+// as a withdrawn key, if there is one.
+func cancellationCause(ctx context.Context, err error) error {
 	if c := context.Cause(ctx); c != nil && errors.Is(err, context.Canceled) {
 		return c
 	}
@@ -63,12 +63,12 @@
 }
 
 func (c *completion) admit(ctx context.Context) error {
-	auth, err := c.s.mayServe(c.call.Key)
+	auth, err := c.s.authorise(c.call.Key)
 	if err != nil {
 		return err
 	}
 	c.auth = auth
-	c.ending.Organisation = auth.organisation
+	c.summary.Organisation = auth.organisation
 	if !auth.contract.PermitsModel(c.call.Model) {
 		return galenastair.Refuse(galenastair.ErrNotPermitted, 0, string(c.call.Model))
 	}
@@ -76,20 +76,20 @@
 	if err := c.s.poison.Allow(c.s.clock.Now(), c.digest); err != nil {
 		return err
 	}
-	return c.claimed(ctx)
+	return c.runWithClaim(ctx)
 }
 
-// claimed takes the claim before the charge: a repeated request is told so
-// without costing its organisation anything.
-func (c *completion) claimed(ctx context.Context) error {
+// runWithClaim takes the claim before the charge, so that a duplicate request is
+// refused without being charged.
+func (c *completion) runWithClaim(ctx context.Context) error {
 	if c.call.IdempotencyKey == "" {
-		return c.charged(ctx)
+		return c.runWithCharge(ctx)
 	}
-	claim, err := c.s.begin(ctx, c.auth.organisation, c.call.IdempotencyKey, c.digest, c.call.ID)
+	claim, err := c.s.beginClaim(ctx, c.auth.organisation, c.call.IdempotencyKey, c.digest, c.call.ID)
 	if err != nil {
 		return err
 	}
-	err = c.charged(ctx)
+	err = c.runWithCharge(ctx)
 	if err == nil {
 		claim.Finish(galenastair.Ran)
 	} else {
@@ -98,63 +98,65 @@
 	return err
 }
 
-func (c *completion) charged(ctx context.Context) error {
-	c.prompt = c.s.estimator.within(c.auth.contract.Burst-c.call.OutputTokens, c.call.Model, len(c.call.Prompt))
-	own := c.prompt + c.call.OutputTokens
-	debt := c.s.debts.take(c.auth.organisation, c.auth.contract.Burst-own)
-	charge, err := c.s.charge(ctx, c.auth.organisation, own+debt, c.call.ID)
+func (c *completion) runWithCharge(ctx context.Context) error {
+	c.promptTokens = c.s.estimator.estimateWithin(c.auth.contract.Burst-c.call.OutputTokens, c.call.Model, len(c.call.Prompt))
+	tokens := c.promptTokens + c.call.OutputTokens
+	debt := c.s.debts.take(c.auth.organisation, c.auth.contract.Burst-tokens)
+	charge, err := c.s.charge(ctx, c.auth.organisation, tokens+debt, c.call.ID)
 	if err != nil {
 		c.s.debts.add(c.auth.organisation, debt)
 		return err
 	}
-	c.ending.Charged = own
+	c.summary.Charged = tokens
 	err = c.run(ctx)
 	c.settle(charge, debt, err)
 	return err
 }
 
-// settle gives back what was not used; a debt that was paid with it stays paid.
+// settle returns the unused part of the charge. A debt that the charge included
+// remains paid.
 func (c *completion) settle(charge Charge, debt galenastair.Tokens, err error) {
 	if err != nil && c.outcome() == galenastair.NotRun {
-		c.ending.Used = 0
-	} else if c.ending.Used == 0 {
-		// without the engine's count the whole charge stands: what it
-		// produced after a cut is not known
-		c.ending.Used = c.ending.Charged
-	}
-	c.s.debts.add(c.auth.organisation, c.ending.Used-c.ending.Charged)
-	charge.Settle(c.ending.Used + debt)
+		c.summary.Used = 0
+	} else if c.summary.Used == 0 {
+		// Without the engine's token count the whole charge is kept, because the
+		// number of tokens generated after a connection failure is unknown.
+		c.summary.Used = c.summary.Charged
+	}
+	c.s.debts.add(c.auth.organisation, c.summary.Used-c.summary.Charged)
+	charge.Settle(c.summary.Used + debt)
 }
 
 func (c *completion) run(ctx context.Context) error {
-	ctx, end := c.s.active.Begin(ctx, c.call.Key)
-	defer end()
+	ctx, remove := c.s.active.Add(ctx, c.call.Key)
+	defer remove()
 	for {
 		err := c.attempt(ctx)
 		if err == nil {
 			return nil
 		}
-		if err := c.next(ctx, err); err != nil {
-			return cause(ctx, err)
+		if err := c.checkRetry(ctx, err); err != nil {
+			return cancellationCause(ctx, err)
 		}
 	}
 }
 
-// next returns nil if the request may be tried on another backend server.
-func (c *completion) next(ctx context.Context, err error) error {
+// checkRetry returns nil if the request may be retried on another backend server.
+func (c *completion) checkRetry(ctx context.Context, err error) error {
 	var refused *galenastair.Refusal
-	if errors.As(err, &refused) || decide(c.progress, err) != tryElsewhere {
+	if errors.As(err, &refused) || chooseAction(c.requestProgress, err) != actionRetry {
 		return err
 	}
 	now := c.s.clock.Now()
-	// a request that kills what runs it may be sent to one more, never on through the fleet
-	if c.reached && !c.s.poison.Stopped(now, c.digest) {
+	// A request that crashes backend servers is retried once, so that it cannot crash
+	// the whole fleet.
+	if c.delivered && !c.s.poison.Stopped(now, c.digest) {
 		return &galenastair.Refusal{Cause: galenastair.ErrPoison, Outcome: c.outcome()}
 	}
 	if !c.s.retries.MayRetry() {
 		return err
 	}
-	c.s.logger.Log("event", "retry", "request", c.call.ID, "organisation", c.auth.organisation, "model", c.call.Model, "failed", c.ending.BackendServer, "cause", err)
+	c.s.logger.Log("event", "retry", "request", c.call.ID, "organisation", c.auth.organisation, "model", c.call.Model, "failed", c.summary.BackendServer, "cause", err)
 	return ctx.Err()
 }
 
@@ -164,7 +166,7 @@
 		Organisation: c.auth.organisation,
 		Weight:       c.auth.contract.Rate,
 		Model:        c.call.Model,
-		PromptTokens: c.prompt,
+		PromptTokens: c.promptTokens,
 		OutputTokens: c.call.OutputTokens,
 		Prefix:       route.Prefix(c.call.Model, c.call.Prompt),
 		Deadline:     c.call.Deadline,
@@ -176,30 +178,30 @@
 	result := dispatch.Result{}
 	defer func() { grant.Release(result) }()
 	c.grant = grant
-	if _, err := c.s.mayServe(c.call.Key); err != nil {
+	if _, err := c.s.authorise(c.call.Key); err != nil {
 		return err
 	}
-	c.granted = c.s.clock.Now()
+	c.grantedAt = c.s.clock.Now()
 	c.attempts++
 	c.tried = append(c.tried, grant.Server)
-	c.ending.BackendServer = grant.Server
-	c.ending.Queued = c.granted.Sub(c.begun)
-	c.s.logger.Log("event", "route", "request", c.call.ID, "organisation", c.auth.organisation, "model", c.call.Model, "server", grant.Server, "reason", grant.Reason, "priority", grant.Priority, "queued", c.ending.Queued, "attempt", c.attempts)
-	err = c.answer(ctx, grant)
-	result = c.result(err)
+	c.summary.BackendServer = grant.Server
+	c.summary.Queued = c.grantedAt.Sub(c.startedAt)
+	c.s.logger.Log("event", "route", "request", c.call.ID, "organisation", c.auth.organisation, "model", c.call.Model, "server", grant.Server, "reason", grant.Reason, "priority", grant.Priority, "queued", c.summary.Queued, "attempt", c.attempts)
+	err = c.send(ctx, grant)
+	result = c.dispatchResult(err)
 	return err
 }
 
-func (c *completion) result(err error) dispatch.Result {
+func (c *completion) dispatchResult(err error) dispatch.Result {
 	return dispatch.Result{
 		OutputTokens: galenastair.Tokens(c.chunks),
 		Failed:       err != nil && !errors.Is(err, context.Canceled),
 	}
 }
 
-// answer sends the request to the granted backend server and passes on its
-// answer, over as many connections as it takes.
-func (c *completion) answer(ctx context.Context, grant *dispatch.Grant) error {
+// send sends the request to the granted backend server and forwards the response,
+// which it resumes on new connections if necessary.
+func (c *completion) send(ctx context.Context, grant *dispatch.Grant) error {
 	stream, err := c.s.engine.Complete(ctx, grant.Address, galenastair.Completion{
 		ID:       c.call.ID,
 		Model:    c.call.Model,
@@ -207,38 +209,38 @@
 		Body:     c.call.Body,
 		Priority: grant.Priority,
 	})
-	c.reached = !notRun(err)
-	c.sent = c.sent || c.reached
+	c.delivered = !hadNoEffect(err)
+	c.sent = c.sent || c.delivered
 	if err == nil {
-		err = c.pass(stream)
+		err = c.forward(stream)
 	}
-	for err != nil && decide(c.progress, err) == resumeAnswer {
+	for err != nil && chooseAction(c.requestProgress, err) == actionResume {
 		err = c.resume(ctx, grant, err)
 	}
 	if err != nil && ctx.Err() != nil && c.sent {
-		c.stopEngine(grant)
+		c.cancelOnEngine(grant)
 	}
 	return err
 }
 
-// resume goes on with an answer on a new connection: the old one may have been
-// silent for good while new ones work.
+// resume continues a response on a new connection, since one connection may stall
+// permanently while new ones work.
 func (c *completion) resume(ctx context.Context, grant *dispatch.Grant, failed error) error {
 	c.resumes++
 	c.s.logger.Log("event", "resume", "request", c.call.ID, "server", grant.Server, "after", c.chunks, "cause", failed)
 	stream, err := c.s.engine.Resume(ctx, grant.Address, c.call.ID, c.chunks)
 	if err == nil {
-		return c.pass(stream)
+		return c.forward(stream)
 	}
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	// the engine is gone or no longer knows the answer: the cut stands
+	// The engine has stopped or no longer has the response, so it cannot be resumed.
 	c.resumes = maxResumes
 	return failed
 }
 
-func (c *completion) pass(stream galenastair.AnswerStream) error {
+func (c *completion) forward(stream galenastair.AnswerStream) error {
 	defer stream.Close()
 	for {
 		chunk, err := stream.Next()
@@ -248,16 +250,16 @@
 		if err != nil {
 			return err
 		}
-		if err := c.passChunk(chunk); err != nil {
+		if err := c.forwardChunk(chunk); err != nil {
 			return err
 		}
 	}
 }
 
-func (c *completion) passChunk(chunk galenastair.Chunk) error {
-	c.noteTime()
-	c.noteUsage(chunk.Data)
-	if err := c.sink.Chunk(chunk); err != nil {
+func (c *completion) forwardChunk(chunk galenastair.Chunk) error {
+	c.recordChunkTime()
+	c.recordUsage(chunk.Data)
+	if err := c.writer.Chunk(chunk); err != nil {
 		return context.Canceled
 	}
 	if !chunk.End {
@@ -266,16 +268,16 @@
 	return nil
 }
 
-func (c *completion) noteTime() {
-	c.last = c.s.clock.Now()
-	if c.first.IsZero() {
-		c.first = c.last
+func (c *completion) recordChunkTime() {
+	c.lastChunkAt = c.s.clock.Now()
+	if c.firstChunkAt.IsZero() {
+		c.firstChunkAt = c.lastChunkAt
 		c.grant.FirstToken()
 	}
 }
 
-// usageMark stands in the one event that carries the token counts.
-var usageMark = []byte(`"usage":{`)
+// usageField occurs only in the event that carries the token counts.
+var usageField = []byte(`"usage":{`)
 
 type usageEvent struct {
 	Usage struct {
@@ -284,19 +286,20 @@
 	} `json:"usage"`
 }
 
-func (c *completion) noteUsage(data []byte) {
-	if !bytes.Contains(data, usageMark) {
+func (c *completion) recordUsage(data []byte) {
+	if !bytes.Contains(data, usageField) {
 		return
 	}
 	var u usageEvent
 	if json.Unmarshal(data, &u) == nil {
 		c.s.estimator.observe(c.call.Model, len(c.call.Prompt), u.Usage.PromptTokens)
-		c.ending.Used = u.Usage.PromptTokens + u.Usage.CompletionTokens
+		c.summary.Used = u.Usage.PromptTokens + u.Usage.CompletionTokens
 	}
 }
 
-// stopEngine frees the engine's memory of an answer that nobody reads any more.
-func (c *completion) stopEngine(grant *dispatch.Grant) {
+// cancelOnEngine cancels a response that nobody reads any more, to free its memory on
+// the engine.
+func (c *completion) cancelOnEngine(grant *dispatch.Grant) {
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
 	if err := c.s.engine.Cancel(ctx, grant.Address, c.call.ID); err != nil {
@@ -304,24 +307,24 @@
 	}
 }
 
-func (c *completion) record(err error) {
-	e := c.ending
-	e.Attempts = c.attempts
-	e.Total = c.s.clock.Now().Sub(c.begun)
-	e.Outcome = galenastair.Ran
-	var r *galenastair.Refusal
-	if errors.As(err, &r) {
-		e.Code = r.Code()
-		e.Outcome = r.Outcome
-	}
-	if !c.first.IsZero() {
-		e.FirstToken = c.first.Sub(c.begun)
+func (c *completion) recordSummary(err error) {
+	summary := c.summary
+	summary.Attempts = c.attempts
+	summary.Total = c.s.clock.Now().Sub(c.startedAt)
+	summary.Outcome = galenastair.Ran
+	var refusal *galenastair.Refusal
+	if errors.As(err, &refusal) {
+		summary.Code = refusal.Code()
+		summary.Outcome = refusal.Outcome
+	}
+	if !c.firstChunkAt.IsZero() {
+		summary.FirstToken = c.firstChunkAt.Sub(c.startedAt)
 		if c.chunks > 1 {
-			e.BetweenToken = c.last.Sub(c.first) / time.Duration(c.chunks-1)
+			summary.BetweenToken = c.lastChunkAt.Sub(c.firstChunkAt) / time.Duration(c.chunks-1)
 		}
 	}
-	c.s.recorder.RequestEnded(e)
+	c.s.recorder.RequestEnded(summary)
 	if err != nil {
-		c.s.logger.Log("event", "refuse", "request", c.call.ID, "organisation", e.Organisation, "model", c.call.Model, "code", e.Code, "outcome", e.Outcome, "cause", err)
+		c.s.logger.Log("event", "refuse", "request", c.call.ID, "organisation", summary.Organisation, "model", c.call.Model, "code", summary.Code, "outcome", summary.Outcome, "cause", err)
 	}
 }
--- a/request/complete_test.go
+++ b/request/complete_test.go
@@ -11,64 +11,66 @@
 	"galenastair/config"
 )
 
-func TestWholeAnswerAndTruthfulOutcome(t *testing.T) {
+// A failed request must be retried or resumed only where that is safe, and must be
+// reported with the outcome that it really had.
+func TestRetriesAndOutcomes(t *testing.T) {
 	errCrash := errors.New("connection reset by peer")
 	for name, c := range map[string]struct {
-		attempts []attempt
+		attempts []fakeAttempt
 		key      galenastair.IdempotencyKey
 		text     string
 		cause    error
 		outcome  galenastair.Outcome
 	}{
-		"whole": {attempts: []attempt{{chunks: 3}}, text: "123"},
-		"not sent, then elsewhere": {
-			attempts: []attempt{{refuse: galenastair.ErrNotSent}, {chunks: 2}}, text: "12",
+		"complete response": {attempts: []fakeAttempt{{chunks: 3}}, text: "123"},
+		"not sent, retried on another server": {
+			attempts: []fakeAttempt{{refuse: galenastair.ErrNotSent}, {chunks: 2}}, text: "12",
 		},
-		"silent, resumed on a new connection without a gap": {
-			attempts: []attempt{{chunks: 2, cut: galenastair.ErrSilent}, {chunks: 2}}, text: "1234",
+		"stalled, resumed on a new connection without a gap": {
+			attempts: []fakeAttempt{{chunks: 2, cut: galenastair.ErrSilent}, {chunks: 2}}, text: "1234",
 		},
-		"cut before the first token, the engine gone: run again elsewhere": {
-			attempts: []attempt{{cut: galenastair.ErrAnswerCut}, {refuse: galenastair.ErrStreamGone}, {chunks: 2}}, text: "12",
+		"cut before the first token, engine gone: retried on another server": {
+			attempts: []fakeAttempt{{cut: galenastair.ErrAnswerCut}, {refuse: galenastair.ErrStreamGone}, {chunks: 2}}, text: "12",
 		},
-		"cut after tokens, the engine gone: never begun anew": {
-			attempts: []attempt{{chunks: 2, cut: galenastair.ErrAnswerCut}, {refuse: galenastair.ErrStreamGone}, {chunks: 2}},
+		"cut after tokens, engine gone: not restarted": {
+			attempts: []fakeAttempt{{chunks: 2, cut: galenastair.ErrAnswerCut}, {refuse: galenastair.ErrStreamGone}, {chunks: 2}},
 			text:     "12", cause: galenastair.ErrAnswerCut, outcome: galenastair.Ran,
 		},
-		"may not be repeated: one certain non-start is no run": {
-			attempts: []attempt{{refuse: galenastair.ErrNotSent}, {chunks: 1}}, key: "k", text: "1",
+		"idempotency key, not sent: retried": {
+			attempts: []fakeAttempt{{refuse: galenastair.ErrNotSent}, {chunks: 1}}, key: "k", text: "1",
 		},
-		"may not be repeated: a crash leaves it unknown": {
-			attempts: []attempt{{refuse: errCrash}, {chunks: 2}}, key: "k",
+		"idempotency key, crash: not retried, outcome unknown": {
+			attempts: []fakeAttempt{{refuse: errCrash}, {chunks: 2}}, key: "k",
 			cause: galenastair.ErrBackendServer, outcome: galenastair.Unknown,
 		},
-		"nobody takes it": {
-			attempts: []attempt{{refuse: galenastair.ErrDeclined}, {refuse: galenastair.ErrNotSent}},
+		"no server accepts it": {
+			attempts: []fakeAttempt{{refuse: galenastair.ErrDeclined}, {refuse: galenastair.ErrNotSent}},
 			cause:    galenastair.ErrNoBackendServer, outcome: galenastair.NotRun,
 		},
-		"one crashes, nobody else is left: it may have run": {
-			attempts: []attempt{{refuse: errCrash}, {refuse: galenastair.ErrNotSent}},
+		"one server crashes, none is left: outcome unknown": {
+			attempts: []fakeAttempt{{refuse: errCrash}, {refuse: galenastair.ErrNotSent}},
 			cause:    galenastair.ErrNoBackendServer, outcome: galenastair.Unknown,
 		},
-		"kills what runs it: one more, then refused": {
-			attempts: []attempt{{refuse: errCrash}, {refuse: errCrash}, {chunks: 1}},
+		"crashes its servers: retried once, then refused": {
+			attempts: []fakeAttempt{{refuse: errCrash}, {refuse: errCrash}, {chunks: 1}},
 			cause:    galenastair.ErrPoison, outcome: galenastair.Unknown,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBench(t, c.attempts...)
-			call := b.call()
+			ts := newTestServer(t, c.attempts...)
+			call := ts.call()
 			call.IdempotencyKey = c.key
-			sink := &textSink{}
-			err := b.server.Complete(context.Background(), call, sink)
-			is.Equal(sink.text, c.text)
+			writer := &textWriter{}
+			err := ts.server.Complete(context.Background(), call, writer)
+			is.Equal(writer.text, c.text)
 			if c.cause == nil {
 				is.NoErr(err)
-				is.True(sink.ended)
+				is.True(writer.ended)
 				return
 			}
 			is.True(errors.Is(err, c.cause))
-			is.True(!sink.ended) // a cut answer never looks whole
+			is.True(!writer.ended) // a truncated response must not look complete
 			var r *galenastair.Refusal
 			is.True(errors.As(err, &r))
 			is.Equal(r.Outcome, c.outcome)
@@ -76,75 +78,75 @@
 	}
 }
 
-// A nursery withdraws a leaked key while a long answer streams on it. Without
-// the sweep over requests under way the stream goes on to its end, and the
-// organisation is charged for a key it believes dead.
-func TestWithdrawnKeyEndsStream(t *testing.T) {
+// An organisation withdraws a leaked key while a long response is streamed for it.
+// Unless requests in flight are cancelled, the stream goes on to its end and the
+// organisation is charged for it.
+func TestWithdrawnKeyCancelsStream(t *testing.T) {
 	is := is.New(t)
-	var b *bench
-	b = newBench(t, attempt{chunks: 100, before: func(sequence int64) {
+	var ts *testServer
+	ts = newTestServer(t, fakeAttempt{chunks: 100, before: func(sequence int64) {
 		if sequence == 3 {
-			b.configuration.apply(config.KindKeyWithdrawn, config.KeyWithdrawn{KeyHash: galenastair.HashKey(testKey)})
-			is.Equal(b.server.Active().EndWithdrawn(b.configuration), 1)
+			ts.configuration.apply(config.KindKeyWithdrawn, config.KeyWithdrawn{KeyHash: galenastair.HashKey(testKey)})
+			is.Equal(ts.server.Active().CancelWithdrawn(ts.configuration), 1)
 		}
 	}})
-	sink := &textSink{}
-	err := b.server.Complete(context.Background(), b.call(), sink)
+	writer := &textWriter{}
+	err := ts.server.Complete(context.Background(), ts.call(), writer)
 	is.True(errors.Is(err, galenastair.ErrKeyWithdrawn))
 	var r *galenastair.Refusal
 	is.True(errors.As(err, &r))
-	is.Equal(r.Outcome, galenastair.Ran) // a refusal that says "not run" is true
-	is.True(!sink.ended)
-	is.Equal(b.engine.canceled, 1) // the engine is told to stop
+	is.Equal(r.Outcome, galenastair.Ran) // NotRun may only be reported if the request did not run
+	is.True(!writer.ended)
+	is.Equal(ts.engine.canceled, 1) // the request is cancelled on the engine
 }
 
-// A process is paused past its lease while a request waits in its queue; when it
-// goes on, another instance may have taken over. It must not send the request.
+// A process is paused until after its lease expired while a request is queued. When
+// it continues, another instance may have taken over, so it must not send the request.
 func TestLeaseIsCheckedBeforeSending(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, attempt{chunks: 1})
-	b.lease.lapsed = true
-	err := b.server.Complete(context.Background(), b.call(), &textSink{})
+	ts := newTestServer(t, fakeAttempt{chunks: 1})
+	ts.lease.lapsed = true
+	err := ts.server.Complete(context.Background(), ts.call(), &textWriter{})
 	is.True(errors.Is(err, galenastair.ErrNotMember))
-	is.Equal(len(b.engine.servers), 0)
+	is.Equal(len(ts.engine.servers), 0)
 }
 
-// An instance is cut off from the log and the other instances, where a key has
-// been withdrawn. A caller with an open connection to it never sees /readyz red,
-// and was served on the withdrawn key for as long as the cut lasted.
-func TestCutOffInstanceServesNobody(t *testing.T) {
+// An instance is partitioned from the log and the other instances when a key is
+// withdrawn. A caller with an open connection does not check /readyz and was served
+// with the withdrawn key for as long as the partition lasted.
+func TestIsolatedInstanceRefusesRequests(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, attempt{chunks: 1})
-	b.configuration.cutOff = true
-	err := b.server.Complete(context.Background(), b.call(), &textSink{})
+	ts := newTestServer(t, fakeAttempt{chunks: 1})
+	ts.configuration.isolated = true
+	err := ts.server.Complete(context.Background(), ts.call(), &textWriter{})
 	is.True(errors.Is(err, galenastair.ErrConfiguration))
-	is.Equal(len(b.engine.servers), 0)
+	is.Equal(len(ts.engine.servers), 0)
 }
 
-func TestUnusedChargeIsGivenBack(t *testing.T) {
+func TestUnusedChargeIsReturned(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t, attempt{refuse: galenastair.ErrNotSent}, attempt{refuse: galenastair.ErrNotSent})
-	err := b.server.Complete(context.Background(), b.call(), &textSink{})
+	ts := newTestServer(t, fakeAttempt{refuse: galenastair.ErrNotSent}, fakeAttempt{refuse: galenastair.ErrNotSent})
+	err := ts.server.Complete(context.Background(), ts.call(), &textWriter{})
 	is.True(err != nil)
-	is.Equal(b.limiter.charged, galenastair.Tokens(90+templateTokens))
-	is.Equal(b.limiter.used, galenastair.Tokens(0))
+	is.Equal(ts.limiter.charged, galenastair.Tokens(90+chatTemplateTokens))
+	is.Equal(ts.limiter.used, galenastair.Tokens(0))
 }
 
-// A buyer's bid reaches the service, whose connection then breaks. The bid may
-// stand; sent again it could commit the mill twice.
-func TestBidIsSentOnce(t *testing.T) {
+// A POST reaches the service before the connection breaks, so it may have taken
+// effect. Sending it again could place the same bid twice. A GET is retried.
+func TestUnsafeServiceCallIsSentOnce(t *testing.T) {
 	is := is.New(t)
-	b := newBench(t)
-	b.service.errs = []error{errors.New("connection reset by peer")}
+	ts := newTestServer(t)
+	ts.service.errs = []error{errors.New("connection reset by peer")}
 	call := ServiceCall{Service: "bids", Key: galenastair.HashKey(testKey)}
 	call.Method = "POST"
-	_, err := b.server.CallService(context.Background(), call)
+	_, err := ts.server.CallService(context.Background(), call)
 	var r *galenastair.Refusal
 	is.True(errors.As(err, &r))
 	is.Equal(r.Outcome, galenastair.Unknown)
 	call.Method = "GET"
-	b.service.errs = []error{errors.New("connection reset by peer")}
-	answer, err := b.server.CallService(context.Background(), call)
+	ts.service.errs = []error{errors.New("connection reset by peer")}
+	answer, err := ts.server.CallService(context.Background(), call)
 	is.NoErr(err)
 	is.Equal(answer.Status, 200)
 }
--- a/request/decide.go
+++ b/request/decide.go
@@ -7,42 +7,44 @@
 	"galenastair"
 )
 
-// step is what follows on a failure.
-type step int
+// failureAction is the reaction to a failed attempt.
+type failureAction int
 
 const (
-	// giveUp tells the caller now; holding the answer back would only keep it from asking elsewhere.
-	giveUp step = iota
-	// tryElsewhere sends the request to another backend server.
-	tryElsewhere
-	// resumeAnswer asks the same backend server for the rest on a new connection.
-	resumeAnswer
+	// actionFail returns the error to the caller at once, so that it can retry elsewhere.
+	actionFail failureAction = iota
+	// actionRetry sends the request to another backend server.
+	actionRetry
+	// actionResume requests the rest of the response from the same backend server on a new connection.
+	actionResume
 )
 
-// progress is how far a request has come.
-type progress struct {
-	// sent says that bytes of it may have reached a backend server that did not decline.
+// requestProgress records what has happened to a request so far.
+type requestProgress struct {
+	// sent reports that bytes of the request may have reached a backend server that did not decline it.
 	sent bool
-	// chunks counts the events passed on to the caller.
+	// chunks counts the events forwarded to the caller.
 	chunks int64
-	// resumes counts the connections that went on with this answer.
+	// resumes counts the attempts to resume the response on a new connection.
 	resumes int
-	// attempts counts the backend servers that it was given to.
+	// attempts counts the backend servers that the request was dispatched to.
 	attempts int
-	// idempotent says that running twice does no harm.
+	// idempotent reports that the request may run more than once.
 	idempotent bool
 }
 
-// maxResumes ends an answer whose engine accepts connections and then goes
-// silent each time; two cover a cut together with one more.
+// maxResumes limits how often a response is resumed, so that an engine that accepts
+// connections and then sends nothing cannot hold a request. Two allow for a second
+// connection failure right after the first.
 const maxResumes = 2
 
-// maxAttempts bounds the backend servers that one request may visit, so that a
-// request none of them takes does not walk the fleet while the caller waits.
+// maxAttempts limits the backend servers that a request is sent to. Without it, a
+// request that every server declines would go through the whole fleet while its
+// caller waits.
 const maxAttempts = 3
 
-// outcome tells truthfully what is known of the request.
-func (p progress) outcome() galenastair.Outcome {
+// outcome returns what is known about the execution of the request.
+func (p requestProgress) outcome() galenastair.Outcome {
 	switch {
 	case p.chunks > 0:
 		return galenastair.Ran
@@ -53,33 +55,33 @@
 	}
 }
 
-// notRun says that the failed attempt certainly had no effect.
-func notRun(err error) bool {
+// hadNoEffect reports whether the failed attempt is known not to have run.
+func hadNoEffect(err error) bool {
 	return errors.Is(err, galenastair.ErrNotSent) || errors.Is(err, galenastair.ErrDeclined)
 }
 
-// broken says that the connection failed, rather than the engine refusing.
-func broken(err error) bool {
+// connectionFailed reports whether the connection failed, as opposed to the engine refusing the request.
+func connectionFailed(err error) bool {
 	return errors.Is(err, galenastair.ErrSilent) || errors.Is(err, galenastair.ErrAnswerCut) || errors.Is(err, galenastair.ErrCrossed)
 }
 
-// decide says what follows on a failed attempt. It is made for backend servers
-// that die or connections that go silent under load. Harm prevented: a request
-// that may not be repeated is never sent twice; an answer already begun is
-// never begun anew, since its caller would read two answers spliced together;
-// a request that fails everywhere stops after maxAttempts.
-func decide(p progress, err error) step {
+// chooseAction returns the reaction to a failed attempt, such as a crashed backend
+// server or a connection that stalls under load. A request that is not idempotent is
+// never sent again after it may have run. A response that has begun is never
+// restarted, because the caller would receive two responses spliced together. A
+// request that fails on every backend server ends after maxAttempts.
+func chooseAction(p requestProgress, err error) failureAction {
 	if errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) {
-		return giveUp
+		return actionFail
 	}
-	if p.sent && broken(err) && p.resumes < maxResumes {
-		return resumeAnswer
+	if p.sent && connectionFailed(err) && p.resumes < maxResumes {
+		return actionResume
 	}
 	if p.chunks > 0 || p.attempts >= maxAttempts {
-		return giveUp
+		return actionFail
 	}
-	if notRun(err) || p.idempotent {
-		return tryElsewhere
+	if hadNoEffect(err) || p.idempotent {
+		return actionRetry
 	}
-	return giveUp
+	return actionFail
 }
--- a/request/estimate.go
+++ b/request/estimate.go
@@ -8,65 +8,66 @@
 )
 
 const (
-	// templateTokens covers what an engine puts around a prompt.
-	templateTokens = 16
-	// learnAfter is how many answers of a model are seen before their ratio is
-	// used in place of the sure bound of one token for each byte.
-	learnAfter = 20
-	// learnWindow is how many answers one window of observation holds; the present
-	// and the last window count, so that a change of language shows soon.
-	learnWindow = 500
-	// learnMargin is kept above the highest ratio seen.
-	learnMargin = 1.25
+	// chatTemplateTokens covers the chat template that an engine adds to a prompt.
+	chatTemplateTokens = 16
+	// minSamples is the number of responses of a model that are needed before
+	// their ratio replaces the upper bound of one token per byte.
+	minSamples = 20
+	// windowSamples is the number of responses in an observation window. Only the
+	// current and the previous window are used, so that the estimate follows a
+	// change of language.
+	windowSamples = 500
+	// ratioMargin multiplies the highest ratio observed.
+	ratioMargin = 1.25
 )
 
-// estimator says how many tokens a prompt has before an engine has counted them.
+// estimator estimates the number of tokens in a prompt before an engine counts them.
 //
-// It is made for prompts in many languages: the same number of bytes is four
-// times as many tokens in one as in another. Harm prevented: an estimate that is
-// too low lets an organisation have more than its contract, one that is too high
-// refuses a small nursery within its rate while its long answers run. So the
-// sure bound is charged until the model's own counts show a lower one.
+// The number of tokens per byte differs by a factor of four between languages. An
+// estimate that is too low lets an organisation use more than its contract. One
+// that is too high refuses requests of a small organisation that is within its
+// rate. The upper bound of one token per byte is therefore charged until the
+// engines' counts for the model show a lower ratio.
 type estimator struct {
 	mu     sync.Mutex
-	ratios map[galenastair.ModelName]*ratio
+	ratios map[galenastair.ModelName]*tokenRatio
 }
 
-// ratio is the highest count of tokens for each byte of a model's prompts.
-type ratio struct {
-	seen    int
-	highest float64
-	before  float64
+// tokenRatio is the maximum number of tokens per byte in the prompts of a model.
+type tokenRatio struct {
+	samples     int
+	max         float64
+	previousMax float64
 }
 
 func newEstimator() *estimator {
-	return &estimator{ratios: map[galenastair.ModelName]*ratio{}}
+	return &estimator{ratios: map[galenastair.ModelName]*tokenRatio{}}
 }
 
-// estimate returns the tokens to charge for a prompt.
+// estimate returns the number of tokens to charge for a prompt.
 func (e *estimator) estimate(m galenastair.ModelName, bytes int) galenastair.Tokens {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	perByte := 1.0
-	if r := e.ratios[m]; r != nil && (r.before > 0 || r.seen >= learnAfter) {
-		perByte = min(1, learnMargin*max(r.highest, r.before))
+	if r := e.ratios[m]; r != nil && (r.previousMax > 0 || r.samples >= minSamples) {
+		perByte = min(1, ratioMargin*max(r.max, r.previousMax))
 	}
-	return galenastair.Tokens(math.Ceil(perByte*float64(bytes))) + templateTokens
+	return galenastair.Tokens(math.Ceil(perByte*float64(bytes))) + chatTemplateTokens
 }
 
-// leastTokensPerByte is a ratio that no tokenizer is much below.
-const leastTokensPerByte = 0.25
+// minTokensPerByte is a ratio that hardly any tokenizer goes below.
+const minTokensPerByte = 0.25
 
-// within returns the estimate, lowered to a most where the prompt may well fit
-// into it: else a request whose sure bound alone is over the burst would be
-// refused for good, and its model's ratio never learnt. What such a request uses
-// beyond is owed.
-func (e *estimator) within(most galenastair.Tokens, m galenastair.ModelName, bytes int) galenastair.Tokens {
-	least := galenastair.Tokens(math.Ceil(leastTokensPerByte*float64(bytes))) + templateTokens
-	return min(e.estimate(m, bytes), max(most, least))
+// estimateWithin returns the estimate, lowered to limit if the prompt may fit into
+// limit. Without this, a request whose upper bound alone exceeds the burst would
+// always be refused, and the ratio of its model would never be observed. Tokens
+// that such a request uses beyond the estimate become a debt.
+func (e *estimator) estimateWithin(limit galenastair.Tokens, m galenastair.ModelName, bytes int) galenastair.Tokens {
+	minimum := galenastair.Tokens(math.Ceil(minTokensPerByte*float64(bytes))) + chatTemplateTokens
+	return min(e.estimate(m, bytes), max(limit, minimum))
 }
 
-// observe takes in an engine's own count.
+// observe updates the ratio of a model with an engine's token count.
 func (e *estimator) observe(m galenastair.ModelName, bytes int, counted galenastair.Tokens) {
 	if bytes == 0 || counted == 0 {
 		return
@@ -75,19 +76,19 @@
 	defer e.mu.Unlock()
 	r := e.ratios[m]
 	if r == nil {
-		r = &ratio{}
+		r = &tokenRatio{}
 		e.ratios[m] = r
 	}
-	r.highest = max(r.highest, float64(counted-templateTokens)/float64(bytes))
-	r.seen++
-	if r.seen == learnWindow {
-		*r = ratio{before: r.highest}
+	r.max = max(r.max, float64(counted-chatTemplateTokens)/float64(bytes))
+	r.samples++
+	if r.samples == windowSamples {
+		*r = tokenRatio{previousMax: r.max}
 	}
 }
 
-// debts holds what organisations used beyond what they were charged, until their
-// next request pays for it: an estimate that was too low delays tokens, and never
-// adds any to the contract.
+// debts holds the tokens that organisations used beyond their charges. The debt is
+// added to the charge of the organisation's next request, so that an estimate that
+// was too low does not let it use more than its contract.
 type debts struct {
 	mu   sync.Mutex
 	owed map[galenastair.Organisation]galenastair.Tokens
@@ -106,12 +107,12 @@
 	d.owed[o] += t
 }
 
-// take returns what the next charge has to include, up to a most that keeps the
-// request itself within the burst.
-func (d *debts) take(o galenastair.Organisation, most galenastair.Tokens) galenastair.Tokens {
+// take removes up to limit tokens of an organisation's debt and returns them. The
+// limit keeps the charge that includes them within the burst.
+func (d *debts) take(o galenastair.Organisation, limit galenastair.Tokens) galenastair.Tokens {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	t := min(d.owed[o], max(most, 0))
+	t := min(d.owed[o], max(limit, 0))
 	d.owed[o] -= t
 	if d.owed[o] == 0 {
 		delete(d.owed, o)
--- a/request/fake_test.go
+++ b/request/fake_test.go
@@ -21,13 +21,13 @@
 
 const testKey = "furnir-key"
 
-// fakeConfiguration holds a fold that the test appends to.
+// fakeConfiguration is a configuration that the test appends records to.
 type fakeConfiguration struct {
 	t    *testing.T
 	fold *config.Fold
 	view *config.View
-	// cutOff says that the instance must not serve by what it has.
-	cutOff bool
+	// isolated makes Ready return false.
+	isolated bool
 }
 
 func newConfiguration(t *testing.T) *fakeConfiguration {
@@ -53,7 +53,7 @@
 
 func (f *fakeConfiguration) View() *config.View { return f.view }
 
-func (f *fakeConfiguration) Ready() bool { return !f.cutOff }
+func (f *fakeConfiguration) Ready() bool { return !f.isolated }
 
 type fakeLease struct{ lapsed bool }
 
@@ -83,24 +83,24 @@
 
 func (c *fakeClaims) Finish(o galenastair.Outcome) { c.finished = append(c.finished, o) }
 
-type yesBudget struct{}
+type unlimitedRetries struct{}
 
-func (yesBudget) MayRetry() bool { return true }
+func (unlimitedRetries) MayRetry() bool { return true }
 
-// attempt is what an engine does with one connection.
-type attempt struct {
+// fakeAttempt is the behaviour of an engine on one connection.
+type fakeAttempt struct {
 	refuse error
 	chunks int
-	// cut is the error after the chunks; nil ends the answer whole.
+	// cut is the error after the chunks; nil completes the response.
 	cut error
-	// before runs ahead of each chunk.
+	// before is called before each chunk.
 	before func(sequence int64)
 }
 
-// fakeEngine plays one attempt for each connection, in order.
+// fakeEngine serves connections with its attempts, in order.
 type fakeEngine struct {
 	mu       sync.Mutex
-	attempts []attempt
+	attempts []fakeAttempt
 	servers  []string
 	resumed  []int64
 	canceled int
@@ -111,7 +111,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.attempts) == 0 {
-		return nil, errors.New("no attempt left")
+		return nil, errors.New("fake engine has no attempt left for this connection")
 	}
 	a := e.attempts[0]
 	e.attempts = e.attempts[1:]
@@ -119,7 +119,7 @@
 	if a.refuse != nil {
 		return nil, a.refuse
 	}
-	return &fakeStream{ctx: ctx, attempt: a, at: after}, nil
+	return &fakeStream{ctx: ctx, fakeAttempt: a, sequence: after}, nil
 }
 
 func (e *fakeEngine) Complete(ctx context.Context, server string, _ galenastair.Completion) (galenastair.AnswerStream, error) {
@@ -138,23 +138,23 @@
 
 type fakeStream struct {
 	ctx context.Context
-	attempt
-	at    int64
-	given int
-	ended bool
+	fakeAttempt
+	sequence int64
+	sent     int
+	ended    bool
 }
 
 func (s *fakeStream) Next() (galenastair.Chunk, error) {
 	if err := s.ctx.Err(); err != nil {
 		return galenastair.Chunk{}, err
 	}
-	if s.given < s.chunks {
-		s.given++
-		s.at++
+	if s.sent < s.chunks {
+		s.sent++
+		s.sequence++
 		if s.before != nil {
-			s.before(s.at)
+			s.before(s.sequence)
 		}
-		return galenastair.Chunk{Sequence: s.at, Data: fmt.Appendf(nil, "%d", s.at)}, nil
+		return galenastair.Chunk{Sequence: s.sequence, Data: fmt.Appendf(nil, "%d", s.sequence)}, nil
 	}
 	if s.cut != nil {
 		return galenastair.Chunk{}, s.cut
@@ -163,25 +163,25 @@
 		return galenastair.Chunk{}, io.EOF
 	}
 	s.ended = true
-	return galenastair.Chunk{Sequence: s.at + 1, End: true}, nil
+	return galenastair.Chunk{Sequence: s.sequence + 1, End: true}, nil
 }
 
 func (s *fakeStream) Close() error { return nil }
 
-// textSink keeps what a caller would read.
-type textSink struct {
+// textWriter collects the response.
+type textWriter struct {
 	text  string
 	ended bool
 }
 
-func (s *textSink) Chunk(c galenastair.Chunk) error {
+func (s *textWriter) Chunk(c galenastair.Chunk) error {
 	s.text += string(c.Data)
 	s.ended = s.ended || c.End
 	return nil
 }
 
-// bench is a server over fakes, with two engines that have the model ready.
-type bench struct {
+// testServer is a server with fake dependencies and two engines that have the model loaded.
+type testServer struct {
 	configuration *fakeConfiguration
 	lease         *fakeLease
 	limiter       *fakeLimiter
@@ -191,8 +191,8 @@
 	server        *Server
 }
 
-func newBench(t *testing.T, attempts ...attempt) *bench {
-	b := &bench{
+func newTestServer(t *testing.T, attempts ...fakeAttempt) *testServer {
+	ts := &testServer{
 		configuration: newConfiguration(t),
 		lease:         &fakeLease{},
 		limiter:       &fakeLimiter{},
@@ -209,22 +209,22 @@
 	}
 	services := NewServiceList("zone-a")
 	services.Set([]galenastair.ListedInstance{{ID: "s1", Service: "bids"}, {ID: "s2", Service: "bids"}})
-	b.server = NewServer(Ports{
-		Configuration: b.configuration,
-		Lease:         b.lease,
-		Limiter:       b.limiter,
-		Claims:        b.claims,
+	ts.server = NewServer(Dependencies{
+		Configuration: ts.configuration,
+		Lease:         ts.lease,
+		Limiter:       ts.limiter,
+		Claims:        ts.claims,
 		Dispatcher:    d,
 		Services:      services,
 		Poison:        claim.NewPoison(nil),
-		Retries:       yesBudget{},
-		Engine:        b.engine,
-		Service:       b.service,
+		Retries:       unlimitedRetries{},
+		Engine:        ts.engine,
+		Service:       ts.service,
 	})
-	return b
+	return ts
 }
 
-func (b *bench) call() Call {
+func (ts *testServer) call() Call {
 	return Call{
 		ID: "r", Key: galenastair.HashKey(testKey), Model: "m", Body: []byte(`{"model":"m"}`),
 		OutputTokens: 90, Deadline: time.Now().Add(time.Minute),
--- a/request/patience.go
+++ b/request/patience.go
@@ -12,60 +12,62 @@
 )
 
 const (
-	// patience is how long a request waits for a duty that is moving to another
-	// member. A move by word takes a heartbeat or two, one after a death as long as
-	// a lease; the second is not waited for, since the caller can use its time.
-	patience = 3 * time.Second
-	// firstPause and lastPause space the tries: a few messages for each request.
-	firstPause = 50 * time.Millisecond
-	lastPause  = 500 * time.Millisecond
+	// maxOwnerWait is how long a request waits for a claim or a rate share whose
+	// owner changes to another member. A planned move takes one or two heartbeats. A move
+	// after a crash takes as long as a lease; that is not waited for, because the
+	// caller can retry elsewhere in the meantime.
+	maxOwnerWait = 3 * time.Second
+	// initialBackoff and maxBackoff limit the retries to a few messages per request.
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = 500 * time.Millisecond
 )
 
-// moving says that a duty may be taken up again in a moment.
-func moving(err error) bool {
+// ownerMoving reports whether a claim or a rate share may be available again shortly.
+func ownerMoving(err error) bool {
 	return errors.Is(err, galenastair.ErrClaimUnavailable) || errors.Is(err, galenastair.ErrRateUnavailable)
 }
 
-// patiently tries again while a duty is moving.
+// retryWhileOwnerMoves retries a call while the owner of its claim or rate share changes.
 //
-// Failure: an instance is replaced, 350 times a day at the target, and the claims
-// and accounts that it held move. It would show as bids refused within their rate
-// for a second or two each time. The wait is bounded well below any caller's
-// patience, and a request that is given up is told so at once, with the time to
-// come back.
-func (s *Server) patiently(ctx context.Context, try func() error) error {
-	give := s.clock.Now().Add(patience)
-	for pause := firstPause; ; pause = min(2*pause, lastPause) {
-		err := try()
-		if err == nil || !moving(err) || s.clock.Now().Add(pause).After(give) {
+// Instances are replaced 350 times a day at the target scale, and the claims and
+// rate shares that they own move to other instances. Without retries, requests within
+// their rate would be refused for a second or two each time. The wait is well below
+// the timeout of any caller, and a request that still fails is refused with a
+// Retry-After.
+func (s *Server) retryWhileOwnerMoves(ctx context.Context, call func() error) error {
+	giveUpAt := s.clock.Now().Add(maxOwnerWait)
+	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
+		err := call()
+		if err == nil || !ownerMoving(err) || s.clock.Now().Add(backoff).After(giveUpAt) {
 			return err
 		}
-		if !s.wait(ctx, pause) {
+		if !s.sleep(ctx, backoff) {
 			return err
 		}
 	}
 }
 
-// begin takes a claim, waiting for a home that moves.
+// beginClaim takes a claim and waits if the owner of the key is changing.
 //
-// Each try has a name of its own: one that failed was told to be given up, and
-// its home refuses it for good; a caller may also send one X-Request-Id twice.
-func (s *Server) begin(ctx context.Context, o galenastair.Organisation, key galenastair.IdempotencyKey, d claim.Digest, id galenastair.RequestID) (Claim, error) {
-	var taken Claim
-	err := s.patiently(ctx, func() (err error) {
-		try := galenastair.RequestID(string(id) + "/" + uuid.NewString())
-		taken, err = s.claims.Begin(ctx, o, key, d, try)
+// Each attempt has its own ID, because the owner permanently refuses an attempt
+// that failed and was abandoned. The request ID alone is not unique, since a
+// caller may send the same X-Request-Id twice.
+func (s *Server) beginClaim(ctx context.Context, o galenastair.Organisation, key galenastair.IdempotencyKey, d claim.Digest, id galenastair.RequestID) (Claim, error) {
+	var claimed Claim
+	err := s.retryWhileOwnerMoves(ctx, func() (err error) {
+		attemptID := galenastair.RequestID(string(id) + "/" + uuid.NewString())
+		claimed, err = s.claims.Begin(ctx, o, key, d, attemptID)
 		return err
 	})
-	return taken, err
+	return claimed, err
 }
 
-// charge takes tokens, waiting for an account that moves.
+// charge takes tokens and waits if the owner of the rate share is changing.
 func (s *Server) charge(ctx context.Context, o galenastair.Organisation, t galenastair.Tokens, id galenastair.RequestID) (Charge, error) {
-	var made Charge
-	err := s.patiently(ctx, func() (err error) {
-		made, err = s.limiter.Charge(ctx, o, t, id)
+	var charged Charge
+	err := s.retryWhileOwnerMoves(ctx, func() (err error) {
+		charged, err = s.limiter.Charge(ctx, o, t, id)
 		return err
 	})
-	return made, err
+	return charged, err
 }
--- a/request/port.go
+++ b/request/port.go
@@ -10,15 +10,17 @@
 	"galenastair/dispatch"
 )
 
-// Configuration gives the configuration in force; View returns nil before the first.
-type Configuration interface {
+// ConfigurationSource provides the current configuration.
+type ConfigurationSource interface {
+	// View returns nil until the first configuration is loaded.
 	View() *config.View
-	// Ready says whether this instance may serve by it: it is not cut off from the
-	// log and the rest, and knows the rules of all records.
+	// Ready reports whether this instance may serve requests with the configuration:
+	// it is not partitioned from the log and the other instances, and it supports
+	// the rules of all records.
 	Ready() bool
 }
 
-// Lease tells whether this instance may act for the system right now.
+// Lease reports whether this instance holds a valid membership lease.
 type Lease interface {
 	Holds(now time.Time) bool
 }
@@ -28,32 +30,33 @@
 	Charge(ctx context.Context, o galenastair.Organisation, t galenastair.Tokens, id galenastair.RequestID) (Charge, error)
 }
 
-// Charge is what one request was charged; Settle gives back what it did not use.
+// Charge is the number of tokens that a request was charged. Settle returns the
+// unused part to the organisation.
 type Charge interface {
 	Settle(used galenastair.Tokens)
 }
 
-// Claims keeps requests that may not be repeated from being sent twice.
+// Claims prevents requests with an idempotency key from being sent twice.
 type Claims interface {
 	Begin(ctx context.Context, o galenastair.Organisation, key galenastair.IdempotencyKey, d claim.Digest, id galenastair.RequestID) (Claim, error)
 }
 
-// Claim is the right to send one such request once.
+// Claim is the right to send one request with an idempotency key once.
 type Claim interface {
 	Finish(o galenastair.Outcome)
 }
 
-// Dispatcher says when a model request may go, and where.
+// Dispatcher decides when a model request is sent, and to which backend server.
 type Dispatcher interface {
 	Acquire(ctx context.Context, r dispatch.Request) (*dispatch.Grant, error)
 }
 
-// Services says where a call to a plain service may go.
+// Services chooses the instance of a plain service for a call.
 type Services interface {
 	Choose(name galenastair.ServiceName, exclude []galenastair.BackendServerID) (ServiceGrant, error)
 }
 
-// ServiceGrant is the right to send one call to one plain service.
+// ServiceGrant is the right to send one call to one instance of a plain service.
 type ServiceGrant struct {
 	Server  galenastair.BackendServerID
 	Address string
@@ -61,15 +64,15 @@
 	Release func()
 }
 
-// Poison remembers requests whose run stopped the backend server.
-type Poison interface {
-	// Allow returns a refusal if the request has stopped too many backend servers.
+// PoisonTracker records the requests that crashed the backend servers that ran them.
+type PoisonTracker interface {
+	// Allow returns a refusal if the request has crashed too many backend servers.
 	Allow(now time.Time, d claim.Digest) error
-	// Stopped counts one more stop and reports whether the request may be tried again.
+	// RecordCrash counts a crash and reports whether the request may be retried.
 	Stopped(now time.Time, d claim.Digest) bool
 }
 
-// RetryBudget bounds retries to a fraction of traffic.
+// RetryBudget limits retries to a fraction of the traffic.
 type RetryBudget interface {
 	MayRetry() bool
 }
--- a/request/record.go
+++ b/request/record.go
@@ -6,14 +6,14 @@
 	"galenastair"
 )
 
-// Ending is how one request ended, for metrics and the history.
+// Summary describes a finished request for metrics.
 type Ending struct {
 	ID            galenastair.RequestID
 	Organisation  galenastair.Organisation
 	Model         galenastair.ModelName
 	Service       galenastair.ServiceName
 	BackendServer galenastair.BackendServerID
-	// Code is empty for a whole answer.
+	// Code is empty if the response was complete.
 	Code         galenastair.Code
 	Outcome      galenastair.Outcome
 	Queued       time.Duration
@@ -25,11 +25,11 @@
 	Attempts     int
 }
 
-// Recorder is told how each request ended.
+// Recorder is called with the summary of each finished request.
 type Recorder interface {
-	RequestEnded(e Ending)
+	RequestEnded(s Ending)
 }
 
-type noRecorder struct{}
+type nopRecorder struct{}
 
-func (noRecorder) RequestEnded(Ending) {}
+func (nopRecorder) RequestEnded(Ending) {}
--- a/request/server.go
+++ b/request/server.go
@@ -13,73 +13,73 @@
 	"galenastair/timer"
 )
 
-// Server carries requests.
+// Server serves model requests and calls to plain services.
 type Server struct {
-	configuration Configuration
+	configuration ConfigurationSource
 	lease         Lease
 	limiter       Limiter
 	claims        Claims
 	dispatcher    Dispatcher
 	services      Services
-	poison        Poison
+	poison        PoisonTracker
 	retries       RetryBudget
 	engine        galenastair.Engine
 	service       galenastair.Service
 	recorder      Recorder
 	clock         galenastair.Clock
 	logger        log.Logger
-	active        *Active
+	active        *ActiveRequests
 	estimator     *estimator
 	debts         *debts
-	wait          func(context.Context, time.Duration) bool
+	sleep         func(context.Context, time.Duration) bool
 }
 
-// Ports are what a server works with; all are needed.
-type Ports struct {
-	Configuration Configuration
+// Dependencies are the components that a Server needs; all are required.
+type Dependencies struct {
+	Configuration ConfigurationSource
 	Lease         Lease
 	Limiter       Limiter
 	Claims        Claims
 	Dispatcher    Dispatcher
 	Services      Services
-	Poison        Poison
+	Poison        PoisonTracker
 	Retries       RetryBudget
 	Engine        galenastair.Engine
 	Service       galenastair.Service
 }
 
-// Option changes how a server is made.
+// Option configures a Server.
 type Option func(*Server)
 
-// WithClock replaces the machine's clock.
+// WithClock replaces the system clock.
 func WithClock(c galenastair.Clock) Option { return func(s *Server) { s.clock = c } }
 
-// WithLogger says where decisions are logged.
+// WithLogger sets the logger for routing decisions, retries and refusals.
 func WithLogger(l log.Logger) Option { return func(s *Server) { s.logger = l } }
 
-// WithRecorder says who counts how requests ended.
+// WithRecorder sets the recorder of finished requests.
 func WithRecorder(r Recorder) Option { return func(s *Server) { s.recorder = r } }
 
-// NewServer returns a server over its ports.
-func NewServer(p Ports, opts ...Option) *Server {
+// NewServer returns a server with the given dependencies.
+func NewServer(d Dependencies, opts ...Option) *Server {
 	s := &Server{
-		configuration: p.Configuration,
-		lease:         p.Lease,
-		limiter:       p.Limiter,
-		claims:        p.Claims,
-		dispatcher:    p.Dispatcher,
-		services:      p.Services,
-		poison:        p.Poison,
-		retries:       p.Retries,
-		engine:        p.Engine,
-		service:       p.Service,
-		recorder:      noRecorder{},
+		configuration: d.Configuration,
+		lease:         d.Lease,
+		limiter:       d.Limiter,
+		claims:        d.Claims,
+		dispatcher:    d.Dispatcher,
+		services:      d.Services,
+		poison:        d.Poison,
+		retries:       d.Retries,
+		engine:        d.Engine,
+		service:       d.Service,
+		recorder:      nopRecorder{},
 		clock:         galenastair.SystemClock{},
 		logger:        log.NewNopLogger(),
-		active:        NewActive(),
+		active:        NewActiveRequests(),
 		estimator:     newEstimator(),
 		debts:         newDebts(),
-		wait:          timer.Wait,
+		sleep:         timer.Wait,
 	}
 	for _, o := range opts {
 		o(s)
@@ -87,75 +87,78 @@
 	return s
 }
 
-// Active returns the requests under way, for ending those of withdrawn keys.
-func (s *Server) Active() *Active { return s.active }
+// Active returns the requests in flight.
+func (s *Server) Active() *ActiveRequests { return s.active }
 
-// retryNotMember is when a caller may come back to an instance without a lease:
-// it rejoins within a few heartbeats, and the balancer has others meanwhile.
-const retryNotMember = 2 * time.Second
+// notMemberRetryAfter is the Retry-After of an instance that holds no lease or has no
+// usable configuration. The instance rejoins within a few heartbeats, and the load
+// balancer uses other instances until then.
+const notMemberRetryAfter = 2 * time.Second
 
-// authority is what a key gives its caller.
-type authority struct {
+// principal is the organisation that a key belongs to, with its contract.
+type principal struct {
 	organisation galenastair.Organisation
 	contract     *contract.Contract
 }
 
-// authorise looks a key up in the configuration in force.
-func authorise(v *config.View, key galenastair.KeyHash) (authority, error) {
+// lookUpKey returns the principal of a key, or a refusal if the key is unknown or withdrawn.
+func lookUpKey(v *config.View, key galenastair.KeyHash) (principal, error) {
 	if v == nil {
-		return authority{}, galenastair.Refuse(galenastair.ErrConfiguration, retryNotMember, "")
+		return principal{}, galenastair.Refuse(galenastair.ErrConfiguration, notMemberRetryAfter, "")
 	}
 	k, ok := v.ByKey(key)
 	if !ok {
-		return authority{}, galenastair.Refuse(galenastair.ErrKeyUnknown, 0, "")
+		return principal{}, galenastair.Refuse(galenastair.ErrKeyUnknown, 0, "")
 	}
 	if k.Withdrawn || k.Contract == nil {
-		return authority{}, galenastair.Refuse(galenastair.ErrKeyWithdrawn, 0, "")
+		return principal{}, galenastair.Refuse(galenastair.ErrKeyWithdrawn, 0, "")
 	}
-	return authority{organisation: k.Organisation, contract: k.Contract}, nil
+	return principal{organisation: k.Organisation, contract: k.Contract}, nil
 }
 
-// mayServe checks lease and key. It is asked at admission and again right
-// before sending: a request may have waited in the queue while its key was
-// withdrawn, or while this process was paused past its lease.
-func (s *Server) mayServe(key galenastair.KeyHash) (authority, error) {
+// authorise checks the lease, the configuration and the key. It is called at
+// admission and again right before sending, because the key may have been withdrawn
+// while the request was queued, or the process may have been paused until after its
+// lease expired.
+func (s *Server) authorise(key galenastair.KeyHash) (principal, error) {
 	if !s.lease.Holds(s.clock.Now()) {
-		return authority{}, galenastair.Refuse(galenastair.ErrNotMember, retryNotMember, "")
+		return principal{}, galenastair.Refuse(galenastair.ErrNotMember, notMemberRetryAfter, "")
 	}
-	// Failure: a group of instances cut off from the log and the rest goes on with
-	// an old configuration, and lets a withdrawn key in; callers that hold a
-	// connection never ask /readyz.
+	// Instances that are partitioned from the log and the other instances would
+	// otherwise accept withdrawn keys with a stale configuration. /readyz does not
+	// protect against this, since callers with an open connection do not check it.
 	if !s.configuration.Ready() {
-		return authority{}, galenastair.Refuse(galenastair.ErrConfiguration, retryNotMember, "")
+		return principal{}, galenastair.Refuse(galenastair.ErrConfiguration, notMemberRetryAfter, "")
 	}
-	return authorise(s.configuration.View(), key)
+	return lookUpKey(s.configuration.View(), key)
 }
 
-// Models lists what the key's organisation may ask for.
+// Models returns the models that the key's organisation may use.
 func (s *Server) Models(key galenastair.KeyHash) ([]galenastair.ModelName, error) {
-	a, err := s.mayServe(key)
+	p, err := s.authorise(key)
 	if err != nil {
 		return nil, err
 	}
-	return a.contract.Models, nil
+	return p.contract.Models, nil
 }
 
-// retryBackendServer is when a caller may come back after a failed backend
-// server: by then it is taken out, or was one of several.
-const retryBackendServer = time.Second
+// backendServerRetryAfter is the Retry-After of a request that failed on a backend
+// server. By then the server has been taken out of rotation, or the request is
+// likely to go to another one.
+const backendServerRetryAfter = time.Second
 
-// refusalOf gives an error the outcome that the request has reached so far,
-// unless the error already carries its own.
+// refusalOf converts an error into a refusal with the outcome of the request so far,
+// unless the error is a refusal that already has an outcome other than NotRun.
 func refusalOf(err error, o galenastair.Outcome) *galenastair.Refusal {
-	var r *galenastair.Refusal
+	var refusal *galenastair.Refusal
 	switch {
-	case errors.As(err, &r):
-		return r.After(o)
+	case errors.As(err, &refusal):
+		return refusal.After(o)
 	case errors.Is(err, context.DeadlineExceeded):
 		return &galenastair.Refusal{Cause: galenastair.ErrTimeout, Outcome: o}
 	case o == galenastair.Ran:
 		return &galenastair.Refusal{Cause: galenastair.ErrAnswerCut, Outcome: o, Detail: err.Error()}
 	default:
-		return &galenastair.Refusal{Cause: galenastair.ErrBackendServer, Outcome: o, RetryAfter: retryBackendServer, Detail: err.Error()}
+		return &galenastair.Refusal{Cause: galenastair.ErrBackendServer, Outcome: o, RetryAfter: backendServerRetryAfter, Detail: err.Error()}
 	}
 }
--- a/request/service.go
+++ b/request/service.go
@@ -10,44 +10,45 @@
 	"galenastair/claim"
 )
 
-// serviceTokens is what one call to a plain service is charged: services answer
-// in milliseconds and produce no tokens, but a flood of calls is bounded by the
-// same contract.
-const serviceTokens galenastair.Tokens = 1
+// serviceCallTokens is the charge for one call to a plain service. Services respond
+// within milliseconds and generate no tokens; the charge subjects floods of calls to
+// the rate in the organisation's contract.
+const serviceCallTokens galenastair.Tokens = 1
 
-// CallService carries one call to a plain service; the caller closes the answer's body.
+// CallService serves one call to a plain service. The caller of CallService closes the
+// body of the response.
 func (s *Server) CallService(ctx context.Context, call ServiceCall) (galenastair.ServiceAnswer, error) {
-	c := &serviceRun{s: s, call: call}
+	c := &serviceExchange{s: s, call: call}
 	c.idempotent = call.Repeatable()
-	// an answer of a plain service cannot be resumed
+	// Responses of plain services cannot be resumed.
 	c.resumes = maxResumes
-	begun := s.clock.Now()
+	startedAt := s.clock.Now()
 	answer, err := c.admit(ctx)
-	ending := Ending{ID: call.ID, Organisation: c.auth.organisation, Service: call.Service, Outcome: galenastair.Ran, Attempts: c.attempts}
-	ending.BackendServer = c.server
-	ending.Total = s.clock.Now().Sub(begun)
+	summary := Ending{ID: call.ID, Organisation: c.auth.organisation, Service: call.Service, Outcome: galenastair.Ran, Attempts: c.attempts}
+	summary.BackendServer = c.server
+	summary.Total = s.clock.Now().Sub(startedAt)
 	if err != nil {
-		r := refusalOf(err, c.outcome())
-		ending.Code, ending.Outcome = r.Code(), r.Outcome
-		s.logger.Log("event", "refuse", "request", call.ID, "organisation", c.auth.organisation, "service", call.Service, "code", ending.Code, "outcome", ending.Outcome, "cause", err)
-		err = r
+		refusal := refusalOf(err, c.outcome())
+		summary.Code, summary.Outcome = refusal.Code(), refusal.Outcome
+		s.logger.Log("event", "refuse", "request", call.ID, "organisation", c.auth.organisation, "service", call.Service, "code", summary.Code, "outcome", summary.Outcome, "cause", err)
+		err = refusal
 	}
-	s.recorder.RequestEnded(ending)
+	s.recorder.RequestEnded(summary)
 	return answer, err
 }
 
-// serviceRun is one call under way.
-type serviceRun struct {
+// serviceExchange is a call to a plain service in flight.
+type serviceExchange struct {
 	s    *Server
 	call ServiceCall
-	auth authority
-	progress
+	auth principal
+	requestProgress
 	server galenastair.BackendServerID
 	tried  []galenastair.BackendServerID
 }
 
-func (c *serviceRun) admit(ctx context.Context) (galenastair.ServiceAnswer, error) {
-	auth, err := c.s.mayServe(c.call.Key)
+func (c *serviceExchange) admit(ctx context.Context) (galenastair.ServiceAnswer, error) {
+	auth, err := c.s.authorise(c.call.Key)
 	if err != nil {
 		return galenastair.ServiceAnswer{}, err
 	}
@@ -56,15 +57,15 @@
 		return galenastair.ServiceAnswer{}, galenastair.Refuse(galenastair.ErrNotPermitted, 0, string(c.call.Service))
 	}
 	if c.call.IdempotencyKey == "" {
-		return c.charged(ctx)
+		return c.runWithCharge(ctx)
 	}
 	target := c.call.Method + " " + string(c.call.Service) + c.call.Path + "?" + c.call.Query
 	d := claim.DigestOf(auth.organisation, target, c.call.Body)
-	claim, err := c.s.begin(ctx, auth.organisation, c.call.IdempotencyKey, d, c.call.ID)
+	claim, err := c.s.beginClaim(ctx, auth.organisation, c.call.IdempotencyKey, d, c.call.ID)
 	if err != nil {
 		return galenastair.ServiceAnswer{}, err
 	}
-	answer, err := c.charged(ctx)
+	answer, err := c.runWithCharge(ctx)
 	if err == nil {
 		claim.Finish(galenastair.Ran)
 	} else {
@@ -73,8 +74,8 @@
 	return answer, err
 }
 
-func (c *serviceRun) charged(ctx context.Context) (galenastair.ServiceAnswer, error) {
-	charge, err := c.s.charge(ctx, c.auth.organisation, serviceTokens, c.call.ID)
+func (c *serviceExchange) runWithCharge(ctx context.Context) (galenastair.ServiceAnswer, error) {
+	charge, err := c.s.charge(ctx, c.auth.organisation, serviceCallTokens, c.call.ID)
 	if err != nil {
 		return galenastair.ServiceAnswer{}, err
 	}
@@ -82,30 +83,30 @@
 	if err != nil && c.outcome() == galenastair.NotRun {
 		charge.Settle(0)
 	} else {
-		charge.Settle(serviceTokens)
+		charge.Settle(serviceCallTokens)
 	}
 	return answer, err
 }
 
-func (c *serviceRun) run(ctx context.Context) (galenastair.ServiceAnswer, error) {
-	ctx, end := c.s.active.Begin(ctx, c.call.Key)
+func (c *serviceExchange) run(ctx context.Context) (galenastair.ServiceAnswer, error) {
+	ctx, remove := c.s.active.Add(ctx, c.call.Key)
 	for {
 		answer, err := c.attempt(ctx)
 		if err == nil {
-			answer.Body = &endingBody{ReadCloser: answer.Body, end: end}
+			answer.Body = &callbackBody{ReadCloser: answer.Body, onClose: remove}
 			return answer, nil
 		}
-		if err := c.next(ctx, err); err != nil {
-			err = cause(ctx, err)
-			end()
+		if err := c.checkRetry(ctx, err); err != nil {
+			err = cancellationCause(ctx, err)
+			remove()
 			return galenastair.ServiceAnswer{}, err
 		}
 	}
 }
 
-func (c *serviceRun) next(ctx context.Context, err error) error {
+func (c *serviceExchange) checkRetry(ctx context.Context, err error) error {
 	var refused *galenastair.Refusal
-	if errors.As(err, &refused) || decide(c.progress, err) != tryElsewhere {
+	if errors.As(err, &refused) || chooseAction(c.requestProgress, err) != actionRetry {
 		return err
 	}
 	if !c.s.retries.MayRetry() {
@@ -115,12 +116,12 @@
 	return ctx.Err()
 }
 
-func (c *serviceRun) attempt(ctx context.Context) (galenastair.ServiceAnswer, error) {
+func (c *serviceExchange) attempt(ctx context.Context) (galenastair.ServiceAnswer, error) {
 	grant, err := c.s.services.Choose(c.call.Service, c.tried)
 	if err != nil {
 		return galenastair.ServiceAnswer{}, err
 	}
-	if _, err := c.s.mayServe(c.call.Key); err != nil {
+	if _, err := c.s.authorise(c.call.Key); err != nil {
 		grant.Release()
 		return galenastair.ServiceAnswer{}, err
 	}
@@ -129,27 +130,27 @@
 	c.server = grant.Server
 	c.s.logger.Log("event", "route", "request", c.call.ID, "organisation", c.auth.organisation, "service", c.call.Service, "server", grant.Server, "reason", grant.Reason, "attempt", c.attempts)
 	answer, err := c.s.service.Call(ctx, grant.Address, c.call.ServiceCall)
-	c.sent = c.sent || !notRun(err)
+	c.sent = c.sent || !hadNoEffect(err)
 	if err != nil {
 		grant.Release()
 		return galenastair.ServiceAnswer{}, err
 	}
-	answer.Body = &endingBody{ReadCloser: answer.Body, end: grant.Release}
+	answer.Body = &callbackBody{ReadCloser: answer.Body, onClose: grant.Release}
 	return answer, nil
 }
 
-// endingBody runs a function once the answer has been read to its end or dropped.
-type endingBody struct {
+// callbackBody is a response body that calls a function when it is closed.
+type callbackBody struct {
 	io.ReadCloser
-	end func()
+	onClose func()
 }
 
-// Close closes the body and runs the function.
-func (b *endingBody) Close() error {
+// Close closes the body and calls the function, which is called once at most.
+func (b *callbackBody) Close() error {
 	err := b.ReadCloser.Close()
-	if b.end != nil {
-		b.end()
-		b.end = nil
+	if b.onClose != nil {
+		b.onClose()
+		b.onClose = nil
 	}
 	return err
 }
--- a/request/services.go
+++ b/request/services.go
@@ -8,60 +8,60 @@
 	"galenastair"
 )
 
-// retryService is when a caller may come back while a service has no instance:
-// the platform's list lags by about as much.
-const retryService = 2 * time.Second
+// serviceRetryAfter is the Retry-After of a request to a service without instances.
+// The platform's instance list lags by about that long.
+const serviceRetryAfter = 2 * time.Second
 
-// ServiceList chooses among the listed instances of plain services.
+// ServiceList balances calls over the listed instances of plain services.
 type ServiceList struct {
-	near galenastair.AvailabilityZone
+	zone galenastair.AvailabilityZone
 
-	mu       sync.Mutex
-	listed   []galenastair.ListedInstance
-	inFlight map[galenastair.BackendServerID]int
+	mu        sync.Mutex
+	instances []galenastair.ListedInstance
+	inFlight  map[galenastair.BackendServerID]int
 }
 
-// NewServiceList returns an empty list for an entry in the given availability zone.
-func NewServiceList(near galenastair.AvailabilityZone) *ServiceList {
-	return &ServiceList{near: near, inFlight: map[galenastair.BackendServerID]int{}}
+// NewServiceList returns an empty list that prefers instances in the given availability zone.
+func NewServiceList(zone galenastair.AvailabilityZone) *ServiceList {
+	return &ServiceList{zone: zone, inFlight: map[galenastair.BackendServerID]int{}}
 }
 
-// Set replaces what is listed.
+// Set replaces the listed instances.
 func (l *ServiceList) Set(listed []galenastair.ListedInstance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.listed = listed
+	l.instances = listed
 }
 
-// Choose picks the instance with the fewest calls under way, and among equals
-// one in the own availability zone. It is made for short calls of even cost;
-// one slow instance keeps its calls longer and so gets fewer new ones. Leaving
-// instances get none.
+// Choose returns the instance with the fewest calls in flight and prefers its own
+// availability zone among equals. This suits short calls of similar cost: a slow
+// instance holds its calls longer and so receives fewer new ones. Leaving
+// instances receive none.
 func (l *ServiceList) Choose(name galenastair.ServiceName, exclude []galenastair.BackendServerID) (ServiceGrant, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	best := -1
-	for i, s := range l.listed {
+	for i, s := range l.instances {
 		if s.Leaving || s.Service != name || slices.Contains(exclude, galenastair.BackendServerID(s.ID)) {
 			continue
 		}
-		if best < 0 || l.better(s, l.listed[best]) {
+		if best < 0 || l.preferred(s, l.instances[best]) {
 			best = i
 		}
 	}
 	if best < 0 {
-		return ServiceGrant{}, galenastair.Refuse(galenastair.ErrNoBackendServer, retryService, string(name))
+		return ServiceGrant{}, galenastair.Refuse(galenastair.ErrNoBackendServer, serviceRetryAfter, string(name))
 	}
-	return l.grant(l.listed[best]), nil
+	return l.grant(l.instances[best]), nil
 }
 
-func (l *ServiceList) better(a, b galenastair.ListedInstance) bool {
+func (l *ServiceList) preferred(a, b galenastair.ListedInstance) bool {
 	busyA := l.inFlight[galenastair.BackendServerID(a.ID)]
 	busyB := l.inFlight[galenastair.BackendServerID(b.ID)]
 	if busyA != busyB {
 		return busyA < busyB
 	}
-	return a.AvailabilityZone == l.near && b.AvailabilityZone != l.near
+	return a.AvailabilityZone == l.zone && b.AvailabilityZone != l.zone
 }
 
 func (l *ServiceList) grant(s galenastair.ListedInstance) ServiceGrant {
