--- a/control/doc.go
+++ b/control/doc.go
@@ -1,3 +1,4 @@
-// Package control runs the one goroutine that owns an instance's control state:
-// the folds of the log, membership, placement. Traffic reads what it publishes.
+// Package control runs the single goroutine that owns an instance's control state:
+// the state machines replayed from the log, membership and placement. Request
+// handling reads only the snapshots that it publishes.
 package control
--- a/control/loop.go
+++ b/control/loop.go
@@ -7,30 +7,30 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrStopped says that the loop no longer runs work.
+// ErrStopped is returned once the loop no longer runs functions.
 var ErrStopped = eris.New("the control loop has stopped")
 
-// backlog bounds the posted work that may wait; a poster blocks beyond it, so
-// that a burst of heartbeats slows its senders instead of growing memory.
-const backlog = 1024
+// queueSize limits the queued functions. Post blocks when the queue is full, so that
+// a burst of heartbeats slows down its senders instead of using more memory.
+const queueSize = 1024
 
-// Loop runs posted functions one at a time, in the order in which they were posted.
+// Loop runs functions one at a time, in the order in which they were posted.
 type Loop struct {
-	work    chan func()
+	queue   chan func()
 	stopped chan struct{}
 }
 
-// NewLoop returns a loop that does nothing until Run.
+// NewLoop returns a loop that runs nothing until Run is called.
 func NewLoop() *Loop {
-	return &Loop{work: make(chan func(), backlog), stopped: make(chan struct{})}
+	return &Loop{queue: make(chan func(), queueSize), stopped: make(chan struct{})}
 }
 
-// Run works until the context ends; it may be called once.
+// Run runs the posted functions until the context is done. It may be called only once.
 func (l *Loop) Run(ctx context.Context) error {
 	defer close(l.stopped)
 	for {
 		select {
-		case f := <-l.work:
+		case f := <-l.queue:
 			f()
 		case <-ctx.Done():
 			return ctx.Err()
@@ -38,7 +38,7 @@
 	}
 }
 
-// Post queues work and does not wait for it to run.
+// Post queues a function and does not wait for it to run. It blocks while the queue is full.
 func (l *Loop) Post(ctx context.Context, f func()) error {
 	select {
 	case <-l.stopped:
@@ -46,7 +46,7 @@
 	default:
 	}
 	select {
-	case l.work <- f:
+	case l.queue <- f:
 		return nil
 	case <-l.stopped:
 		return ErrStopped
@@ -55,7 +55,7 @@
 	}
 }
 
-// Do queues work and waits until it has run.
+// Do queues a function and waits until it has run.
 func (l *Loop) Do(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	if err := l.Post(ctx, func() { f(); close(done) }); err != nil {
@@ -71,7 +71,7 @@
 	}
 }
 
-// Every posts f each period until the context ends.
+// Every posts f once per period until the context is done.
 func (l *Loop) Every(ctx context.Context, period time.Duration, f func()) error {
 	tick := time.NewTicker(period)
 	defer tick.Stop()
