--- a/entry/doc.go
+++ b/entry/doc.go
@@ -1,4 +1,4 @@
-// Package entry assembles one instance of the system: the adapters to the
-// platform, backend servers, callers and other instances, the control loop and
-// the decisions between them, in one run group that stops together.
+// Package entry assembles one instance of the system: the clients and servers for
+// the platform, backend servers, callers and other instances, the control loop, and
+// request handling. All components run in one run group and stop together.
 package entry
--- a/entry/duty_test.go
+++ b/entry/duty_test.go
@@ -9,10 +9,10 @@
 	"galenastair/rate"
 )
 
-// Two entries are left of three while one is replaced. The third share of every
-// organisation had no holder, so each had two thirds of its contract and was
-// refused within its rate. Seen failing with the slot taken as it is.
-func TestSmallRingHoldsAllShares(t *testing.T) {
+// While one of three instances is replaced, the ring has two members. If shareOwner did
+// not wrap slots around the ring, the third share of each organisation would have no
+// owner, and organisations would be refused within their rate.
+func TestSmallRingOwnsAllShares(t *testing.T) {
 	is := is.New(t)
 	for size := 1; size <= 5; size++ {
 		ring := make([]member.Member, size)
@@ -20,7 +20,7 @@
 			ring[i] = member.Member{ID: "entry", Incarnation: member.Incarnation(i + 1)}
 		}
 		for slot := range rate.Holders {
-			_, ok := shareDuty(rate.Account{Organisation: "Furnir", Slot: rate.Slot(slot)})(member.View{Ring: ring})
+			_, ok := shareOwner(rate.Account{Organisation: "Furnir", Slot: rate.Slot(slot)})(member.View{Ring: ring})
 			is.True(ok)
 		}
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -31,53 +31,53 @@
 
 // Entry is one instance of the system.
 type Entry struct {
-	settings   settings.Settings
-	logger     log.Logger
-	log        galenastair.Log
-	list       *logservice.Client
-	loop       *control.Loop
-	follower   *config.Follower
-	members    *member.Runtime
-	dispatcher *dispatch.Dispatcher
-	services   *request.ServiceList
-	limiter    *rate.Limiter
-	claims     *claim.Keeper
-	engine     engines
-	leader     *place.Leader
-	reporter   *report.Reporter
-	server     *request.Server
-	metrics    *operator.Metrics
-	callers    net.Listener
-	// callersServed is closed when the callers' port accepts no more.
-	callersServed <-chan struct{}
-	conns         *httpserve.Conns
-	fleet         fleet
-	stopping      stopping
+	settings       settings.Settings
+	logger         log.Logger
+	log            galenastair.Log
+	instanceList   *logservice.Client
+	loop           *control.Loop
+	follower       *config.Follower
+	members        *member.Runtime
+	dispatcher     *dispatch.Dispatcher
+	services       *request.ServiceList
+	limiter        *rate.Limiter
+	claims         *claim.Keeper
+	engine         engineClient
+	leader         *place.Leader
+	reporter       *report.Reporter
+	server         *request.Server
+	metrics        *operator.Metrics
+	callerListener net.Listener
+	// callerServeDone is closed when the callers' port no longer accepts connections.
+	callerServeDone <-chan struct{}
+	conns           *httpserve.Conns
+	fleet           fleet
+	shutdown        shutdownState
 }
 
-// Option changes how an entry is made.
+// Option configures an Entry.
 type Option func(*Entry)
 
-// WithLogger says where decisions and events are logged.
+// WithLogger sets the logger for decisions and events.
 func WithLogger(l log.Logger) Option { return func(e *Entry) { e.logger = l } }
 
-// New returns an entry that does nothing until Run.
+// New returns an entry that does nothing until Run is called.
 func New(s settings.Settings, opts ...Option) (*Entry, error) {
 	e := &Entry{settings: s, logger: log.NewNopLogger(), metrics: operator.NewMetrics(), loop: control.NewLoop(), conns: httpserve.NewConns()}
 	for _, o := range opts {
 		o(e)
 	}
 	e.log = logservice.New(s.Platform.LogAddress)
-	e.list = logservice.New(s.Platform.InstanceListAddress)
-	e.engine = newEngines(s.Engines, e.fleet.engineName)
+	e.instanceList = logservice.New(s.Platform.InstanceListAddress)
+	e.engine = newEngineClient(s.Engines, e.fleet.engineName)
 	e.leader = e.newLeader(e.loop)
-	e.follower = config.NewFollower(e.log, config.WithLogger(e.logger), config.WithFleet(e.fleet.entries),
+	e.follower = config.NewFollower(e.log, config.WithLogger(e.logger), config.WithFleet(e.fleet.entryCount),
 		config.WithPeers(record.NewClient(e.otherMembers)))
 	e.members = member.New(e.log,
 		member.WithInstance(s.Instance.ID, s.Instance.AvailabilityZone, s.Instance.PeerAddress),
 		member.WithRegion(s.Instance.Region),
 		member.WithLoop(e.loop),
-		member.WithInstanceList(e.list),
+		member.WithInstanceList(e.instanceList),
 		member.WithLogger(e.logger),
 		member.WithRegisterer(e.metrics.Registry()),
 		member.WithConfigurationOffset(e.configurationOffset),
@@ -91,16 +91,16 @@
 		return nil, err
 	}
 	e.limiter = limiter
-	e.claims = claim.New(claimDuties{e.members},
+	e.claims = claim.New(claimAssignment{e.members},
 		claim.WithHTTPClient(&http.Client{Transport: httpclient.NewTransport()}), claim.WithMetrics(e.metrics.Registry()))
 	e.server = request.NewServer(request.Dependencies{
 		Configuration: e.follower,
 		Lease:         e,
-		Limiter:       charges{e.limiter},
-		Claims:        keeper{e.claims},
+		Limiter:       limiterAdapter{e.limiter},
+		Claims:        claimsAdapter{e.claims},
 		Dispatcher:    e.dispatcher,
 		Services:      e.services,
-		Poison:        poison{claim.NewPoison(nil), e.members},
+		Poison:        poisonTracker{claim.NewPoison(nil), e.members},
 		Retries:       e.dispatcher,
 		Engine:        e.engine,
 		Service:       service.New(),
@@ -113,41 +113,41 @@
 		rate.WithHTTPClient(&http.Client{Transport: httpclient.NewTransport()}),
 		rate.WithMetrics(e.metrics.Registry()),
 	}
-	h, err := openHistory(e.settings.Instance.History)
+	h, err := openGrantHistory(e.settings.Instance.History)
 	if err != nil {
 		return nil, err
 	}
 	if h != nil {
-		opts = append(opts, rate.WithHistory(h.grant))
+		opts = append(opts, rate.WithHistory(h.record))
 	}
 	return rate.New(e.rateDuties, e.rateContracts, opts...), nil
 }
 
-// Run serves until the context ends, then stops without cutting a request.
+// Run serves until the context is done, then shuts down gracefully.
 func (e *Entry) Run(ctx context.Context) error {
 	var g run.Group
 	work, stopWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopWork()
-	add := func(name string, part func(context.Context) error) { rungroup.Add(work, &g, e.logger, name, part) }
+	add := func(name string, fn func(context.Context) error) { rungroup.Add(work, &g, e.logger, name, fn) }
 	add("control", e.loop.Run)
 	add("membership", e.members.Run)
 	add("configuration", e.follower.Run)
-	add("snapshots", e.republish)
-	add("withdrawals", e.endWithdrawn)
-	add("instances", e.followList)
+	add("snapshots", e.publishSnapshots)
+	add("withdrawals", e.cancelWithdrawn)
+	add("instances", e.watchInstances)
 	add("reports", e.reporter.Run)
-	add("cache events", e.followCacheEvents)
+	add("cache events", e.pollCacheEvents)
 	add("placement", e.leader.Run)
-	add("demand", e.tellDemand)
+	add("demand", e.reportDemand)
 	add("rate", e.limiter.Run)
 	add("claims", e.claims.Run)
 	add("registration", e.register)
 	if err := e.listen(&g); err != nil {
 		return err
 	}
-	// the one actor that sees the signal: it stops serving in order, then the
-	// others end because it has
-	g.Add(func() error { return e.stopOn(ctx) }, func(error) { stopWork() })
+	// Only this actor receives the cancellation of ctx. It shuts down gracefully, and
+	// its return stops the other actors.
+	g.Add(func() error { return e.gracefulShutdown(ctx) }, func(error) { stopWork() })
 	return g.Run()
 }
 
@@ -158,36 +158,39 @@
 	return 0
 }
 
-// republish keeps a snapshot of the configuration in the log while this instance leads.
-func (e *Entry) republish(ctx context.Context) error {
-	leads := func() bool { return e.members.Status().Leads(time.Now()) }
-	return e.follower.Republish(ctx, e.settings.Platform.Retention, string(e.settings.Instance.ID), leads)
+// publishSnapshots publishes snapshots of the configuration to the log while this
+// instance is the leader.
+func (e *Entry) publishSnapshots(ctx context.Context) error {
+	isLeader := func() bool { return e.members.Status().Leads(time.Now()) }
+	return e.follower.Republish(ctx, e.settings.Platform.Retention, string(e.settings.Instance.ID), isLeader)
 }
 
-// endWithdrawn ends the requests of withdrawn keys at each change of configuration.
-func (e *Entry) endWithdrawn(ctx context.Context) error {
+// cancelWithdrawn cancels the requests of withdrawn keys after each change of the
+// configuration.
+func (e *Entry) cancelWithdrawn(ctx context.Context) error {
 	return e.server.Active().Watch(ctx, e.follower)
 }
 
-// register shows the platform that this instance lives, or is leaving.
+// register keeps this instance in the platform's instance list, with its leaving flag,
+// and removes it from the list at the end.
 func (e *Entry) register(ctx context.Context) error {
-	err := e.list.Register(ctx, e.listed, func(err error) {
+	err := e.instanceList.Register(ctx, e.registration, func(err error) {
 		e.logger.Log("event", "register", "err", err)
 	})
-	withdraw, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
+	withdrawCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 	defer cancel()
-	if err := e.list.Withdraw(withdraw, string(e.settings.Instance.ID)); err != nil {
+	if err := e.instanceList.Withdraw(withdrawCtx, string(e.settings.Instance.ID)); err != nil {
 		e.logger.Log("event", "withdraw", "err", err)
 	}
 	return err
 }
 
-func (e *Entry) listed() galenastair.ListedInstance {
+func (e *Entry) registration() galenastair.ListedInstance {
 	return galenastair.ListedInstance{
 		ID:               string(e.settings.Instance.ID),
 		Role:             galenastair.RoleEntry,
 		Address:          e.settings.Instance.PeerAddress,
 		AvailabilityZone: e.settings.Instance.AvailabilityZone,
-		Leaving:          e.stopping.begun(),
+		Leaving:          e.shutdown.started(),
 	}
 }
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -26,17 +26,17 @@
 
 const testKey = "gsk-himalbyte-1"
 
-// site is one entry between a stand-in of the platform and one of an engine.
-type site struct {
-	t        *testing.T
-	settings settings.Settings
-	standin  *standin.Platform
-	platform *logservice.Client
-	stop     context.CancelFunc
-	ended    chan error
+// testSite is an instance with a simulated platform and a simulated engine.
+type testSite struct {
+	t              *testing.T
+	settings       settings.Settings
+	platformServer *standin.Platform
+	client         *logservice.Client
+	stop           context.CancelFunc
+	runErr         chan error
 }
 
-// freeAddress returns an address that nothing listens on now.
+// freeAddress returns an address on which nothing listens.
 func freeAddress(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -46,29 +46,29 @@
 	return l.Addr().String()
 }
 
-func newSite(t *testing.T) *site {
+func newTestSite(t *testing.T) *testSite {
 	ctx, cancel := context.WithCancel(context.Background())
-	stand := standin.New()
-	p := httptest.NewServer(stand.HandlerUntil(ctx))
+	platformServer := standin.New()
+	p := httptest.NewServer(platformServer.HandlerUntil(ctx))
 	address := p.Listener.Addr().String()
 	s := settings.Default()
 	s.Instance.AvailabilityZone = "zone-a"
 	s.Platform.LogAddress, s.Platform.InstanceListAddress, s.Platform.WeightStoreAddress = address, address, address
 	s.Platform.ListPeriod = 50 * time.Millisecond
 	s.Stop.Notice = 300 * time.Millisecond
-	x := &site{t: t, settings: s, standin: stand, platform: logservice.New(address), ended: make(chan error, 1)}
+	x := &testSite{t: t, settings: s, platformServer: platformServer, client: logservice.New(address), runErr: make(chan error, 1)}
 	t.Cleanup(func() {
 		cancel()
 		p.Close()
 	})
-	x.name("entry-1")
+	x.assignInstance("entry-1")
 	x.startEngine(ctx)
 	x.publish()
 	return x
 }
 
-// name gives the settings the name and the addresses of the next entry.
-func (x *site) name(id galenastair.InstanceID) {
+// assignInstance sets the ID and the addresses of the next instance in the settings.
+func (x *testSite) assignInstance(id galenastair.InstanceID) {
 	in := &x.settings.Instance
 	in.ID = id
 	in.CallerAddress, in.OperatorAddress = freeAddress(x.t), freeAddress(x.t)
@@ -76,8 +76,9 @@
 	in.PeerListenAddress = in.PeerAddress
 }
 
-// startEngine lists an engine of 20 ms for each token that has model-1 ready.
-func (x *site) startEngine(ctx context.Context) {
+// startEngine starts and registers an engine that has model-1 loaded and takes 20 ms
+// per token.
+func (x *testSite) startEngine(ctx context.Context) {
 	es := engine.DefaultSettings()
 	es.BaseStep = 20 * time.Millisecond
 	e := engine.New("engine-1", es)
@@ -90,7 +91,7 @@
 		ID: "engine-1", Role: galenastair.RoleEngine, Address: server.Listener.Addr().String(), AvailabilityZone: "zone-a",
 	}
 	go func() {
-		registered <- x.platform.Register(ctx, func() galenastair.ListedInstance { return listed }, func(error) {})
+		registered <- x.client.Register(ctx, func() galenastair.ListedInstance { return listed }, func(error) {})
 	}()
 	x.t.Cleanup(func() {
 		cancel()
@@ -100,9 +101,9 @@
 	})
 }
 
-func (x *site) publish() {
+func (x *testSite) publish() {
 	is := is.New(x.t)
-	p := config.NewPublisher(x.platform)
+	p := config.NewPublisher(x.client)
 	r, err := config.NewRecord(config.KindContractPublished, "test", config.ContractPublished{Contract: contract.Contract{
 		Organisation: "Himalbyte", Rate: 30000, Burst: 90000, Models: []galenastair.ModelName{"model-1"},
 		KeyHashes: []galenastair.KeyHash{galenastair.HashKey(testKey)},
@@ -113,21 +114,22 @@
 	is.Equal(v.Outcome, config.Accepted)
 }
 
-func (x *site) start() *Entry {
+func (x *testSite) start() *Entry {
 	is := is.New(x.t)
 	e, err := New(x.settings)
 	is.NoErr(err)
 	ctx, cancel := context.WithCancel(context.Background())
 	x.stop = cancel
-	// taken before the run: a test may start another entry meanwhile
-	ended := x.ended
-	go func() { ended <- e.Run(ctx) }()
+	// Read before the goroutine starts, since a test may start another instance meanwhile.
+	runErr := x.runErr
+	go func() { runErr <- e.Run(ctx) }()
 	x.t.Cleanup(cancel)
 	return e
 }
 
-// get returns the status and body of an operators' path; status 0 if none answers.
-func (x *site) get(path string) (int, string) {
+// get returns the status and body of a path on the operators' port. The status is 0 if
+// the port does not respond.
+func (x *testSite) get(path string) (int, string) {
 	resp, err := http.Get("http://" + x.settings.Instance.OperatorAddress + path)
 	if err != nil {
 		return 0, err.Error()
@@ -137,55 +139,54 @@
 	return resp.StatusCode, string(body)
 }
 
-// until asks again, since the instance has to join and to read its configuration first.
-func (x *site) until(what string, holds func() bool) {
+// waitUntil polls holds until it returns true, and fails the test after 15 s. An instance
+// has to join and to read its configuration before it serves requests.
+func (x *testSite) waitUntil(what string, holds func() bool) {
 	x.t.Helper()
-	limit := time.Now().Add(15 * time.Second)
+	deadline := time.Now().Add(15 * time.Second)
 	for !holds() {
-		if time.Now().After(limit) {
+		if time.Now().After(deadline) {
 			_, status := x.get("/status")
-			x.t.Fatalf("never: %s\n%s", what, status)
+			x.t.Fatalf("timed out after 15 s: %s\n%s", what, status)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-func (x *site) ask(tokens galenastair.Tokens) (caller.Reply, error) {
+func (x *testSite) complete(tokens galenastair.Tokens) (caller.Reply, error) {
 	return caller.Ask(x.t.Context(), &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, caller.Question{
 		Entry: x.settings.Instance.CallerAddress, Key: testKey, Model: "model-1", Text: "hello", MaxTokens: tokens, Stream: true,
 	})
 }
 
-// An operator stops an instance while a parent reads an answer, and the balancer
-// still sends requests for a moment: none is cut or refused, /readyz turns red at
-// once, the platform's list shows the instance as leaving, and the process ends
-// well only after the last answer.
-// Seen failing with the notice left out (a request is refused), with Close in
-// place of Shutdown (the long answer is cut), with Ready not looking at the
-// stop, and with listed not telling of it.
-func TestStopCutsNoRequest(t *testing.T) {
+// An instance is stopped while a response is streamed, and the load balancer still sends
+// requests for a moment. No request may be interrupted or refused, /readyz must fail at
+// once, the platform's list must show the instance as leaving, and the process must exit
+// without an error after the last response. Without the notice period, a request is
+// refused; if the server is closed without draining, the stream is interrupted.
+func TestGracefulShutdown(t *testing.T) {
 	is := is.New(t)
-	x := newSite(t)
+	x := newTestSite(t)
 	x.start()
-	x.until("the instance is ready", func() bool { status, _ := x.get("/readyz"); return status == http.StatusOK })
-	x.until("a request is served", func() bool { r, err := x.ask(1); return err == nil && r.Whole })
+	x.waitUntil("the instance is ready", func() bool { status, _ := x.get("/readyz"); return status == http.StatusOK })
+	x.waitUntil("a request is served", func() bool { r, err := x.complete(1); return err == nil && r.Whole })
 
 	long := make(chan caller.Reply, 1)
 	go func() {
-		r, _ := x.ask(60)
+		r, _ := x.complete(60)
 		long <- r
 	}()
-	x.until("the long request is under way", func() bool { _, s := x.get("/status"); return strings.Contains(s, `"Requests":1`) })
+	x.waitUntil("the long request is in flight", func() bool { _, s := x.get("/status"); return strings.Contains(s, `"Requests":1`) })
 	x.stop()
-	x.until("/readyz says so", func() bool {
+	x.waitUntil("/readyz reports that the instance is stopping", func() bool {
 		status, text := x.get("/readyz")
 		return status == 503 && strings.Contains(text, "stopping")
 	})
-	r, err := x.ask(1)
+	r, err := x.complete(1)
 	is.NoErr(err)
 	is.True(r.Whole)
 	leaving := func() bool {
-		listed, err := x.platform.List(t.Context())
+		listed, err := x.client.List(t.Context())
 		for _, l := range listed {
 			if l.ID == "entry-1" {
 				return l.Leaving
@@ -193,22 +194,22 @@
 		}
 		return err != nil
 	}
-	x.until("the list shows the instance as leaving", leaving)
+	x.waitUntil("the list shows the instance as leaving", leaving)
 	r = <-long
 	is.True(r.Whole)
-	is.NoErr(<-x.ended)
-	_, err = x.ask(1)
+	is.NoErr(<-x.runErr)
+	_, err = x.complete(1)
 	is.True(err != nil)
 }
 
-// What operators see of a running instance.
-// Seen failing with addReport and addMembers left out, and with the recorder not given.
+// /status must include engine reports and members, and /metrics the finished requests.
+// Neither may show an API key.
 func TestStatusAndMetrics(t *testing.T) {
 	is := is.New(t)
-	x := newSite(t)
+	x := newTestSite(t)
 	x.start()
-	x.until("a request is served", func() bool { r, err := x.ask(1); return err == nil && r.Whole })
-	x.until("the engine's report has come", func() bool { _, s := x.get("/status"); return strings.Contains(s, `"Ready":["model-1"]`) })
+	x.waitUntil("a request is served", func() bool { r, err := x.complete(1); return err == nil && r.Whole })
+	x.waitUntil("the engine's report has arrived", func() bool { _, s := x.get("/status"); return strings.Contains(s, `"Ready":["model-1"]`) })
 	_, status := x.get("/status")
 	for _, part := range []string{`"Instance":"entry-1"`, `"HoldsLease":true`, `"Leader":"entry-1"`, `"Ready":true`, `"PeerAddress":"` + x.settings.Instance.PeerAddress} {
 		is.True(strings.Contains(status, part))
@@ -217,70 +218,69 @@
 	is.True(strings.Contains(metrics, `galenastair_requests_total{code="",organisation="Himalbyte",outcome="Ran"} 1`))
 	is.True(!strings.Contains(metrics+status, testKey))
 	x.stop()
-	is.NoErr(<-x.ended)
+	is.NoErr(<-x.runErr)
 }
 
-// A port that is taken ends the start with an error that names port and address.
-// Seen failing with the wrap of the listen error left out.
-func TestPortTaken(t *testing.T) {
+// If a port is in use, the start must fail with an error that names the port and the
+// address.
+func TestPortInUse(t *testing.T) {
 	is := is.New(t)
-	x := newSite(t)
+	x := newTestSite(t)
 	l, err := net.Listen("tcp", x.settings.Instance.PeerAddress)
 	is.NoErr(err)
 	defer l.Close()
 	x.start()
-	err = <-x.ended
+	err = <-x.runErr
 	is.True(err != nil)
 	is.True(strings.Contains(err.Error(), "peers' port: is "+x.settings.Instance.PeerAddress))
 	is.True(!errors.Is(err, context.Canceled))
 }
 
-// A request that stops each engine comes through one entry, then through another.
-// If each counted from nothing, the second stop would count as a first one, and
-// engines would go on dying.
-// Seen failing with Stopped not announcing, with Stopped not looking at what
-// others announced, and with Allow asking its own table alone.
-func TestEntriesCountStopsTogether(t *testing.T) {
+// A request that crashes engines is sent through one instance, then through another. If
+// each instance counted only its own crashes, the second crash would count as the first,
+// and the request would crash more engines. RecordCrash must report crashes to all
+// members and count those of others, and Allow must check both.
+func TestInstancesShareCrashCounts(t *testing.T) {
 	is := is.New(t)
-	x := newSite(t)
+	x := newTestSite(t)
 	first := x.start()
-	x.until("the first is ready", func() bool { return first.Ready() == nil })
-	firstEnded, stopFirst := x.ended, x.stop
-	x.ended = make(chan error, 1)
-	x.name("entry-2")
+	x.waitUntil("the first is ready", func() bool { return first.Ready() == nil })
+	firstEnded, stopFirst := x.runErr, x.stop
+	x.runErr = make(chan error, 1)
+	x.assignInstance("entry-2")
 	second := x.start()
-	x.until("both are members", func() bool {
+	x.waitUntil("both are members", func() bool {
 		return len(first.members.Status().View.Ring) == 2 && len(second.members.Status().View.Ring) == 2 && second.Ready() == nil
 	})
 	d := claim.DigestOf("Furnir", "model-1", []byte("poison"))
-	one, two := poison{claim.NewPoison(nil), first.members}, poison{claim.NewPoison(nil), second.members}
+	one, two := poisonTracker{claim.NewPoison(nil), first.members}, poisonTracker{claim.NewPoison(nil), second.members}
 	now := time.Now()
 	is.True(one.Stopped(now, d))
-	x.until("the second has heard of it", func() bool { return second.members.Status().Fleet.Refuses(firstStop(d), now) })
+	x.waitUntil("the second has received the crash", func() bool { return second.members.Status().Fleet.Refuses(firstCrashKey(d), now) })
 	is.NoErr(two.Allow(now, d))
 	is.True(!two.Stopped(now, d))
-	x.until("the first refuses it", func() bool { return errors.Is(one.Allow(now, d), galenastair.ErrPoison) })
+	x.waitUntil("the first refuses the request", func() bool { return errors.Is(one.Allow(now, d), galenastair.ErrPoison) })
 	is.NoErr(one.Allow(now, claim.DigestOf("Furnir", "model-1", []byte("other"))))
 	x.stop()
-	is.NoErr(<-x.ended)
+	is.NoErr(<-x.runErr)
 	stopFirst()
 	is.NoErr(<-firstEnded)
 }
 
-// The platform's list is down: what it said last stands, and requests are served.
-// Seen failing with readList taking an error for an empty list.
-func TestListOutageChangesNothing(t *testing.T) {
+// While the platform's instance list is unavailable, the last list must stay in use and
+// requests must be served. An error must not be taken for an empty list.
+func TestLastListIsKeptDuringOutage(t *testing.T) {
 	is := is.New(t)
-	x := newSite(t)
+	x := newTestSite(t)
 	e := x.start()
-	x.until("a request is served", func() bool { r, err := x.ask(1); return err == nil && r.Whole })
-	x.standin.Switch(func(s *standin.Switches) { s.ListOutage = true })
-	x.until("the list does not answer", func() bool { _, err := x.platform.List(t.Context()); return err != nil })
-	e.readList(t.Context())
-	is.Equal(len(e.fleet.engines()), 1)
-	r, err := x.ask(1)
+	x.waitUntil("a request is served", func() bool { r, err := x.complete(1); return err == nil && r.Whole })
+	x.platformServer.Switch(func(s *standin.Switches) { s.ListOutage = true })
+	x.waitUntil("the list is unavailable", func() bool { _, err := x.client.List(t.Context()); return err != nil })
+	e.refreshInstances(t.Context())
+	is.Equal(len(e.fleet.engineServers()), 1)
+	r, err := x.complete(1)
 	is.NoErr(err)
 	is.True(r.Whole)
 	x.stop()
-	is.NoErr(<-x.ended)
+	is.NoErr(<-x.runErr)
 }
--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -9,29 +9,29 @@
 	"galenastair/dispatch"
 )
 
-// fleet is what the platform's list and the engines' reports last said.
+// fleet caches the platform's instance list and the latest report of each engine.
 type fleet struct {
-	mu      sync.Mutex
-	listed  []galenastair.ListedInstance
-	reports map[galenastair.BackendServerID]reported
+	mu        sync.Mutex
+	instances []galenastair.ListedInstance
+	reports   map[galenastair.BackendServerID]receivedReport
 }
 
-type reported struct {
-	report galenastair.EngineReport
-	at     time.Time
+type receivedReport struct {
+	report     galenastair.EngineReport
+	receivedAt time.Time
 }
 
-func (f *fleet) set(listed []galenastair.ListedInstance) {
+func (f *fleet) setInstances(listed []galenastair.ListedInstance) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.listed = listed
+	f.instances = listed
 }
 
-func (f *fleet) role(r galenastair.Role) []galenastair.ListedInstance {
+func (f *fleet) withRole(r galenastair.Role) []galenastair.ListedInstance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []galenastair.ListedInstance
-	for _, l := range f.listed {
+	for _, l := range f.instances {
 		if l.Role == r {
 			out = append(out, l)
 		}
@@ -39,36 +39,37 @@
 	return out
 }
 
-// entries counts the listed entry instances, this one included.
-func (f *fleet) entries() int { return max(len(f.role(galenastair.RoleEntry)), 1) }
+// entryCount returns the number of listed entry instances, which includes this one. It
+// is at least 1.
+func (f *fleet) entryCount() int { return max(len(f.withRole(galenastair.RoleEntry)), 1) }
 
-func (f *fleet) report(r galenastair.EngineReport, at time.Time) {
+func (f *fleet) setReport(r galenastair.EngineReport, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.reports == nil {
-		f.reports = map[galenastair.BackendServerID]reported{}
+		f.reports = map[galenastair.BackendServerID]receivedReport{}
 	}
-	f.reports[r.BackendServer] = reported{r, at}
+	f.reports[r.BackendServer] = receivedReport{r, at}
 }
 
-func (f *fleet) snapshot() ([]galenastair.ListedInstance, map[galenastair.BackendServerID]reported) {
+func (f *fleet) snapshot() ([]galenastair.ListedInstance, map[galenastair.BackendServerID]receivedReport) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	reports := make(map[galenastair.BackendServerID]reported, len(f.reports))
+	reports := make(map[galenastair.BackendServerID]receivedReport, len(f.reports))
 	for id, r := range f.reports {
 		reports[id] = r
 	}
-	return f.listed, reports
+	return f.instances, reports
 }
 
-// followList reads the platform's list each period. While the platform is down
-// the last list stands: backend servers rarely change in that time, and one that
-// has died is taken out by its own silence.
-func (e *Entry) followList(ctx context.Context) error {
+// watchInstances polls the platform's instance list. The last list is kept while the
+// platform is unavailable: backend servers rarely change in that time, and one that
+// has crashed is taken out of rotation because it stops responding.
+func (e *Entry) watchInstances(ctx context.Context) error {
 	tick := time.NewTicker(e.settings.Platform.ListPeriod)
 	defer tick.Stop()
 	for {
-		e.readList(ctx)
+		e.refreshInstances(ctx)
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -77,15 +78,15 @@
 	}
 }
 
-func (e *Entry) readList(ctx context.Context) {
-	listed, err := e.list.List(ctx)
+func (e *Entry) refreshInstances(ctx context.Context) {
+	listed, err := e.instanceList.List(ctx)
 	if err != nil {
 		e.logger.Log("event", "list", "err", err)
 		return
 	}
-	e.fleet.set(listed)
+	e.fleet.setInstances(listed)
 	var servers []dispatch.Server
-	for _, l := range e.fleet.role(galenastair.RoleEngine) {
+	for _, l := range e.fleet.withRole(galenastair.RoleEngine) {
 		servers = append(servers, dispatch.Server{
 			ID:               galenastair.BackendServerID(l.ID),
 			Address:          l.Address,
@@ -97,5 +98,5 @@
 	if err := e.leader.SetServers(ctx, servers); err != nil {
 		return
 	}
-	e.services.Set(e.fleet.role(galenastair.RoleService))
+	e.services.Set(e.fleet.withRole(galenastair.RoleService))
 }
--- a/entry/history.go
+++ b/entry/history.go
@@ -10,27 +10,27 @@
 	"galenastair/rate"
 )
 
-// history appends each grant of tokens to a file, for checks of what all
-// instances granted together. Each line is a write of its own, so that a killed
-// process leaves whole lines.
-type history struct {
+// grantHistory appends each grant of tokens to a file, to verify the total granted by
+// all instances. Each line is a single write, so that a killed process leaves no
+// partial lines.
+type grantHistory struct {
 	mu   sync.Mutex
 	file *os.File
 }
 
-// openHistory returns nil for an empty path.
-func openHistory(path string) (*history, error) {
+// openGrantHistory opens the file at path. It returns nil if path is empty.
+func openGrantHistory(path string) (*grantHistory, error) {
 	if path == "" {
 		return nil, nil
 	}
 	file, err := os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
-		return nil, eris.Wrap(err, "History")
+		return nil, eris.Wrap(err, "open file of setting History")
 	}
-	return &history{file: file}, nil
+	return &grantHistory{file: file}, nil
 }
 
-func (h *history) grant(g rate.Grant) {
+func (h *grantHistory) record(g rate.Grant) {
 	line, err := json.Marshal(g)
 	if err != nil {
 		return
--- a/entry/listen.go
+++ b/entry/listen.go
@@ -14,11 +14,11 @@
 	"galenastair/timer"
 )
 
-// listener is one of the instance's ports.
+// listener is a port of the instance and its HTTP server.
 type listener struct {
 	name   string
 	server *http.Server
-	net    net.Listener
+	ln     net.Listener
 }
 
 func (e *Entry) listenOn(name, address string, h http.Handler) (*listener, error) {
@@ -30,14 +30,14 @@
 		Handler:           h,
 		MaxHeaderBytes:    e.settings.Callers.HeaderBytes,
 		ReadHeaderTimeout: e.settings.Callers.ReadHeader,
-		// a connection that a caller has lost track of frees its memory in the end
+		// Connections that a caller has abandoned are closed to free their memory.
 		IdleTimeout: 2 * e.settings.Callers.Request,
 	}
 	return &listener{name, server, l}, nil
 }
 
 func (e *Entry) listen(g *run.Group) error {
-	callers, err := e.listenOn("callers'", e.settings.Instance.CallerAddress, e.sayClose(caller.NewHandler(e.server, caller.WithLimits(e.settings.Callers))))
+	callers, err := e.listenOn("callers'", e.settings.Instance.CallerAddress, e.closeWhenStopping(caller.NewHandler(e.server, caller.WithLimits(e.settings.Callers))))
 	if err != nil {
 		return err
 	}
@@ -50,36 +50,38 @@
 		return err
 	}
 	e.conns.Watch(callers.server)
-	e.callers = callers.net
-	e.callersServed = httpserve.Add(g, callers.server, callers.net)
-	httpserve.Add(g, peers.server, peers.net)
-	httpserve.Add(g, operators.server, operators.net)
+	e.callerListener = callers.ln
+	e.callerServeDone = httpserve.Add(g, callers.server, callers.ln)
+	httpserve.Add(g, peers.server, peers.ln)
+	httpserve.Add(g, operators.server, operators.ln)
 	e.logger.Log("event", "listening", "callers", e.settings.Instance.CallerAddress, "peers", e.settings.Instance.PeerListenAddress, "operators", e.settings.Instance.OperatorAddress)
 	return nil
 }
 
-// stopOn waits for the signal to stop, then stops in order: tell the platform,
-// so that the balancer sends no more; go on serving meanwhile; let the requests
-// under way end; only then leave.
-func (e *Entry) stopOn(ctx context.Context) error {
+// gracefulShutdown waits for ctx to be done, then shuts down in order: it marks the
+// instance as leaving in the platform's list, keeps serving until the load balancer
+// has had time to react, waits for the requests in flight, and then leaves the
+// membership.
+func (e *Entry) gracefulShutdown(ctx context.Context) error {
 	<-ctx.Done()
-	e.stopping.begin()
+	e.shutdown.start()
 	s := e.settings.Stop
 	e.logger.Log("event", "stopping", "notice", s.Notice, "timeout", s.Timeout, "requests", e.server.Active().Len())
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.Notice+s.Timeout)
 	defer cancel()
-	// the balancer's time to see that this instance is leaving. It is not cut short
-	// when no request is under way: one may be on its way from a balancer that has
-	// not seen it yet.
+	// The load balancer needs this time to notice that the instance is leaving. It
+	// is not shortened when no request is in flight, since a load balancer that has
+	// not noticed yet may still send one.
 	timer.Wait(ctx, s.Notice)
-	err := e.callers.Close()
-	// a connection that was just being accepted would be missed, and cut at the end
+	err := e.callerListener.Close()
+	// Without this wait, Drain could miss a connection that is just being accepted, and
+	// that connection would be closed with its request.
 	select {
-	case <-e.callersServed:
+	case <-e.callerServeDone:
 	case <-ctx.Done():
 	}
 	left := e.conns.Drain(ctx)
-	// only now: requests under way needed the lease to their end
+	// The lease is released only now, because requests in flight need it.
 	if err := e.members.Leave(ctx); err != nil {
 		e.logger.Log("event", "leave", "err", err)
 	}
--- a/entry/peer.go
+++ b/entry/peer.go
@@ -15,7 +15,7 @@
 	"galenastair/report"
 )
 
-// peerHandler serves the other instances.
+// peerHandler returns the handler of the peers' port.
 func (e *Entry) peerHandler() http.Handler {
 	r := mux.NewRouter()
 	r.PathPrefix(member.PathPrefix).Handler(e.members.Handler())
@@ -29,12 +29,12 @@
 	return r
 }
 
-// otherMembers lists the other instances of the last known epoch, for asking
-// them what the log does not give.
+// otherMembers returns the other members of the last known epoch, which are asked for
+// records that the log does not return.
 func (e *Entry) otherMembers() []config.Peer {
 	s := e.members.Status()
 	listed := map[string]bool{}
-	for _, l := range e.fleet.role(galenastair.RoleEntry) {
+	for _, l := range e.fleet.withRole(galenastair.RoleEntry) {
 		listed[l.ID] = true
 	}
 	var peers []config.Peer
--- a/entry/place.go
+++ b/entry/place.go
@@ -19,38 +19,39 @@
 	"galenastair/timer"
 )
 
-// engines is the client of model engines, with what the settings say of them: an
-// engine's own word on whether it checks fencing numbers is not trusted with memory.
-type engines struct {
+// engineClient is the client of model engines. Whether an engine checks fencing
+// numbers is taken from the settings and not from its report, since a wrong report
+// could lead to overcommitted memory.
+type engineClient struct {
 	*engine.Client
-	checkFence map[string]bool
-	names      func(address string) string
+	checksFence map[string]bool
+	nameOf      func(address string) string
 }
 
-// Report asks an engine what it has loaded.
-func (e engines) Report(ctx context.Context, server string) (galenastair.EngineReport, error) {
+// Report returns the report of an engine on what it has loaded.
+func (e engineClient) Report(ctx context.Context, server string) (galenastair.EngineReport, error) {
 	r, err := e.Client.Report(ctx, server)
-	r.ChecksFence = e.checkFence[e.names(server)]
+	r.ChecksFence = e.checksFence[e.nameOf(server)]
 	return r, err
 }
 
-func newEngines(s settings.Engines, names func(string) string) engines {
-	e := engines{
-		Client:     engine.New(engine.WithSilence(s.Progress)),
-		checkFence: map[string]bool{},
-		names:      names,
+func newEngineClient(s settings.Engines, names func(string) string) engineClient {
+	e := engineClient{
+		Client:      engine.New(engine.WithSilence(s.Progress)),
+		checksFence: map[string]bool{},
+		nameOf:      names,
 	}
 	for _, id := range s.CheckFence {
-		e.checkFence[string(id)] = true
+		e.checksFence[string(id)] = true
 	}
 	return e
 }
 
-// engineName returns the listed engine at an address.
+// engineName returns the ID of the listed engine at an address, or "" if there is none.
 func (f *fleet) engineName(address string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, l := range f.listed {
+	for _, l := range f.instances {
 		if l.Role == galenastair.RoleEngine && l.Address == address {
 			return l.ID
 		}
@@ -68,32 +69,32 @@
 		Engine: e.engine,
 		Log:    e.log,
 		Store:  logservice.New(s.Platform.WeightStoreAddress),
-		Duty:   e.leads,
+		Duty:   e.leadership,
 		Loop:   loop,
 	}, place.WithLogger(e.logger), place.WithSettings(planner), place.WithOrdered(e.metrics.Ordered),
 		place.WithRecords(func(now time.Time) bool { return e.members.Status().LogReach(now) == member.Reached }))
 }
 
-func (e *Entry) leads(now time.Time) (galenastair.Fence, bool) {
+func (e *Entry) leadership(now time.Time) (galenastair.Fence, bool) {
 	s := e.members.Status()
 	return s.Fence, s.Leads(now)
 }
 
-// tellDemand tells the leader what was asked of this instance.
-func (e *Entry) tellDemand(ctx context.Context) error {
+// reportDemand periodically reports the demand of this instance to the leader.
+func (e *Entry) reportDemand(ctx context.Context) error {
 	client := &http.Client{Transport: httpclient.NewTransport()}
 	for {
 		s := e.members.Status()
 		if !timer.Wait(ctx, demand.Period(len(s.View.Ring))) {
 			return ctx.Err()
 		}
-		if err := e.tellLeader(ctx, client, e.dispatcher.Demand()); err != nil {
+		if err := e.sendDemand(ctx, client, e.dispatcher.Demand()); err != nil {
 			e.logger.Log("event", "demand", "err", err)
 		}
 	}
 }
 
-func (e *Entry) tellLeader(ctx context.Context, client *http.Client, ds []dispatch.Demand) error {
+func (e *Entry) sendDemand(ctx context.Context, client *http.Client, ds []dispatch.Demand) error {
 	leader := e.members.Status().Leader
 	self := e.settings.Instance.ID
 	switch {
@@ -106,7 +107,7 @@
 	}
 }
 
-// modelNames lists the models of all contracts.
+// modelNames returns the models of all contracts, sorted and without duplicates.
 func (e *Entry) modelNames() []galenastair.ModelName {
 	v := e.follower.View()
 	if v == nil {
--- a/entry/poison.go
+++ b/entry/poison.go
@@ -10,51 +10,53 @@
 )
 
 const (
-	// announceTime is how long all members remember a stop: as long as the table
-	// of the instance that saw it.
-	announceTime = 10 * time.Minute
-	// announceTimeout bounds the wait for the control loop.
-	announceTimeout = 100 * time.Millisecond
+	// fleetRefusalPeriod is how long all members remember a crash. It is the same as in
+	// the table of the instance that observed the crash.
+	fleetRefusalPeriod = 10 * time.Minute
+	// fleetRefusalTimeout limits the wait for the control loop.
+	fleetRefusalTimeout = 100 * time.Millisecond
 )
 
-// poison joins the stops that this instance saw with those that others announced.
+// poisonTracker combines the crashes that this instance observed with those that other
+// instances have reported.
 //
-// Failure: a caller sends a request that stops each engine again through another
-// entry, and each entry counts from nothing. It would show as engines dying one
-// after the other. Stops are announced with heartbeats, so that the second one
-// counts as the second wherever it happens.
-type poison struct {
-	table   *claim.Poison
+// A caller may retry a request that crashes engines through another instance. If each
+// instance counted only its own crashes, the request could crash one engine after the
+// other. Crashes are therefore sent to all members with the heartbeats, so that the
+// second crash is recognised on every instance.
+type poisonTracker struct {
+	local   *claim.Poison
 	members *member.Runtime
 }
 
-func firstStop(d claim.Digest) string  { return string(d) + "/1" }
-func secondStop(d claim.Digest) string { return string(d) + "/2" }
+func firstCrashKey(d claim.Digest) string  { return string(d) + "/1" }
+func secondCrashKey(d claim.Digest) string { return string(d) + "/2" }
 
-// Allow returns a refusal if the request has stopped too many backend servers.
-func (p poison) Allow(now time.Time, d claim.Digest) error {
-	if err := p.table.Allow(now, d); err != nil {
+// Allow returns a refusal if the request has crashed too many backend servers.
+func (p poisonTracker) Allow(now time.Time, d claim.Digest) error {
+	if err := p.local.Allow(now, d); err != nil {
 		return err
 	}
-	if until := p.members.Status().Fleet.Refused[secondStop(d)]; now.Before(until) {
+	if until := p.members.Status().Fleet.Refused[secondCrashKey(d)]; now.Before(until) {
 		return galenastair.Refuse(galenastair.ErrPoison, until.Sub(now), "")
 	}
 	return nil
 }
 
-// Stopped counts one more stop and reports whether one more server may try.
-func (p poison) Stopped(now time.Time, d claim.Digest) bool {
-	again := p.table.Stopped(now, d)
-	if p.members.Status().Fleet.Refuses(firstStop(d), now) {
-		again = false
+// RecordCrash counts a crash and reports whether the request may be retried.
+func (p poisonTracker) Stopped(now time.Time, d claim.Digest) bool {
+	retry := p.local.Stopped(now, d)
+	if p.members.Status().Fleet.Refuses(firstCrashKey(d), now) {
+		retry = false
 	}
-	mark := secondStop(d)
-	if again {
-		mark = firstStop(d)
+	key := secondCrashKey(d)
+	if retry {
+		key = firstCrashKey(d)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), announceTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), fleetRefusalTimeout)
 	defer cancel()
-	// a member that cannot announce now has lost its control loop, and its lease with it
-	_ = p.members.Announce(ctx, mark, announceTime)
-	return again
+	// The error can be ignored: a member whose control loop does not respond has lost
+	// its lease as well.
+	_ = p.members.Announce(ctx, key, fleetRefusalPeriod)
+	return retry
 }
--- a/entry/report.go
+++ b/entry/report.go
@@ -11,30 +11,32 @@
 )
 
 const (
-	// eventsPeriod is how often cache events are read; they come late anyway.
-	eventsPeriod = time.Second
-	// eventsEngines is up to how many engines cache events are read at all. One
-	// event takes some 60 bytes and every prompt makes several: at the target they
-	// alone would be over the 6 KB/s of a node, and an entry's own sends tell most
-	// of what they do.
-	eventsEngines = 30
-	// eventsTimeout keeps a frozen engine from holding up the others for long.
-	eventsTimeout = 500 * time.Millisecond
+	// cacheEventsPeriod is the interval at which cache events are read. The events
+	// arrive with a delay anyway, so a shorter interval would gain little.
+	cacheEventsPeriod = time.Second
+	// cacheEventsMaxEngines is the fleet size above which cache events are not read. An
+	// event takes about 60 bytes and every prompt causes several, so that at the target
+	// scale they alone would exceed the 6 KB/s of a node. An instance can derive most
+	// of them from the requests that it sends itself.
+	cacheEventsMaxEngines = 30
+	// cacheEventsTimeout limits how long an unresponsive engine delays the reads from
+	// the others.
+	cacheEventsTimeout = 500 * time.Millisecond
 )
 
-// reportSlot is the slot of an engine's reader in the ranking of members.
-const reportSlot = 0
+// reportReaderSlot is the slot of the report reader in the ranking of members for an engine.
+const reportReaderSlot = 0
 
-func readerKey(id galenastair.BackendServerID) string { return "report:" + string(id) }
+func reportKey(id galenastair.BackendServerID) string { return "report:" + string(id) }
 
-// reportDuties tells which member reads which engine.
-type reportDuties struct{ s *member.Status }
+// reportAssignment tells the reporter which member reads the reports of which engine.
+type reportAssignment struct{ s *member.Status }
 
 // Self returns this instance.
-func (d reportDuties) Self() galenastair.Peer { return peerOf(d.s.Self) }
+func (d reportAssignment) Self() galenastair.Peer { return peerOf(d.s.Self) }
 
-// Members lists all instances of the present epoch.
-func (d reportDuties) Members() []galenastair.Peer {
+// Members returns all members of the current epoch.
+func (d reportAssignment) Members() []galenastair.Peer {
 	peers := make([]galenastair.Peer, len(d.s.View.Ring))
 	for i, m := range d.s.View.Ring {
 		peers[i] = peerOf(m)
@@ -42,35 +44,35 @@
 	return peers
 }
 
-// Epoch returns the present epoch.
-func (d reportDuties) Epoch() galenastair.Epoch { return d.s.View.Epoch }
+// Epoch returns the current epoch.
+func (d reportAssignment) Epoch() galenastair.Epoch { return d.s.View.Epoch }
 
-// Reader returns the member that reads an engine.
-func (d reportDuties) Reader(id galenastair.BackendServerID) (galenastair.Peer, bool) {
-	m, ok := d.s.Owner(readerKey(id), reportSlot)
+// Reader returns the member that reads the reports of an engine.
+func (d reportAssignment) Reader(id galenastair.BackendServerID) (galenastair.Peer, bool) {
+	m, ok := d.s.Owner(reportKey(id), reportReaderSlot)
 	return peerOf(m), ok
 }
 
 func (e *Entry) newReporter() *report.Reporter {
 	return report.New(report.Ports{
 		Engine:  e.engine,
-		Duties:  func() report.Duties { return reportDuties{e.members.Status()} },
-		Servers: e.fleet.engines,
-		Deliver: e.deliver,
+		Duties:  func() report.Duties { return reportAssignment{e.members.Status()} },
+		Servers: e.fleet.engineServers,
+		Deliver: e.handleReport,
 	}, report.WithLogger(e.logger), report.WithShortest(e.settings.Engines.ReportPeriod))
 }
 
-// deliver hands a report to all that decide by it.
-func (e *Entry) deliver(r galenastair.EngineReport) {
-	e.fleet.report(r, time.Now())
+// handleReport passes an engine's report to the status page, the dispatcher and the leader.
+func (e *Entry) handleReport(r galenastair.EngineReport) {
+	e.fleet.setReport(r, time.Now())
 	e.dispatcher.Report(r)
-	// the loop has ended if it refuses, and the instance with it
+	// An error means that the control loop, and thus the instance, has stopped.
 	_ = e.leader.Report(context.Background(), r)
 }
 
-// engines lists the engines as the reporter needs them.
-func (f *fleet) engines() []report.Server {
-	listed := f.role(galenastair.RoleEngine)
+// engineServers returns the listed engines.
+func (f *fleet) engineServers() []report.Server {
+	listed := f.withRole(galenastair.RoleEngine)
 	out := make([]report.Server, len(listed))
 	for i, l := range listed {
 		out[i] = report.Server{ID: galenastair.BackendServerID(l.ID), Address: l.Address}
@@ -78,30 +80,31 @@
 	return out
 }
 
-// followCacheEvents reads the cache events of the engines whose reader this is,
-// and tells the leader which engines this instance finds slow.
-func (e *Entry) followCacheEvents(ctx context.Context) error {
+// pollCacheEvents periodically reads the cache events of the engines that are assigned
+// to this instance, and reports unhealthy engines to the leader.
+func (e *Entry) pollCacheEvents(ctx context.Context) error {
 	after := map[galenastair.BackendServerID]int64{}
-	for timer.Wait(ctx, eventsPeriod) {
+	for timer.Wait(ctx, cacheEventsPeriod) {
 		_ = e.leader.SetSlow(ctx, e.dispatcher.Slow())
-		servers := e.fleet.engines()
-		if len(servers) > eventsEngines {
+		servers := e.fleet.engineServers()
+		if len(servers) > cacheEventsMaxEngines {
 			continue
 		}
-		duties := reportDuties{e.members.Status()}
+		assignment := reportAssignment{e.members.Status()}
 		for _, s := range servers {
-			if reader, ok := duties.Reader(s.ID); ok && reader.ID == e.settings.Instance.ID {
-				after[s.ID] = e.readCacheEvents(ctx, s, after[s.ID])
+			if reader, ok := assignment.Reader(s.ID); ok && reader.ID == e.settings.Instance.ID {
+				after[s.ID] = e.fetchCacheEvents(ctx, s, after[s.ID])
 			}
 		}
 	}
 	return ctx.Err()
 }
 
-// readCacheEvents returns the sequence number to go on from. An engine that does
-// not answer may have died, and a new process counts from the start.
-func (e *Entry) readCacheEvents(ctx context.Context, s report.Server, after int64) int64 {
-	ctx, cancel := context.WithTimeout(ctx, eventsTimeout)
+// fetchCacheEvents reads the cache events after a sequence number and returns the number
+// to continue from. That is 0 if the engine does not respond, because it may have been
+// restarted, and a new process numbers its events from the start.
+func (e *Entry) fetchCacheEvents(ctx context.Context, s report.Server, after int64) int64 {
+	ctx, cancel := context.WithTimeout(ctx, cacheEventsTimeout)
 	defer cancel()
 	events, err := e.engine.CacheEvents(ctx, s.Address, after)
 	if err != nil {
--- a/entry/status.go
+++ b/entry/status.go
@@ -8,10 +8,10 @@
 	"galenastair/operator"
 )
 
-// Ready returns nil if the instance takes requests, else why not.
+// Ready returns nil if the instance accepts requests, or the reason why it does not.
 func (e *Entry) Ready() error {
 	switch {
-	case e.stopping.begun():
+	case e.shutdown.started():
 		return galenastair.ErrStopping
 	case !e.follower.Ready():
 		return galenastair.ErrConfiguration
@@ -22,7 +22,7 @@
 	}
 }
 
-// Status returns what /status shows.
+// Status returns the content of /status.
 func (e *Entry) Status() operator.Status {
 	now := time.Now()
 	in := e.settings.Instance
@@ -75,10 +75,10 @@
 	return out
 }
 
-func addReport(b *operator.BackendServerStatus, r reported, now time.Time) {
+func addReport(b *operator.BackendServerStatus, r receivedReport, now time.Time) {
 	b.MemoryTotal, b.MemoryUsed = r.report.MemoryTotal, r.report.MemoryUsed
 	b.Running, b.Waiting = r.report.Running, r.report.Waiting
-	b.ReportAge = r.report.Age + now.Sub(r.at)
+	b.ReportAge = r.report.Age + now.Sub(r.receivedAt)
 	for _, l := range r.report.Loaded {
 		switch l.State {
 		case galenastair.Ready:
--- a/entry/stop.go
+++ b/entry/stop.go
@@ -5,18 +5,19 @@
 	"sync/atomic"
 )
 
-// stopping knows whether the instance has been told to stop.
-type stopping struct{ told atomic.Bool }
+// shutdownState records whether the shutdown has started.
+type shutdownState struct{ requested atomic.Bool }
 
-func (s *stopping) begin()      { s.told.Store(true) }
-func (s *stopping) begun() bool { return s.told.Load() }
+func (s *shutdownState) start()        { s.requested.Store(true) }
+func (s *shutdownState) started() bool { return s.requested.Load() }
 
-// sayClose tells a caller on a kept connection to open its next one elsewhere once
-// the instance is stopping: Shutdown closes idle connections, and a request
-// written to one in that moment would be cut.
-func (e *Entry) sayClose(next http.Handler) http.Handler {
+// closeWhenStopping sets "Connection: close" on responses once the shutdown has started,
+// so that callers with a keep-alive connection open their next one to another instance.
+// The shutdown closes idle connections, and a request sent on one at that moment
+// would be lost.
+func (e *Entry) closeWhenStopping(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if e.stopping.begun() {
+		if e.shutdown.started() {
 			w.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(w, r)
