--- a/contract/canonical.go
+++ b/contract/canonical.go
@@ -6,22 +6,22 @@
 	"strings"
 )
 
-// Canonical returns the one text of the contract: equal contracts have equal texts.
+// Canonical returns the canonical file of the contract; equal contracts have equal files.
 func (c Contract) Canonical() []byte {
 	c = c.Clone()
 	c.Sort()
 	var b bytes.Buffer
 	b.WriteString("[" + section + "]\n")
-	entry(&b, keyOrganisation, string(c.Organisation))
-	entry(&b, keyRate, fmt.Sprint(int64(c.Rate)))
-	entry(&b, keyBurst, fmt.Sprint(int64(c.Burst)))
-	entry(&b, keyModels, join(c.Models))
-	entry(&b, keyServices, join(c.Services))
-	entry(&b, keyKeyHashes, join(c.KeyHashes))
+	writeEntry(&b, keyOrganisation, string(c.Organisation))
+	writeEntry(&b, keyRate, fmt.Sprint(int64(c.Rate)))
+	writeEntry(&b, keyBurst, fmt.Sprint(int64(c.Burst)))
+	writeEntry(&b, keyModels, join(c.Models))
+	writeEntry(&b, keyServices, join(c.Services))
+	writeEntry(&b, keyKeyHashes, join(c.KeyHashes))
 	return b.Bytes()
 }
 
-func entry(b *bytes.Buffer, key, value string) {
+func writeEntry(b *bytes.Buffer, key, value string) {
 	if value != "" {
 		fmt.Fprintf(b, "%s = %s\n", key, value)
 	}
--- a/contract/contract.go
+++ b/contract/contract.go
@@ -6,7 +6,7 @@
 	"galenastair"
 )
 
-// Contract is what one organisation may use, how much of it, and by which keys.
+// Contract is what an organisation may use, at which rate, and with which keys.
 type Contract struct {
 	Organisation galenastair.Organisation
 	KeyHashes    []galenastair.KeyHash
@@ -16,19 +16,21 @@
 	Services     []galenastair.ServiceName
 }
 
-// PermitsModel tells whether the contract lets its organisation call the model.
+// PermitsModel reports whether the organisation may call the model. The contract must be
+// sorted.
 func (c *Contract) PermitsModel(m galenastair.ModelName) bool {
 	_, found := slices.BinarySearch(c.Models, m)
 	return found
 }
 
-// PermitsService tells whether the contract lets its organisation call the plain service.
+// PermitsService reports whether the organisation may call the plain service. The contract
+// must be sorted.
 func (c *Contract) PermitsService(s galenastair.ServiceName) bool {
 	_, found := slices.BinarySearch(c.Services, s)
 	return found
 }
 
-// Clone returns a copy that shares no list with the contract.
+// Clone returns a deep copy of the contract.
 func (c *Contract) Clone() Contract {
 	d := *c
 	d.KeyHashes = slices.Clone(c.KeyHashes)
@@ -37,7 +39,7 @@
 	return d
 }
 
-// Sort puts the lists into their canonical order, which PermitsModel and PermitsService rely on.
+// Sort sorts the lists into canonical order, which PermitsModel and PermitsService rely on.
 func (c *Contract) Sort() {
 	slices.Sort(c.KeyHashes)
 	slices.Sort(c.Models)
--- a/contract/diff.go
+++ b/contract/diff.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// Diff returns one line for each difference, "- " for what goes and "+ " for what comes; it is empty for equal contracts.
+// Diff returns one line for each difference, with the prefix "- " for removed and "+ " for
+// added entries. It is empty for equal contracts.
 func Diff(old, new Contract) string {
 	var b strings.Builder
 	diffValue(&b, keyOrganisation, string(old.Organisation), string(new.Organisation))
@@ -31,12 +32,12 @@
 }
 
 func diffList[T ~string](b *strings.Builder, key string, old, new []T) {
-	diffEntries(b, "- ", key, old, new)
-	diffEntries(b, "+ ", key, new, old)
+	diffMissing(b, "- ", key, old, new)
+	diffMissing(b, "+ ", key, new, old)
 }
 
-// diffEntries writes the entries of list that other does not have.
-func diffEntries[T ~string](b *strings.Builder, mark, key string, list, other []T) {
+// diffMissing writes the entries of list that are missing in other.
+func diffMissing[T ~string](b *strings.Builder, mark, key string, list, other []T) {
 	sorted := slices.Sorted(slices.Values(list))
 	for _, v := range sorted {
 		if !slices.Contains(other, v) {
--- a/contract/name.go
+++ b/contract/name.go
@@ -13,29 +13,30 @@
 	"galenastair/inifile"
 )
 
-// lookalikeScripts are the alphabets whose letters are drawn alike; a name that
-// mixes two of them reads as another name. Others (Devanagari beside Latin, say)
-// mix freely, since no reader takes one for the other.
-var lookalikeScripts = []*unicode.RangeTable{unicode.Latin, unicode.Cyrillic, unicode.Greek, unicode.Armenian}
+// confusableScripts are scripts with letters that look alike. A name that mixes two of them can
+// be mistaken for another name. Other scripts, such as Devanagari and Latin, may be mixed,
+// since their letters are not confused.
+var confusableScripts = []*unicode.RangeTable{unicode.Latin, unicode.Cyrillic, unicode.Greek, unicode.Armenian}
 
-// lookalikes maps letters and digits, after case folding, to the Latin letter that they are drawn like.
-var lookalikes = strings.NewReplacer(
+// confusables maps letters and digits, after case folding, to the Latin letter that they look like.
+var confusables = strings.NewReplacer(
 	"а", "a", "в", "b", "с", "c", "ԁ", "d", "е", "e", "һ", "h", "і", "l", "ј", "j", "к", "k", "м", "m", "н", "h",
 	"о", "o", "р", "p", "ѕ", "s", "т", "t", "у", "y", "х", "x", "ѡ", "w", "ԛ", "q", "ѵ", "v",
 	"α", "a", "β", "b", "ε", "e", "η", "n", "ι", "l", "κ", "k", "ν", "v", "ο", "o", "ρ", "p", "τ", "t", "υ", "u", "χ", "x", "ω", "w",
 	"ı", "l", "i", "l", "1", "l", "0", "o", "օ", "o",
 )
 
-// Skeleton returns a form that is equal for names that readers take for one another.
+// Skeleton returns a string that is equal for visually confusable names, like the skeleton
+// of Unicode Technical Standard 39.
 func Skeleton(o galenastair.Organisation) string {
-	// taken apart, so that a mark on a letter does not hide the letter from the table
+	// decomposed, so that the table also matches letters with combining marks
 	s := norm.NFKD.String(string(o))
 	s = cases.Fold().String(s)
-	s = lookalikes.Replace(s)
+	s = confusables.Replace(s)
 	return strings.Map(dropSeparator, s)
 }
 
-// dropSeparator leaves out what readers overlook between letters.
+// dropSeparator removes separators, which readers overlook.
 func dropSeparator(r rune) rune {
 	if r == ' ' || r == '-' || r == '_' || r == '.' || r == '\'' {
 		return -1
@@ -43,44 +44,44 @@
 	return r
 }
 
-func checkOrganisation(o galenastair.Organisation) findings {
-	code, why := organisationFault(string(o))
+func checkOrganisation(o galenastair.Organisation) keyProblems {
+	code, message := organisationProblem(string(o))
 	if code == "" {
 		return nil
 	}
-	return findings{found(keyOrganisation, code, fmt.Sprintf("Organisation %q %s", string(o), why), acceptedOrg)}
+	return keyProblems{newKeyProblem(keyOrganisation, code, fmt.Sprintf("Organisation %q %s", string(o), message), acceptedOrganisation)}
 }
 
-// organisationFault returns the code of the first broken rule, and what breaks it.
-func organisationFault(s string) (inifile.Code, string) {
+// organisationProblem returns the code and the description of the first violated rule.
+func organisationProblem(s string) (inifile.Code, string) {
 	switch {
 	case s == "":
 		return NameForm, "is empty"
-	case len(s) > maxName:
+	case len(s) > maxNameBytes:
 		return inifile.TooLong, "is too long"
 	case !utf8.ValidString(s):
 		return inifile.NotUTF8, "is not UTF-8"
 	case !norm.NFC.IsNormalString(s):
 		return NameNotNFC, "is not in Unicode NFC"
 	case strings.TrimSpace(s) != s || strings.Contains(s, "  "):
-		return NameForm, "has spaces at an end or doubled"
-	case strings.ContainsFunc(s, notOrganisationRune):
-		return NameForm, "has a character that is not accepted"
+		return NameForm, "has leading, trailing or doubled spaces"
+	case strings.ContainsFunc(s, invalidOrganisationRune):
+		return NameForm, "contains an invalid character"
 	case Skeleton(galenastair.Organisation(s)) == "":
-		return NameForm, "has no letter or digit"
-	case scripts(s) > 1:
+		return NameForm, "contains no letter or digit"
+	case countConfusableScripts(s) > 1:
 		return NameMixesScript, "mixes letters of alphabets that look alike"
 	}
 	return "", ""
 }
 
-func notOrganisationRune(r rune) bool {
+func invalidOrganisationRune(r rune) bool {
 	return !unicode.In(r, unicode.L, unicode.M, unicode.Nd) && !strings.ContainsRune(" -_.&'()/+", r)
 }
 
-func scripts(s string) int {
+func countConfusableScripts(s string) int {
 	n := 0
-	for _, table := range lookalikeScripts {
+	for _, table := range confusableScripts {
 		if strings.ContainsFunc(s, func(r rune) bool { return unicode.Is(table, r) }) {
 			n++
 		}
@@ -88,14 +89,14 @@
 	return n
 }
 
-func checkPlainName[T ~string](key string, name T) findings {
-	if name != "" && len(name) <= maxName && !strings.ContainsFunc(string(name), notPlainRune) {
+func checkASCIIName[T ~string](key string, name T) keyProblems {
+	if name != "" && len(name) <= maxNameBytes && !strings.ContainsFunc(string(name), invalidASCIINameRune) {
 		return nil
 	}
-	return findings{found(key, NameForm, fmt.Sprintf("the name %q is not accepted", string(name)), acceptedPlain)}
+	return keyProblems{newKeyProblem(key, NameForm, fmt.Sprintf("invalid name %q", string(name)), acceptedASCIIName)}
 }
 
-func notPlainRune(r rune) bool {
+func invalidASCIINameRune(r rune) bool {
 	letter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z'
 	digit := r >= '0' && r <= '9'
 	return !letter && !digit && !strings.ContainsRune("-_.:/@", r)
--- a/contract/parse.go
+++ b/contract/parse.go
@@ -9,12 +9,12 @@
 	"galenastair/inifile"
 )
 
-// maxFile bounds a contract file; three full lists of the longest names are below it.
-const maxFile = 2 << 20
+// maxFileBytes bounds a contract file; three full lists of the longest names fit into it.
+const maxFileBytes = 2 << 20
 
 const section = "Contract"
 
-// keys of a contract file, in canonical order.
+// Keys of a contract file, in canonical order.
 const (
 	keyOrganisation = "Organisation"
 	keyRate         = "RateTokensPerSecond"
@@ -30,19 +30,19 @@
 	Required: []string{keyOrganisation, keyRate, keyBurst},
 }}
 
-// Parse reads a contract file; its error is an inifile.Problems that lists all that is wrong.
+// Parse parses a contract file. Its error is an inifile.Problems that lists all problems.
 func Parse(text []byte) (Contract, error) {
-	file, err := inifile.Read(text, schema, maxFile)
+	file, err := inifile.Read(text, schema, maxFileBytes)
 	if err != nil {
 		return Contract{}, err
 	}
 	p := parser{file: file}
 	c := p.contract()
-	// a number that cannot be read is said once, and not also to be out of range
-	if len(p.findings) == 0 {
-		p.findings = c.check()
+	// do not report a malformed number again as out of range
+	if len(p.problems) == 0 {
+		p.problems = c.check()
 	}
-	if err := p.findings.at(file); err != nil {
+	if err := p.problems.toError(file); err != nil {
 		return Contract{}, err
 	}
 	c.Sort()
@@ -51,7 +51,7 @@
 
 type parser struct {
 	file     inifile.File
-	findings findings
+	problems keyProblems
 }
 
 func (p *parser) contract() Contract {
@@ -73,9 +73,9 @@
 func (p *parser) number(key string) int64 {
 	s := p.value(key)
 	n, err := strconv.ParseInt(s, 10, 64)
-	// only the one form that is also written is read: no sign, no leading zero
+	// accept only the canonical form: no sign, no leading zeros
 	if err != nil || strconv.FormatInt(n, 10) != s || n < 1 || n > MaxNumber {
-		p.findings = append(p.findings, found(key, NumberForm, fmt.Sprintf("%s is %q", key, s), acceptedNumber))
+		p.problems = append(p.problems, newKeyProblem(key, NumberForm, fmt.Sprintf("%s is %q", key, s), acceptedNumber))
 		return 0
 	}
 	return n
@@ -90,7 +90,7 @@
 	for part := range strings.SplitSeq(s, ",") {
 		part = strings.Trim(part, " \t")
 		if part == "" {
-			p.findings = append(p.findings, found(key, ListForm, key+" has an empty entry", acceptedList))
+			p.problems = append(p.problems, newKeyProblem(key, ListForm, key+" has an empty entry", acceptedList))
 			continue
 		}
 		values = append(values, T(part))
--- a/contract/parse_test.go
+++ b/contract/parse_test.go
@@ -12,7 +12,7 @@
 	"galenastair/inifile"
 )
 
-const good = `# Himalbyte, nursery 12
+const validContract = `# Himalbyte, nursery 12
 [Contract]
 Organisation = शिशु घर 12
 RateTokensPerSecond = 2000
@@ -24,7 +24,7 @@
 
 func TestParse(t *testing.T) {
 	is := is.New(t)
-	c, err := Parse([]byte(good))
+	c, err := Parse([]byte(validContract))
 	is.NoErr(err)
 	is.Equal(c.Organisation, galenastair.Organisation("शिशु घर 12"))
 	is.Equal(c.Rate, galenastair.TokensPerSecond(2000))
@@ -32,17 +32,16 @@
 	is.True(c.PermitsModel("diary-ne") && !c.PermitsModel("dia"))
 	is.True(c.PermitsService("notices") && !c.PermitsService("diary"))
 	is.Equal(c.KeyHashes, []galenastair.KeyHash{galenastair.HashKey("test")})
-	windows, err := Parse([]byte(strings.ReplaceAll(good, "\n", "\r\n")))
+	windows, err := Parse([]byte(strings.ReplaceAll(validContract, "\n", "\r\n")))
 	is.NoErr(err)
 	is.Equal(windows.Canonical(), c.Canonical())
-	otherOrder, err := Parse([]byte(strings.Replace(good, "diary, diary-ne", "diary-ne, diary", 1)))
+	otherOrder, err := Parse([]byte(strings.Replace(validContract, "diary, diary-ne", "diary-ne, diary", 1)))
 	is.NoErr(err)
 	is.Equal(otherOrder, c)
 }
 
-// Each line is a way in which operators of different languages would mean
-// different things. Seen failing with each check of parse.go, validate.go and
-// name.go switched off.
+// Each case is a notation that operators with different locales read differently, or a
+// mistake in the file. Fails if any check of parse.go, validate.go or name.go is removed.
 func TestParseRefuses(t *testing.T) {
 	tests := []struct {
 		old, new string
@@ -84,7 +83,7 @@
 	for _, tt := range tests {
 		t.Run(tt.new, func(t *testing.T) {
 			is := is.New(t)
-			_, err := Parse([]byte(strings.Replace(good, tt.old, tt.new, 1)))
+			_, err := Parse([]byte(strings.Replace(validContract, tt.old, tt.new, 1)))
 			is.True(errors.Is(err, ErrInvalid))
 			var ps inifile.Problems
 			is.True(errors.As(err, &ps))
@@ -105,18 +104,18 @@
 
 func TestDiff(t *testing.T) {
 	is := is.New(t)
-	c, err := Parse([]byte(good))
+	c, err := Parse([]byte(validContract))
 	is.NoErr(err)
 	d := c.Clone()
 	d.Rate = 3000
 	d.Models[0] = "weekly"
-	is.True(c.PermitsModel("diary")) // a clone shares nothing
+	is.True(c.PermitsModel("diary")) // the clone is a deep copy
 	is.Equal(Diff(c, c), "")
 	is.Equal(Diff(c, d), "- RateTokensPerSecond = 2000\n+ RateTokensPerSecond = 3000\n- Models: diary\n+ Models: weekly\n")
 	is.True(strings.HasPrefix(Diff(Contract{}, c), "+ Organisation"))
 }
 
-// Seen failing with each step of Skeleton left out.
+// Fails if any step of Skeleton is left out.
 func TestSkeleton(t *testing.T) {
 	is := is.New(t)
 	is.Equal(Skeleton("Nursery-10"), Skeleton("nursery lO"))
@@ -127,9 +126,9 @@
 	is.True(Skeleton("शिशु") != Skeleton("शिशा"))
 }
 
-// FuzzParse looks for texts that are read but whose canonical form is not the same contract.
+// FuzzParse looks for files that parse but whose canonical form is a different contract.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validContract))
 	f.Add([]byte("[Contract]\nOrganisation = a\nRateTokensPerSecond = 1\nBurstTokens = 1\nModels = %(x)s\n"))
 	f.Add([]byte("\ufeff[Contract]\nOrganisation = a \\\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -143,7 +142,7 @@
 		}
 		again, err := Parse(c.Canonical())
 		if err != nil {
-			t.Fatalf("canonical form refused: %v\n%s", err, c.Canonical())
+			t.Fatalf("canonical form rejected: %v\n%s", err, c.Canonical())
 		}
 		if d := Diff(c, again); d != "" || string(again.Canonical()) != string(c.Canonical()) {
 			t.Fatalf("canonical form differs: %s", d)
--- a/contract/problem.go
+++ b/contract/problem.go
@@ -2,10 +2,11 @@
 
 import "galenastair/inifile"
 
-// ErrInvalid says that a contract or its file breaks a rule; the error's text lists every problem.
+// ErrInvalid is the error of an invalid contract or contract file; the error's text lists
+// all problems.
 var ErrInvalid = inifile.ErrInvalid
 
-// The codes of problems that contracts have beside those of every file.
+// Problem codes of contracts, in addition to those of inifile.
 const (
 	NumberForm      inifile.Code = "NumberForm"
 	NumberRange     inifile.Code = "NumberRange"
@@ -18,26 +19,27 @@
 	ListEmpty       inifile.Code = "ListEmpty"
 )
 
-// finding is a problem and the key that it is about.
-type finding struct {
+// keyProblem is a problem of one key.
+type keyProblem struct {
 	inifile.Problem
 	key string
 }
 
-func found(key string, c inifile.Code, message, accepted string) finding {
-	return finding{inifile.Problem{Code: c, Message: message, Accepted: accepted}, key}
+func newKeyProblem(key string, c inifile.Code, message, accepted string) keyProblem {
+	return keyProblem{inifile.Problem{Code: c, Message: message, Accepted: accepted}, key}
 }
 
-type findings []finding
+type keyProblems []keyProblem
 
-// at returns the problems with the line of each one's key; without a file there are none.
-func (f findings) at(file inifile.File) error {
-	var ps inifile.Problems
-	for _, one := range f {
-		if v, ok := file.Value(section, one.key); ok {
-			one.Line = v.Line
+// toError returns the problems as an error, with the line of each problem's key if the file
+// contains the key. It returns nil if there are no problems.
+func (ps keyProblems) toError(file inifile.File) error {
+	var problems inifile.Problems
+	for _, p := range ps {
+		if v, ok := file.Value(section, p.key); ok {
+			p.Line = v.Line
 		}
-		ps = append(ps, one.Problem)
+		problems = append(problems, p.Problem)
 	}
-	return ps.Err()
+	return problems.Err()
 }
