--- a/inifile/doc.go
+++ b/inifile/doc.go
@@ -1,5 +1,5 @@
-// Package inifile reads INI files whose sections and keys are known beforehand.
-// It refuses what an INI library lets pass or merges silently: unknown and
-// doubled sections and keys, quotes, other encodings, lines that are no entry.
-// Each problem has a stable code, a line and the accepted form.
+// Package inifile parses INI files according to a schema of sections and keys. It rejects
+// what INI libraries accept or merge silently: unknown or duplicate sections and keys,
+// quoted values, encodings other than UTF-8, and lines that are not entries. Each problem
+// has a stable code, a line number and the accepted form.
 package inifile
--- a/inifile/file.go
+++ b/inifile/file.go
@@ -4,58 +4,58 @@
 	"gopkg.in/ini.v1"
 )
 
-// Section names one section, its keys and those that must be there.
+// Section is the schema of one section: its name, keys and required keys.
 type Section struct {
 	Name     string
 	Keys     []string
 	Required []string
 }
 
-// Schema is what a file may hold.
+// Schema lists the sections that a file may contain.
 type Schema []Section
 
-// Value is what a key was given, and where.
+// Value is the value of a key and the line that it is on.
 type Value struct {
 	Text string
 	Line int
 }
 
-// File is a read file; keys that it does not hold have no value.
+// File is a parsed file.
 type File struct {
-	values map[place]Value
+	values map[keyPath]Value
 }
 
-type place struct{ section, key string }
+type keyPath struct{ section, key string }
 
-// options switch off every second way of writing a value that the library knows.
-var options = ini.LoadOptions{
+// iniOptions disable the library's alternative notations for values.
+var iniOptions = ini.LoadOptions{
 	IgnoreContinuation:      true,
 	IgnoreInlineComment:     true,
 	PreserveSurroundedQuote: true,
 	KeyValueDelimiters:      "=",
 }
 
-// Read reads a text by its schema; its error is a Problems that lists all that is wrong.
+// Parse parses a text according to a schema. Its error is a Problems that lists all problems.
 func Read(text []byte, schema Schema, maxBytes int) (File, error) {
 	lines, problems := scan(text, schema, maxBytes)
 	if len(problems) > 0 {
 		return File{}, problems
 	}
-	source, err := ini.LoadSources(options, text)
+	source, err := ini.LoadSources(iniOptions, text)
 	if err != nil {
 		return File{}, Problems{{Code: NotKeyValue, Message: err.Error(), Accepted: "KEY = VALUE"}}
 	}
-	f := File{values: make(map[place]Value, len(lines))}
+	f := File{values: make(map[keyPath]Value, len(lines))}
 	for at, line := range lines {
-		// Value, and not String: the latter would expand %(name)s
+		// Value does not expand %(name)s, unlike String
 		text := source.Section(at.section).Key(at.key).Value()
 		f.values[at] = Value{Text: text, Line: line}
 	}
 	return f, nil
 }
 
-// Value returns what a key was given.
+// Value returns the value of a key; it returns false if the file does not contain the key.
 func (f File) Value(section, key string) (Value, bool) {
-	v, ok := f.values[place{section, key}]
+	v, ok := f.values[keyPath{section, key}]
 	return v, ok
 }
--- a/inifile/file_test.go
+++ b/inifile/file_test.go
@@ -13,11 +13,11 @@
 	{Name: "Stop", Keys: []string{"Notice"}},
 }
 
-// A value must reach every reader as its writer wrote it; the library expands
-// names in percent signs, joins lines, cuts comments off, and takes a colon for =.
-// Seen failing with IgnoreContinuation and IgnoreInlineComment switched off, and
-// with String in place of Value. The scanner refuses what the other two options
-// are for before the library sees it.
+// Values must be returned exactly as written. By default, the library expands %(name)s,
+// joins continued lines, strips inline comments, and accepts a colon in place of =.
+// Fails without IgnoreContinuation or IgnoreInlineComment, and with String in place of
+// Value. The scanner rejects the notations that the other two options disable before the
+// library parses the file.
 func TestValuesAreAsWritten(t *testing.T) {
 	for _, value := range []string{"a", `%(Zone)s`, `a \`, `a # b`, "a ; b", "a=b", "a:b", "é", "a  b", "[a]", "1,5", `a"b"`} {
 		t.Run(value, func(t *testing.T) {
@@ -33,8 +33,8 @@
 	}
 }
 
-// Seen failing with each case of the scanner left out in turn, and with the
-// value trimmed of ASCII spaces alone.
+// Fails if any case of the scanner is left out, or if only ASCII spaces are trimmed from a
+// value.
 func TestProblems(t *testing.T) {
 	for text, want := range map[string]struct {
 		code Code
@@ -73,9 +73,9 @@
 	is.NoErr(Problems{}.Err())
 }
 
-// The scanner and the library must read one text alike: a value that the one
-// checked and the other took for something else would be in force unchecked.
-// Seen failing with IgnoreContinuation and IgnoreInlineComment switched off.
+// The scanner and the library must parse a file alike. Otherwise the library could return
+// a value that the scanner has not checked.
+// Fails without IgnoreContinuation or IgnoreInlineComment.
 func FuzzRead(f *testing.F) {
 	f.Add("[Instance]\nID = a\\\nZone = b")
 	f.Add("[Instance]\nID = \u00a0a\v")
@@ -92,7 +92,7 @@
 		for at, v := range file.values {
 			_, written, _ := strings.Cut(lines[v.Line-1], "=")
 			if written = strings.TrimSpace(written); v.Text != written {
-				t.Fatalf("%s = %q was read as %q", at.key, written, v.Text)
+				t.Fatalf("%s = %q was parsed as %q", at.key, written, v.Text)
 			}
 		}
 	})
--- a/inifile/problem.go
+++ b/inifile/problem.go
@@ -7,13 +7,13 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrInvalid says that a file breaks a rule; the error's text lists every problem.
-var ErrInvalid = eris.New("the file is not valid")
+// ErrInvalid is the error of an invalid file; the error's text lists all problems.
+var ErrInvalid = eris.New("invalid file")
 
-// Code is the stable name of a problem, the same in every language and version.
+// Code is the stable identifier of a problem, independent of language and version.
 type Code string
 
-// The codes of problems that every file can have.
+// Problem codes that apply to every file.
 const (
 	NotUTF8        Code = "NotUTF8"
 	NotKeyValue    Code = "NotKeyValue"
@@ -28,16 +28,16 @@
 	ValueForm      Code = "ValueForm"
 )
 
-// Problem is one broken rule: where, what, and which form is accepted.
+// Problem is one violated rule, with its line, a message and the accepted form.
 type Problem struct {
 	Code Code
-	// Line counts from 1; it is 0 where the text did not come from a file.
+	// Line is 1-based; it is 0 for a problem of the whole file, or if no file was parsed.
 	Line     int
 	Message  string
 	Accepted string
 }
 
-// String returns the problem on one line.
+// String formats the problem on one line.
 func (p Problem) String() string {
 	at := ""
 	if p.Line > 0 {
@@ -46,7 +46,7 @@
 	return fmt.Sprintf("%s%s: %s; accepted: %s", at, p.Code, p.Message, p.Accepted)
 }
 
-// Problems is the error that lists every problem of a file.
+// Problems is an error that lists all problems of a file.
 type Problems []Problem
 
 // Error returns one line for each problem.
@@ -58,10 +58,11 @@
 	return strings.Join(lines, "\n")
 }
 
-// Is makes errors.Is(err, ErrInvalid) hold.
+// Is reports whether target is ErrInvalid.
 func (p Problems) Is(target error) bool { return target == ErrInvalid }
 
-// Err returns nil where there is no problem, so that no empty list becomes an error.
+// Err returns the problems as an error, or nil if there are none; an empty Problems in an
+// error interface would not be nil.
 func (p Problems) Err() error {
 	if len(p) == 0 {
 		return nil
--- a/inifile/scan.go
+++ b/inifile/scan.go
@@ -7,101 +7,102 @@
 	"unicode/utf8"
 )
 
-// scanner finds the line of each key.
+// scanner records the line of each key and the problems of a file.
 type scanner struct {
-	schema   Schema
-	section  *Section
-	sections map[string]int
-	lines    map[place]int
-	problems Problems
+	schema       Schema
+	section      *Section
+	sectionLines map[string]int
+	keyLines     map[keyPath]int
+	problems     Problems
 }
 
-func scan(text []byte, schema Schema, maxBytes int) (map[place]int, Problems) {
+func scan(text []byte, schema Schema, maxBytes int) (map[keyPath]int, Problems) {
 	if len(text) > maxBytes {
-		return nil, Problems{{Code: TooLong, Message: "the file is too long", Accepted: fmt.Sprintf("at most %d bytes", maxBytes)}}
+		return nil, Problems{{Code: TooLong, Message: "file is too long", Accepted: fmt.Sprintf("at most %d bytes", maxBytes)}}
 	}
 	if !utf8.Valid(text) || slices.Contains(text, 0) {
-		return nil, Problems{{Code: NotUTF8, Message: "the file is not UTF-8 text", Accepted: "UTF-8"}}
+		return nil, Problems{{Code: NotUTF8, Message: "file is not UTF-8 text", Accepted: "UTF-8"}}
 	}
-	s := scanner{schema: schema, sections: map[string]int{}, lines: map[place]int{}}
+	s := scanner{schema: schema, sectionLines: map[string]int{}, keyLines: map[keyPath]int{}}
 	n := 0
 	for line := range strings.SplitSeq(string(text), "\n") {
 		n++
-		s.line(n, strings.Trim(line, " \t\r"))
+		s.scanLine(n, strings.Trim(line, " \t\r"))
 	}
-	s.finish()
-	return s.lines, s.problems
+	s.checkRequiredKeys()
+	return s.keyLines, s.problems
 }
 
-func (s *scanner) refuse(c Code, line int, accepted, format string, args ...any) {
+func (s *scanner) addProblem(c Code, line int, accepted, format string, args ...any) {
 	s.problems = append(s.problems, Problem{Code: c, Line: line, Message: fmt.Sprintf(format, args...), Accepted: accepted})
 }
 
-func (s *scanner) line(n int, line string) {
+func (s *scanner) scanLine(n int, line string) {
 	switch {
 	case line == "" || line[0] == '#' || line[0] == ';':
 	case line[0] == '[':
-		s.header(n, line)
+		s.scanHeader(n, line)
 	default:
-		s.entry(n, line)
+		s.scanEntry(n, line)
 	}
 }
 
-func (s *scanner) header(n int, line string) {
+func (s *scanner) scanHeader(n int, line string) {
 	name := strings.TrimSuffix(strings.TrimPrefix(line, "["), "]")
 	i := slices.IndexFunc(s.schema, func(c Section) bool { return line == "["+c.Name+"]" })
 	switch {
 	case i < 0:
-		s.refuse(SectionUnknown, n, s.schema.accepted(), "the section %q is not known", name)
-	case s.sections[name] != 0:
-		s.refuse(SectionDoubled, n, "each section once", "the section [%s] stands on line %d already", name, s.sections[name])
+		s.addProblem(SectionUnknown, n, s.schema.sectionList(), "unknown section %q", name)
+	case s.sectionLines[name] != 0:
+		s.addProblem(SectionDoubled, n, "each section once", "section [%s] is already on line %d", name, s.sectionLines[name])
 	default:
 		s.section = &s.schema[i]
-		s.sections[name] = n
+		s.sectionLines[name] = n
 	}
 }
 
-func (s *scanner) entry(n int, line string) {
+func (s *scanner) scanEntry(n int, line string) {
 	key, value, found := strings.Cut(line, "=")
 	key = strings.TrimRight(key, " \t")
-	// as the library does: a no-break space must not hide a quotation mark
+	// trim all Unicode spaces, as the library does; otherwise a no-break space would hide a
+	// quotation mark
 	value = strings.TrimSpace(value)
 	switch {
 	case !found:
-		s.refuse(NotKeyValue, n, "KEY = VALUE", "the line has no =")
+		s.addProblem(NotKeyValue, n, "KEY = VALUE", "line has no =")
 	case s.section == nil:
-		s.refuse(SectionMissing, n, s.schema.accepted(), "the key %s stands before the first section", key)
+		s.addProblem(SectionMissing, n, s.schema.sectionList(), "key %s is before the first section", key)
 	case !slices.Contains(s.section.Keys, key):
-		s.refuse(KeyUnknown, n, strings.Join(s.section.Keys, ", "), "the key %q is not known in [%s]", key, s.section.Name)
-	case s.lines[place{s.section.Name, key}] != 0:
-		s.refuse(KeyDoubled, n, "each key once", "the key %s stands on line %d already", key, s.lines[place{s.section.Name, key}])
+		s.addProblem(KeyUnknown, n, strings.Join(s.section.Keys, ", "), "unknown key %q in [%s]", key, s.section.Name)
+	case s.keyLines[keyPath{s.section.Name, key}] != 0:
+		s.addProblem(KeyDoubled, n, "each key once", "key %s is already on line %d", key, s.keyLines[keyPath{s.section.Name, key}])
 	case value != "" && strings.ContainsRune("\"'`", rune(value[0])):
-		s.refuse(ValueQuoted, n, "the value without quotation marks", "the value of %s is quoted", key)
+		s.addProblem(ValueQuoted, n, "the value without quotation marks", "value of %s is quoted", key)
 	default:
-		s.lines[place{s.section.Name, key}] = n
+		s.keyLines[keyPath{s.section.Name, key}] = n
 	}
 }
 
-func (s *scanner) finish() {
+func (s *scanner) checkRequiredKeys() {
 	if len(s.problems) > 0 {
 		return
 	}
 	for _, section := range s.schema {
 		for _, key := range section.Required {
-			s.require(section, key)
+			s.checkRequiredKey(section, key)
 		}
 	}
 }
 
-func (s *scanner) require(section Section, key string) {
-	if s.lines[place{section.Name, key}] != 0 {
+func (s *scanner) checkRequiredKey(section Section, key string) {
+	if s.keyLines[keyPath{section.Name, key}] != 0 {
 		return
 	}
-	line := s.sections[section.Name]
-	s.refuse(KeyMissing, max(line, 1), fmt.Sprintf("%s = VALUE in [%s]", key, section.Name), "the key %s of [%s] is missing", key, section.Name)
+	line := s.sectionLines[section.Name]
+	s.addProblem(KeyMissing, max(line, 1), fmt.Sprintf("%s = VALUE in [%s]", key, section.Name), "key %s of [%s] is missing", key, section.Name)
 }
 
-func (s Schema) accepted() string {
+func (s Schema) sectionList() string {
 	names := make([]string, len(s))
 	for i, section := range s {
 		names[i] = "[" + section.Name + "]"
