--- a/httpserve/conns.go
+++ b/httpserve/conns.go
@@ -12,65 +12,65 @@
 	"galenastair/timer"
 )
 
-// The states of a caller's connection.
+// States of a connection.
 const (
-	connQuiet int32 = iota
-	connBusy
+	connIdle int32 = iota
+	connActive
 	connClosed
 )
 
-// conn is one connection of a caller.
+// conn is an accepted connection and its state.
 type conn struct {
 	net.Conn
 	state  atomic.Int32
 	opened time.Time
-	// kept says that it has carried a request.
-	kept atomic.Bool
-	// cancel ends the request under way; nil before the first.
+	// used is set once the connection has served a request.
+	used atomic.Bool
+	// cancel cancels the current request. It is nil before the first one.
 	cancel atomic.Pointer[context.CancelCauseFunc]
 }
 
-// begin marks the connection as busy with a request that has been read; false if it
-// has been closed meanwhile.
-func (c *conn) begin() bool { return c.state.CompareAndSwap(connQuiet, connBusy) }
+// setActive marks the connection as serving a request that has been read. It returns false if
+// the connection has been closed.
+func (c *conn) setActive() bool { return c.state.CompareAndSwap(connIdle, connActive) }
 
-func (c *conn) quiet() {
-	c.kept.Store(true)
-	c.state.CompareAndSwap(connBusy, connQuiet)
+func (c *conn) setIdle() {
+	c.used.Store(true)
+	c.state.CompareAndSwap(connActive, connIdle)
 }
 
-// closeQuiet closes the connection unless a request has been read on it.
-func (c *conn) closeQuiet() {
-	if c.state.CompareAndSwap(connQuiet, connClosed) {
+// closeIfIdle closes the connection unless it is serving a request.
+func (c *conn) closeIfIdle() {
+	if c.state.CompareAndSwap(connIdle, connClosed) {
 		_ = c.Close()
 	}
 }
 
-// Conns knows the callers' connections, so that a stop closes them between
-// requests only.
+// ConnTracker tracks the connections of a server, so that a shutdown closes them only between
+// requests.
 //
-// Failure: the server's own shutdown closes a connection as idle while a request that
-// has just come on it is being read. It shows as a request that reaches a backend
-// server and whose caller gets no answer. Here a connection is either closed or has a
-// request, never both: both sides change its state with one compare and swap.
+// http.Server.Shutdown can close a connection as idle while a request that has just arrived
+// on it is being read. The request then reaches a backend server, but its caller gets no
+// response. ConnTracker prevents this: a connection is either closed or serves a request,
+// since both are entered by a compare-and-swap from the idle state.
 type Conns struct {
 	mu    sync.Mutex
 	conns map[net.Conn]*conn
 }
 
-// NewConns returns a set that watches no server yet.
+// NewConnTracker returns a ConnTracker without a server.
 func NewConns() *Conns { return &Conns{conns: map[net.Conn]*conn{}} }
 
-// Watch follows the connections of a server, which must not serve yet.
+// Track tracks the connections of a server. It must be called before the server starts.
 func (s *Conns) Watch(server *http.Server) {
-	server.Handler = s.handler(server.Handler)
-	server.ConnContext, server.ConnState = s.context, s.changed
+	server.Handler = s.wrapHandler(server.Handler)
+	server.ConnContext, server.ConnState = s.connContext, s.connState
 }
 
 type connKey struct{}
 
-// context remembers the connection for its requests; it is the server's ConnContext.
-func (s *Conns) context(ctx context.Context, c net.Conn) context.Context {
+// connContext is the server's ConnContext hook. It adds the connection to the context of its requests.
+func (s *Conns) connContext(ctx context.Context, c net.Conn) context.Context {
 	k := &conn{Conn: c, opened: time.Now()}
 	s.mu.Lock()
 	s.conns[c] = k
@@ -78,29 +78,29 @@
 	return context.WithValue(ctx, connKey{}, k)
 }
 
-// changed follows the connection's state; it is the server's ConnState.
-func (s *Conns) changed(c net.Conn, state http.ConnState) {
+// connState is the server's ConnState hook.
+func (s *Conns) connState(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch state {
 	case http.StateIdle:
 		if k := s.conns[c]; k != nil {
-			k.quiet()
+			k.setIdle()
 		}
 	case http.StateClosed, http.StateHijacked:
 		delete(s.conns, c)
 	}
 }
 
-// handler lets only those requests through whose connection is not closed yet.
-func (s *Conns) handler(next http.Handler) http.Handler {
+// wrapHandler aborts requests whose connection has already been closed.
+func (s *Conns) wrapHandler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		k, ok := r.Context().Value(connKey{}).(*conn)
 		if !ok {
 			next.ServeHTTP(w, r)
 			return
 		}
-		if !k.begin() {
+		if !k.setActive() {
 			panic(http.ErrAbortHandler)
 		}
 		ctx, cancel := context.WithCancelCause(r.Context())
@@ -111,46 +111,47 @@
 }
 
 const (
-	// newFor is how old a connection without any request must be before a stop closes
-	// it: a caller's first request is on its way for some milliseconds.
-	newFor = 300 * time.Millisecond
-	// closePeriod is how often a stop looks for connections to close.
-	closePeriod = 20 * time.Millisecond
-	// lastAnswers is for the answers to requests that a stop ends, beyond its context.
-	lastAnswers = 150 * time.Millisecond
+	// newConnGracePeriod is the age at which a shutdown closes a connection that has had no
+	// request. A client's first request arrives some milliseconds after the connection.
+	newConnGracePeriod = 300 * time.Millisecond
+	// closeInterval is how often a shutdown looks for idle connections.
+	closeInterval = 20 * time.Millisecond
+	// finalResponseTimeout bounds the time, after the context of the shutdown has ended, for the
+	// responses to requests that the shutdown cancels.
+	finalResponseTimeout = 150 * time.Millisecond
 )
 
-// Drain closes quiet connections until none is left or the context ends. Then it ends the
-// requests that are still under way, and returns how many connections are left.
+// Drain closes idle connections until none is left or the context ends. Then it cancels the
+// requests that are still in progress, and returns the number of connections left.
 //
-// Failure guarded against: a request that waits at a backend server for longer than a stop
-// may take. Its connection was closed without a word, though it had waited for seconds; its
-// caller is better told, for it to ask elsewhere.
+// Without the cancellation, a request that waits at a backend server for longer than the
+// shutdown may take would have its connection closed without a response, after seconds of
+// waiting. With it, the caller gets a response and can repeat the request at another instance.
 func (s *Conns) Drain(ctx context.Context) int {
-	if left := s.closeUntil(ctx); left == 0 {
+	if left := s.closeIdleUntil(ctx); left == 0 {
 		return 0
 	}
-	for _, k := range s.list() {
+	for _, k := range s.snapshot() {
 		if cancel := k.cancel.Load(); cancel != nil {
 			(*cancel)(galenastair.ErrStopping)
 		}
 	}
-	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), lastAnswers)
+	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), finalResponseTimeout)
 	defer cancel()
-	return s.closeUntil(last)
+	return s.closeIdleUntil(last)
 }
 
-// closeUntil closes quiet connections until none is left or the context ends.
-func (s *Conns) closeUntil(ctx context.Context) int {
+// closeIdleUntil closes idle connections until none is left or the context ends.
+func (s *Conns) closeIdleUntil(ctx context.Context) int {
 	for {
-		left := s.closeQuiet(time.Now().Add(-newFor))
-		if left == 0 || !timer.Wait(ctx, closePeriod) {
+		left := s.closeIdleConns(time.Now().Add(-newConnGracePeriod))
+		if left == 0 || !timer.Wait(ctx, closeInterval) {
 			return left
 		}
 	}
 }
 
-func (s *Conns) list() []*conn {
+func (s *Conns) snapshot() []*conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := make([]*conn, 0, len(s.conns))
@@ -160,11 +161,11 @@
 	return list
 }
 
-func (s *Conns) closeQuiet(before time.Time) int {
-	list := s.list()
+func (s *Conns) closeIdleConns(before time.Time) int {
+	list := s.snapshot()
 	for _, k := range list {
-		if k.kept.Load() || k.opened.Before(before) {
-			k.closeQuiet()
+		if k.used.Load() || k.opened.Before(before) {
+			k.closeIfIdle()
 		}
 	}
 	return len(list)
--- a/httpserve/conns_test.go
+++ b/httpserve/conns_test.go
@@ -15,8 +15,8 @@
 	"galenastair"
 )
 
-// startCallers serves h on loopback with the connections followed.
-func startCallers(t *testing.T, h http.Handler) (*Conns, net.Listener) {
+// startServer serves h on a loopback address with tracked connections.
+func startServer(t *testing.T, h http.Handler) (*Conns, net.Listener) {
 	t.Helper()
 	conns := NewConns()
 	s := &http.Server{Handler: h}
@@ -36,15 +36,15 @@
 	return conns, l
 }
 
-// A planned stop closes kept connections. A request that came on one in that moment was
-// passed on to a backend server, and its caller got a closed connection: the server's
-// own shutdown took the connection for idle while the request was being read. Here a
-// request is either answered whole or its handler never runs.
+// A request arrives on a kept-alive connection in the moment in which a shutdown closes it.
+// http.Server.Shutdown regards the connection as idle while the request is being read, so
+// the request reaches a backend server and its caller gets no response. A request must
+// either get a complete response or never reach its handler.
 func TestStopClosesBetweenRequestsOnly(t *testing.T) {
 	is := is.New(t)
 	for range 20 {
 		ran := make(chan struct{}, 1)
-		conns, l := startCallers(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		conns, l := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			ran <- struct{}{}
 			time.Sleep(time.Millisecond)
 			_, _ = io.WriteString(w, "whole")
@@ -74,9 +74,8 @@
 	}
 }
 
-// waitAccepted waits until the server knows a connection. One that is still waiting to
-// be accepted when the listener is closed is reset, and its caller knows that nothing
-// was read.
+// waitAccepted waits until the server has accepted a connection. A connection that has not been
+// accepted when the listener is closed is reset, which tells its client that nothing was read.
 func waitAccepted(t *testing.T, s *Conns) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -87,14 +86,14 @@
 			return
 		}
 	}
-	t.Fatal("not accepted in 5 s")
+	t.Fatal("no connection accepted within 5 s")
 }
 
-// A caller opens a connection just before the stop, and its first request is still on
-// its way: it must find the connection open.
+// A client opens a connection just before the shutdown, and its first request has not arrived
+// yet. The connection must still be open when it arrives.
 func TestStopWaitsForFirstRequest(t *testing.T) {
 	is := is.New(t)
-	conns, l := startCallers(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	conns, l := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "whole")
 	}))
 	c, err := net.Dial("tcp", l.Addr().String())
@@ -105,7 +104,7 @@
 	defer cancel()
 	drained := make(chan int, 1)
 	go func() { drained <- conns.Drain(ctx) }()
-	time.Sleep(newFor / 4)
+	time.Sleep(newConnGracePeriod / 4)
 	_, err = io.WriteString(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 	is.NoErr(err)
 	answer, err := io.ReadAll(c)
@@ -114,13 +113,12 @@
 	is.Equal(<-drained, 0)
 }
 
-// A request waits at a backend server for longer than a planned stop may take. Its caller,
-// who had waited for seconds too, saw the connection close without an answer. It is told
-// that the instance stops. Seen failing with a drain that only waits.
-func TestStopAnswersWhatItEnds(t *testing.T) {
+// A request waits at a backend server for longer than the shutdown may take. Its caller must get
+// a response, not a closed connection after seconds of waiting. Fails if Drain only waits.
+func TestStopAnswersCancelledRequests(t *testing.T) {
 	is := is.New(t)
 	began := make(chan struct{})
-	conns, l := startCallers(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	conns, l := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		close(began)
 		<-r.Context().Done()
 		if errors.Is(context.Cause(r.Context()), galenastair.ErrStopping) {
--- a/httpserve/doc.go
+++ b/httpserve/doc.go
@@ -1,3 +1,3 @@
-// Package httpserve serves HTTP so that a planned stop cuts no request: connections close
-// between requests only, and what a stop has to end is answered.
+// Package httpserve runs HTTP servers whose shutdown drops no request: connections are closed
+// only between requests, and a request that has to be cancelled gets a response.
 package httpserve
--- a/httpserve/serve.go
+++ b/httpserve/serve.go
@@ -8,10 +8,11 @@
 	"github.com/oklog/run"
 )
 
-// Add adds a server on its listener to the group. Its goroutine waits for the group's end
-// also when its listener was closed: else the callers' port, which closes first, would stop
-// the group while the last requests still run. The channel is closed once the server accepts
-// no more and knows every connection that it has accepted.
+// Add adds a server with its listener to the group. After the listener is closed, the server's
+// goroutine still waits for the group to end. Otherwise the listener for callers, which is
+// closed first, would stop the group while the last requests are in progress. The returned
+// channel is closed once the server accepts no more connections and has registered every
+// connection that it has accepted.
 func Add(g *run.Group, s *http.Server, l net.Listener) <-chan struct{} {
 	ended, served := make(chan struct{}), make(chan struct{})
 	g.Add(func() error {
