--- a/rungroup/add.go
+++ b/rungroup/add.go
@@ -7,12 +7,12 @@
 	"github.com/oklog/run"
 )
 
-// Add adds one part of an instance to the group: it ends with the group, and an end of its
-// own, which is logged, ends the others.
-func Add(ctx context.Context, g *run.Group, l log.Logger, name string, part func(context.Context) error) {
+// Add adds a component of an instance to the group. Its context is cancelled when the group
+// stops. If the component returns before that, Add logs it and the group stops.
+func Add(ctx context.Context, g *run.Group, l log.Logger, name string, component func(context.Context) error) {
 	ctx, cancel := context.WithCancel(ctx)
 	g.Add(func() error {
-		err := part(ctx)
+		err := component(ctx)
 		if ctx.Err() == nil {
 			l.Log("event", "ended", "part", name, "err", err)
 			return err
--- a/rungroup/doc.go
+++ b/rungroup/doc.go
@@ -1,2 +1,3 @@
-// Package rungroup adds the parts of an instance to the group in which they stop together.
+// Package rungroup adds the components of an instance to a run.Group, in which the end of one
+// component stops all others.
 package rungroup
