--- a/timer/doc.go
+++ b/timer/doc.go
@@ -1,3 +1,3 @@
-// Package timer waits for times that a context can cut short. It costs one timer
-// of some 200 bytes for each wait under way, and sends nothing.
+// Package timer provides a wait that ends early when a context is cancelled. Each wait in
+// progress takes one timer of about 200 bytes.
 package timer
--- a/timer/wait.go
+++ b/timer/wait.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Wait waits, and reports whether the context still runs.
+// Wait waits for d and returns true, or returns false as soon as the context ends.
 func Wait(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/timer/wait_test.go
+++ b/timer/wait_test.go
@@ -8,9 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// A wait that a stop does not cut short would hold a whole instance up.
-// Seen failing with the context not listened to (the test hangs to its limit),
-// and with true returned for it.
+// A wait that ignores the end of its context would block the shutdown of an instance. Fails if
+// Wait ignores the context (the test then times out) or returns true when the context ends.
 func TestWait(t *testing.T) {
 	is := is.New(t)
 	is.True(Wait(t.Context(), time.Nanosecond))
