--- a/boottime/boottime.go
+++ b/boottime/boottime.go
@@ -1,6 +1,6 @@
-// Package boottime reads a clock that goes on while the machine is suspended. The
-// monotonic clock of package time stands still then, so that a lease or a view counted
-// on it would look fresh after a suspension of any length.
+// Package boottime reads a monotonic clock that includes the time in which the machine is
+// suspended. The monotonic clock of package time excludes it, so that a lease or a cached
+// configuration timed with that clock would look valid after a suspension of any length.
 package boottime
 
 import (
@@ -9,24 +9,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// Time is a reading since the machine's start; readings of two machines can't be compared.
+// Time is the time since the machine was booted. Times of different machines cannot be compared.
 type Time time.Duration
 
-// Clock reads the time.
+// Clock returns the current Time. It is Now, except in tests.
 type Clock func() Time
 
-// Now reads the machine's clock.
+// Now returns the time of the machine's CLOCK_BOOTTIME.
 func Now() Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// no Linux since 2.6.39 lacks this clock
-		panic("the machine has no CLOCK_BOOTTIME: " + err.Error())
+		// Every Linux kernel since 2.6.39 has this clock.
+		panic("cannot read CLOCK_BOOTTIME: " + err.Error())
 	}
 	return Time(ts.Nano())
 }
 
-// Sub returns the duration since an earlier reading.
+// Sub returns the duration from u to t.
 func (t Time) Sub(u Time) time.Duration { return time.Duration(t - u) }
 
-// Add returns the reading after a duration.
+// Add returns the time d after t.
 func (t Time) Add(d time.Duration) Time { return t + Time(d) }
