--- a/httpclient/conn.go
+++ b/httpclient/conn.go
@@ -5,19 +5,19 @@
 	"sync/atomic"
 )
 
-// conn counts the writes that the kernel may have taken.
+// conn counts the writes of which the kernel may have accepted data.
 type conn struct {
 	net.Conn
-	writes atomic.Int64
-	sealed atomic.Bool
+	writes        atomic.Int64
+	writesBlocked atomic.Bool
 }
 
-// Write counts itself before it looks at the seal: so either a sealer sees the
-// write, or the write sees the seal. Without this order a request that its
-// caller has given up as not sent could still leave a moment later.
+// Write increments the count before it checks writesBlocked. So either NotSent, which sets
+// writesBlocked before it reads the count, sees the write, or the write sees writesBlocked.
+// In the other order, a request that was reported as not sent could still be written later.
 func (c *conn) Write(p []byte) (int, error) {
 	c.writes.Add(1)
-	if c.sealed.Load() {
+	if c.writesBlocked.Load() {
 		c.writes.Add(-1)
 		return 0, net.ErrClosed
 	}
--- a/httpclient/doc.go
+++ b/httpclient/doc.go
@@ -1,5 +1,5 @@
-// Package httpclient holds what the adapters that speak HTTP share: transports
-// with limits, and the certainty whether a failed request was sent at all.
+// Package httpclient has the HTTP client code that several packages share: transports with
+// limits, and the detection of whether any byte of a failed request was sent.
 //
-// Size: a tracked connection adds 24 bytes; a request adds one small allocation.
+// A tracked connection takes 24 more bytes, and a tracked request one small allocation.
 package httpclient
--- a/httpclient/failed.go
+++ b/httpclient/failed.go
@@ -8,19 +8,19 @@
 	"galenastair"
 )
 
-// Failed names the cause of a request that got no answer; ctx is its caller's.
+// ClassifyError returns the cause of a request that got no response. The context is the caller's.
 //
-// Failure: a request that died on its way is told as not run, and its caller
-// sends it again, though the backend server ran it. Only what was sealed before
-// a byte went out is ErrNotSent.
-func (p *Pool) Failed(ctx context.Context, server string, s *Sending, err error) error {
-	if s.NotSent() {
+// A request that a backend server may have run must not be reported as not run, since the
+// caller would repeat it. So ErrNotSent is returned only if no byte was written before
+// further writes were blocked.
+func (p *Pool) Failed(ctx context.Context, server string, t *RequestTrace, err error) error {
+	if t.NotSent() {
 		return eris.Wrapf(galenastair.ErrNotSent, "%v", err)
 	}
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	// what else is pooled may be as dead as the connection that failed
+	// The other pooled connections to the server may have failed as well.
 	p.Forget(server)
-	return eris.Wrapf(galenastair.ErrBackendServer, "no answer: %v", err)
+	return eris.Wrapf(galenastair.ErrBackendServer, "no response: %v", err)
 }
--- a/httpclient/failed_test.go
+++ b/httpclient/failed_test.go
@@ -15,12 +15,12 @@
 	"galenastair"
 )
 
-// A bid dies on its way. Its caller is told that it has not run, and sends it
-// again, only if no byte of it went out. What is pooled beside a connection that
-// died is as dead: something between the two ends has lost track of them all.
-// Seen failing with NotSent not asked, with it always true, and with Forget left
-// out (the next request goes out on the old connection).
-func TestFailedNamesTheCause(t *testing.T) {
+// The connection of a bid fails. The bid may be reported as not sent, so that its caller repeats
+// it, only if no byte was written. The other pooled connections must be closed, since a device
+// between client and server that lost the state of one has lost it for all. Fails if NotSent is
+// not called or always returns true, or if CloseIdle is not called (the next request then uses
+// the old connection).
+func TestClassifyError(t *testing.T) {
 	is := is.New(t)
 	var opened atomic.Int32
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -41,10 +41,10 @@
 	send := func(address, path string) error {
 		req, err := NewRequest(http.MethodPost, "http://"+address+path, nil)
 		is.NoErr(err)
-		ctx, sending := Track(t.Context())
+		ctx, requestTrace := Track(t.Context())
 		resp, err := p.For(server).RoundTrip(req.WithContext(ctx))
 		if err != nil {
-			return p.Failed(ctx, server, sending, err)
+			return p.Failed(ctx, server, requestTrace, err)
 		}
 		_, err = io.Copy(io.Discard, resp.Body)
 		is.NoErr(err)
@@ -54,7 +54,7 @@
 	is.NoErr(send(server, "/"))
 	is.NoErr(send(server, "/"))
 	is.Equal(opened.Load(), int32(1))
-	sent := &Sending{sent: true}
+	sent := &RequestTrace{written: true}
 	err := p.Failed(t.Context(), server, sent, io.ErrUnexpectedEOF)
 	is.True(errors.Is(err, galenastair.ErrBackendServer))
 	is.NoErr(send(server, "/"))
--- a/httpclient/header.go
+++ b/httpclient/header.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// private are the headers that concern one connection alone, or the caller's key.
-var private = []string{
+// nonForwardedHeaders are the hop-by-hop headers and the headers with the caller's credentials.
+var nonForwardedHeaders = []string{
 	"Authorization",
 	"Connection",
 	"Cookie",
@@ -20,14 +20,15 @@
 	"Upgrade",
 }
 
-// DropPrivate takes out what must not go further, also what Connection names.
+// RemoveNonForwardedHeaders removes the headers that must not be forwarded, including those that
+// the Connection header lists.
 func DropPrivate(h http.Header) {
 	for _, line := range h.Values("Connection") {
 		for _, name := range strings.Split(line, ",") {
 			h.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range private {
+	for _, name := range nonForwardedHeaders {
 		h.Del(name)
 	}
 }
--- a/httpclient/pool.go
+++ b/httpclient/pool.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// unusedAfter drops the transport of a server that nobody calls any more:
-// replicas are replaced all day and must not pile up.
-const unusedAfter = 5 * time.Minute
+// transportIdleTimeout is how long the transport of a server is kept without a request. Backend
+// servers are replaced all day, and their transports would otherwise accumulate.
+const transportIdleTimeout = 5 * time.Minute
 
-type pooled struct {
+type pooledTransport struct {
 	transport *http.Transport
-	used      time.Time
+	lastUsed  time.Time
 }
 
-// Pool keeps one transport for each server, so that the connections of one can
-// be dropped without touching the others.
+// Pool has one transport for each server, so that the connections to one server can be closed
+// without affecting the others.
 type Pool struct {
 	mu       sync.Mutex
-	byServer map[string]*pooled
-	fresh    *http.Transport
+	byServer map[string]*pooledTransport
+	unpooled *http.Transport
 }
 
 // NewPool returns an empty pool.
 func NewPool() *Pool {
-	return &Pool{byServer: map[string]*pooled{}, fresh: NewFreshTransport()}
+	return &Pool{byServer: map[string]*pooledTransport{}, unpooled: NewFreshTransport()}
 }
 
-// For returns the pooling transport of a server.
+// Transport returns the transport of a server. It pools connections.
 func (p *Pool) For(server string) *http.Transport {
 	now := time.Now()
 	p.mu.Lock()
@@ -36,26 +36,26 @@
 	t, ok := p.byServer[server]
 	if !ok {
 		p.prune(now)
-		t = &pooled{transport: NewTransport()}
+		t = &pooledTransport{transport: NewTransport()}
 		p.byServer[server] = t
 	}
-	t.used = now
+	t.lastUsed = now
 	return t.transport
 }
 
-// Fresh returns a transport that dials anew for each request.
-func (p *Pool) Fresh() *http.Transport { return p.fresh }
+// UnpooledTransport returns a transport that opens a new connection for each request.
+func (p *Pool) Fresh() *http.Transport { return p.unpooled }
 
 func (p *Pool) prune(now time.Time) {
 	for server, t := range p.byServer {
-		if now.Sub(t.used) > unusedAfter {
+		if now.Sub(t.lastUsed) > transportIdleTimeout {
 			t.transport.CloseIdleConnections()
 			delete(p.byServer, server)
 		}
 	}
 }
 
-// Forget closes the idle connections of one server.
+// CloseIdle closes the idle connections to one server.
 func (p *Pool) Forget(server string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,5 +71,5 @@
 	for _, t := range p.byServer {
 		t.transport.CloseIdleConnections()
 	}
-	p.fresh.CloseIdleConnections()
+	p.unpooled.CloseIdleConnections()
 }
--- a/httpclient/request.go
+++ b/httpclient/request.go
@@ -8,9 +8,9 @@
 
 // NewRequest returns a request that net/http sends at most once.
 //
-// It sends a GET, or any request with an Idempotency-Key header, again by itself
-// when the connection closes before an answer, and a backend server would run it
-// twice. A body that cannot be rewound keeps it from that, also an empty one.
+// By default, net/http repeats a GET, and any request with an Idempotency-Key header, if the
+// connection closes before a response, and a backend server would run the request twice. A
+// body that cannot be rewound prevents the repetition, even if it is empty.
 func NewRequest(method, url string, body []byte) (*http.Request, error) {
 	req, err := http.NewRequest(method, url, nil)
 	if err != nil {
--- a/httpclient/sending.go
+++ b/httpclient/sending.go
@@ -6,50 +6,52 @@
 	"sync"
 )
 
-// Sending follows one request onto its connections.
-type Sending struct {
-	mu     sync.Mutex
-	conn   *conn
-	before int64
-	sent   bool
+// RequestTrace records whether one request was written to a connection.
+type RequestTrace struct {
+	mu           sync.Mutex
+	conn         *conn
+	writesBefore int64
+	written      bool
 }
 
-// Track returns a context for one request and what tells whether it was sent.
-func Track(ctx context.Context) (context.Context, *Sending) {
-	s := &Sending{}
-	trace := &httptrace.ClientTrace{GotConn: s.gotConn}
-	return httptrace.WithClientTrace(ctx, trace), s
+// WithRequestTrace returns a context for one request, and the RequestTrace that records whether
+// the request was written.
+func Track(ctx context.Context) (context.Context, *RequestTrace) {
+	t := &RequestTrace{}
+	trace := &httptrace.ClientTrace{GotConn: t.gotConn}
+	return httptrace.WithClientTrace(ctx, trace), t
 }
 
-// gotConn is called again when the transport changes a connection that was
-// closed while idle for another.
-func (s *Sending) gotConn(info httptrace.GotConnInfo) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.settle()
+// gotConn is called when the transport has chosen a connection. It is called again if that
+// connection was closed while idle and the transport chooses another one.
+func (t *RequestTrace) gotConn(info httptrace.GotConnInfo) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.checkWritten()
 	c, ok := info.Conn.(*conn)
 	if !ok {
-		s.sent = true
+		t.written = true
 		return
 	}
-	s.conn = c
-	s.before = c.writes.Load()
+	t.conn = c
+	t.writesBefore = c.writes.Load()
 }
 
-func (s *Sending) settle() {
-	if s.conn != nil && s.conn.writes.Load() != s.before {
-		s.sent = true
+func (t *RequestTrace) checkWritten() {
+	if t.conn != nil && t.conn.writes.Load() != t.writesBefore {
+		t.written = true
 	}
 }
 
-// NotSent seals the connection of a failed request and says whether no byte of
-// the request was given to the kernel; call it only after the request failed.
-func (s *Sending) NotSent() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.conn != nil {
-		s.conn.sealed.Store(true)
+// NotSent reports whether no byte of a failed request was passed to the kernel. It blocks
+// further writes on the connection of the request, and may be called only after the request
+// has failed.
+func (t *RequestTrace) NotSent() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.conn != nil {
+		t.conn.writesBlocked.Store(true)
 	}
-	s.settle()
-	return !s.sent
+	t.checkWritten()
+	return !t.written
 }
--- a/httpclient/sending_test.go
+++ b/httpclient/sending_test.go
@@ -14,25 +14,23 @@
 	"github.com/matryer/is"
 )
 
-// A caller gives up, reads "not run" and bids again; then both bids run. The
-// first one's bytes leave the process after its sender has called it not sent.
-// Seen failing with the seal taken out of Write.
-func TestWhatIsNotSentNeverLeavesLater(t *testing.T) {
+// A caller gives up, is told that its bid has not run, and repeats it. Both bids run if the first
+// one is written after it was reported as not sent. Fails if Write ignores writesBlocked.
+func TestUnsentRequestIsNeverWritten(t *testing.T) {
 	is := is.New(t)
 	near, far := net.Pipe()
 	defer far.Close()
 	c := &conn{Conn: near}
-	ctx, sending := Track(context.Background())
+	ctx, requestTrace := Track(context.Background())
 	httptrace.ContextClientTrace(ctx).GotConn(httptrace.GotConnInfo{Conn: c})
-	is.True(sending.NotSent())
+	is.True(requestTrace.NotSent())
 	_, err := c.Write([]byte("POST /bid"))
 	is.True(errors.Is(err, net.ErrClosed))
 }
 
-// A bid runs twice though its caller sent it once. The backend server runs it
-// and then closes the connection without an answer; net/http takes a GET, or
-// what carries an Idempotency-Key, for repeatable and sends it again by itself
-// on a new connection. Seen failing with http.NewRequest in place of NewRequest.
+// A backend server runs a bid and closes the connection without a response. net/http regards a
+// GET, or a request with an Idempotency-Key header, as safe to repeat and sends it again on a
+// new connection, so that the bid runs twice. Fails with http.NewRequest instead of NewRequest.
 func TestRequestIsSentAtMostOnce(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		t.Run(method, func(t *testing.T) {
@@ -57,10 +55,10 @@
 			req, err := NewRequest(method, server.URL+"/bid", nil)
 			is.NoErr(err)
 			req.Header.Set("Idempotency-Key", "k1")
-			ctx, sending := Track(context.Background())
+			ctx, requestTrace := Track(context.Background())
 			_, err = transport.RoundTrip(req.WithContext(ctx))
 			is.True(err != nil)
-			is.True(!sending.NotSent())
+			is.True(!requestTrace.NotSent())
 			is.Equal(runs.Load(), int32(1))
 		})
 	}
--- a/httpclient/transport.go
+++ b/httpclient/transport.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// dialTimeout is far above the round trip between two zones (about 1 ms)
-	// and below what a caller waits for a first token.
+	// dialTimeout is far above the round-trip time between two zones (about 1 ms) and below
+	// the time that a caller waits for the first token.
 	dialTimeout = time.Second
-	// idleTimeout is short, because a pooled connection can go silent unseen:
-	// it bounds how old a connection is when a request meets it.
-	idleTimeout = 15 * time.Second
-	// idlePerServer lets 10,000 short requests/s reuse connections to one server.
-	idlePerServer = 512
+	// idleConnTimeout is short because a pooled connection can fail without being closed. It
+	// bounds how long a connection has been idle when a request uses it.
+	idleConnTimeout = 15 * time.Second
+	// maxIdleConnsPerServer allows 10,000 short requests per second to reuse connections to one server.
+	maxIdleConnsPerServer = 512
 )
 
-// NewTransport returns a pooling transport whose connections are tracked.
+// NewTransport returns a transport that pools connections and tracks the writes on them.
 func NewTransport() *http.Transport {
 	d := net.Dialer{Timeout: dialTimeout, KeepAlive: 5 * time.Second}
 	return &http.Transport{
@@ -29,13 +29,13 @@
 			}
 			return &conn{Conn: c}, nil
 		},
-		MaxIdleConnsPerHost: idlePerServer,
-		IdleConnTimeout:     idleTimeout,
+		MaxIdleConnsPerHost: maxIdleConnsPerServer,
+		IdleConnTimeout:     idleConnTimeout,
 		DisableCompression:  true,
 	}
 }
 
-// NewFreshTransport returns a transport that dials anew for each request.
+// NewUnpooledTransport returns a transport that opens a new connection for each request.
 func NewFreshTransport() *http.Transport {
 	t := NewTransport()
 	t.DisableKeepAlives = true
