--- a/account/accounts.go
+++ b/account/accounts.go
@@ -11,19 +11,19 @@
 )
 
 // ChargeResult is the answer to a charge.
-type Verdict struct {
+type ChargeResult struct {
 	// Owned is false if this instance does not own the organisation.
 	Owned   bool
 	Granted bool
 	// RetryAfter estimates when the account has room, if the charge was not granted.
-	Wait time.Duration
+	RetryAfter time.Duration
 }
 
 // Accounts holds the accounts of the organisations that this instance owns. It is designed for
 // requests of one organisation that arrive at hundreds of instances.
 type Accounts struct {
 	self      string
-	tolerance quota.Terms
+	tolerance quota.Tolerance
 
 	mu     sync.Mutex
 	limits map[galenastair.Organisation]limit
@@ -64,7 +64,7 @@
 }
 
 // New returns the accounts of an instance, which is named by its peer address.
-func New(self string, t quota.Terms) *Accounts {
+func New(self string, t quota.Tolerance) *Accounts {
 	return &Accounts{
 		self:      self,
 		tolerance: t,
@@ -80,14 +80,14 @@
 const denialTTL = 50 * time.Millisecond
 
 // RecordDenial records an owner's denial.
-func (a *Accounts) Deny(now boottime.Time, o galenastair.Organisation, wait time.Duration) {
+func (a *Accounts) RecordDenial(now boottime.Time, o galenastair.Organisation, wait time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.denials[o] = denial{now, wait}
 }
 
 // RecentlyDenied reports whether an owner has denied the organisation within denialTTL.
-func (a *Accounts) Denied(now boottime.Time, o galenastair.Organisation) bool {
+func (a *Accounts) RecentlyDenied(now boottime.Time, o galenastair.Organisation) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	d, denied := a.denials[o]
@@ -95,7 +95,7 @@
 }
 
 // RetryAfter estimates when an organisation has room, from its owner's last denial.
-func (a *Accounts) Wait(now boottime.Time, o galenastair.Organisation) time.Duration {
+func (a *Accounts) RetryAfter(now boottime.Time, o galenastair.Organisation) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	d := a.denials[o]
@@ -107,10 +107,10 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	clear(a.limits)
-	c.Organisations(func(o *catalog.Organisation) {
+	c.ForEachOrganisation(func(o *catalog.Organisation) {
 		if o.Rate > 0 {
-			rate, size := a.tolerance.Lending(o)
-			a.limits[o.Name] = limit{rate, size, a.tolerance.Most(o)}
+			rate, size := a.tolerance.LendingBucket(o)
+			a.limits[o.Name] = limit{rate, size, a.tolerance.MaxBurst(o)}
 		}
 	})
 	for name, acc := range a.accounts {
@@ -124,7 +124,7 @@
 }
 
 // HasQuota reports whether an organisation has a quota.
-func (a *Accounts) Limited(o galenastair.Organisation) bool {
+func (a *Accounts) HasQuota(o galenastair.Organisation) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	_, limited := a.limits[o]
@@ -147,7 +147,7 @@
 
 // ConfirmGrants applies the leader's confirmation of what this instance owns by the last announced
 // table. sent is a time before the call that returned it.
-func (a *Accounts) Confirm(sent, now boottime.Time, grants []Grant) {
+func (a *Accounts) ConfirmGrants(sent, now boottime.Time, grants []Grant) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for name := range a.accounts {
@@ -161,7 +161,7 @@
 		if before, owned := old[g.Shard]; owned {
 			since = before.since
 		}
-		a.grants[g.Shard] = grant{since, now.Add(g.Half)}
+		a.grants[g.Shard] = grant{since, now.Add(g.HalfRateFor)}
 	}
 	for name := range a.accounts {
 		if _, owned := a.grants[ShardOf(name)]; !owned {
@@ -171,17 +171,17 @@
 }
 
 // Charge takes a request's cost from its organisation's account.
-func (a *Accounts) Charge(now boottime.Time, o galenastair.Organisation, cost float64) Verdict {
+func (a *Accounts) Charge(now boottime.Time, o galenastair.Organisation, cost float64) ChargeResult {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	g, owned := a.grants[ShardOf(o)]
 	if !owned || now.Sub(a.confirmedAt) > gracePeriod {
-		return Verdict{}
+		return ChargeResult{}
 	}
 	l, limited := a.limits[o]
 	if !limited {
 		// the calling instance has another version of the contracts
-		return Verdict{}
+		return ChargeResult{}
 	}
 	if a.accounts[o] == nil {
 		a.accounts[o] = &account{filledAt: g.since}
@@ -190,9 +190,9 @@
 	if acc.level >= cost || cost <= l.maxCost && acc.level >= l.size {
 		// later requests pay for one that is larger than the bucket
 		acc.level -= cost
-		return Verdict{Owned: true, Granted: true}
+		return ChargeResult{Owned: true, Granted: true}
 	}
-	return Verdict{Owned: true, Wait: acc.deny(now, l, cost)}
+	return ChargeResult{Owned: true, RetryAfter: acc.deny(now, l, cost)}
 }
 
 // deny estimates when the account will hold enough for the recently denied requests and this one.
--- a/account/assigner.go
+++ b/account/assigner.go
@@ -26,8 +26,8 @@
 // Grant is a shard of an instance, and how long its owner charges at half the rate because the
 // previous owner may still charge.
 type Grant struct {
-	Shard Shard
-	Half  time.Duration
+	Shard       Shard
+	HalfRateFor time.Duration
 }
 
 // Assigner assigns shards to the instances that report to the leader. It is designed for a single
@@ -71,7 +71,7 @@
 func (a *Assigner) Table() Table { return a.current }
 
 // RecordReport records an instance's report, and the version of the table that it uses.
-func (a *Assigner) Heard(now boottime.Time, address string, version int64, stopping bool) {
+func (a *Assigner) RecordReport(now boottime.Time, address string, version int64, stopping bool) {
 	a.reportedAt[address] = now
 	a.knownVersion[address] = version
 	if stopping {
@@ -92,7 +92,7 @@
 
 // NextTable returns the table to store on the platform and then to announce; false if there is
 // none.
-func (a *Assigner) Next(now boottime.Time) (Table, bool) {
+func (a *Assigner) NextTable(now boottime.Time) (Table, bool) {
 	owners := slices.Clone(a.next.Owners)
 	if len(owners) != ShardCount {
 		owners = make([]string, ShardCount)
@@ -113,7 +113,7 @@
 }
 
 // TableStored records that a table is stored on the platform, and puts it in force.
-func (a *Assigner) Noted(now boottime.Time, t Table) {
+func (a *Assigner) TableStored(now boottime.Time, t Table) {
 	if t.Version <= a.current.Version || len(t.Owners) != ShardCount {
 		return
 	}
--- a/account/play/fleet.go
+++ b/account/play/fleet.go
@@ -28,14 +28,14 @@
 )
 
 // Tolerance is the tolerance of the simulated platform.
-var Tolerance = quota.Terms{Window: 8 * time.Second, Over: 0.1, Slack: 17000}
+var Tolerance = quota.Tolerance{Window: 8 * time.Second, Ratio: 0.1, Slack: 17000}
 
 // Contract is the organisation's contract, in tokens.
 type Contract struct{ Rate, Burst float64 }
 
 // Bound returns the most that the organisation may get in any window.
 func (c Contract) Bound() float64 {
-	return (c.Rate*Tolerance.Window.Seconds()+c.Burst)*(1+Tolerance.Over) + Tolerance.Slack
+	return (c.Rate*Tolerance.Window.Seconds()+c.Burst)*(1+Tolerance.Ratio) + Tolerance.Slack
 }
 
 // Fleet is a set of instances with their leader and what it stores on the platform.
@@ -105,7 +105,7 @@
 func (f *Fleet) start(x *Instance) {
 	x.accounts = account.New(x.address, Tolerance)
 	x.accounts.SetContracts(catalog.New(1, catalog.Limits{}, nil, nil, []*catalog.Organisation{
-		{Name: org, Rate: f.contract.Rate, Burst: f.contract.Burst, InTokens: true},
+		{Name: org, Rate: f.contract.Rate, Burst: f.contract.Burst, CountsTokens: true},
 	}))
 	x.nextExchange = max(f.Now, x.downUntil).Add(f.RandomDuration(exchangeInterval))
 	x.stoppingSince = 0
@@ -125,21 +125,21 @@
 			f.exchange(x)
 		}
 	}
-	if t, ok := f.assigner.Next(f.Now); ok && t.Version != f.storedTable.Version {
+	if t, ok := f.assigner.NextTable(f.Now); ok && t.Version != f.storedTable.Version {
 		f.storedTable, f.storedAt = t, f.Now
 	}
 	if f.storedAt != 0 && f.Now.Sub(f.storedAt) > storeDelay {
-		f.assigner.Noted(f.Now, f.storedTable)
+		f.assigner.TableStored(f.Now, f.storedTable)
 	}
 }
 
 func (f *Fleet) exchange(x *Instance) {
 	x.nextExchange = f.Now.Add(exchangeInterval)
-	f.assigner.Heard(f.Now, x.address, x.accounts.Table().Version, x.stoppingSince != 0)
+	f.assigner.RecordReport(f.Now, x.address, x.accounts.Table().Version, x.stoppingSince != 0)
 	if t := f.assigner.Table(); t.Version != x.accounts.Table().Version {
 		x.accounts.SetTable(t)
 	}
-	x.accounts.Confirm(f.Now, f.Now, f.assigner.Grants(f.Now, x.address))
+	x.accounts.ConfirmGrants(f.Now, f.Now, f.assigner.Grants(f.Now, x.address))
 }
 
 // ReplaceLeader starts another leader from the stored table after some seconds, unless one is
--- a/caller/answer_test.go
+++ b/caller/answer_test.go
@@ -141,8 +141,8 @@
 func TestMergeKeepsNumbers(t *testing.T) {
 	is := is.New(t)
 	c := &collector{}
-	is.NoErr(c.Chunk(galenastair.Chunk{Data: []byte(`{"choices":[{"seed":9007199254740993,"text":"a","token_ids":[1]}]}`)}))
-	is.NoErr(c.Chunk(galenastair.Chunk{Data: []byte(`{"choices":[{"text":"b","token_ids":[2]}]}`)}))
+	is.NoErr(c.WriteChunk(galenastair.Chunk{Data: []byte(`{"choices":[{"seed":9007199254740993,"text":"a","token_ids":[1]}]}`)}))
+	is.NoErr(c.WriteChunk(galenastair.Chunk{Data: []byte(`{"choices":[{"text":"b","token_ids":[2]}]}`)}))
 	raw, err := json.Marshal(c.choice.whole(false))
 	is.NoErr(err)
 	is.Equal(string(raw), `{"finish_reason":null,"index":0,"seed":9007199254740993,"text":"ab","token_ids":[1,2]}`)
--- a/caller/collect.go
+++ b/caller/collect.go
@@ -70,8 +70,8 @@
 	ended  bool
 }
 
-// Chunk adds one event.
-func (c *collector) Chunk(chunk galenastair.Chunk) error {
+// WriteChunk adds one event.
+func (c *collector) WriteChunk(chunk galenastair.Chunk) error {
 	if chunk.End {
 		c.ended = true
 		return nil
--- a/caller/fake_test.go
+++ b/caller/fake_test.go
@@ -28,15 +28,15 @@
 	services []request.ServiceCall
 }
 
-func (s *fakeServer) Complete(_ context.Context, c request.Call, sink request.Sink) error {
+func (s *fakeServer) Complete(_ context.Context, c request.Call, sink request.ResponseWriter) error {
 	s.calls = append(s.calls, c)
 	for i, e := range s.events {
-		if err := sink.Chunk(galenastair.Chunk{Sequence: int64(i + 1), Data: []byte(e)}); err != nil {
+		if err := sink.WriteChunk(galenastair.Chunk{Sequence: int64(i + 1), Data: []byte(e)}); err != nil {
 			return &galenastair.Refusal{Cause: galenastair.ErrAnswerCut, Outcome: galenastair.Ran}
 		}
 	}
 	if s.whole {
-		return sink.Chunk(galenastair.Chunk{End: true})
+		return sink.WriteChunk(galenastair.Chunk{End: true})
 	}
 	return s.err
 }
--- a/caller/handler.go
+++ b/caller/handler.go
@@ -27,7 +27,7 @@
 
 // Server is what the handler asks to carry requests.
 type Server interface {
-	Complete(ctx context.Context, c request.Call, sink request.Sink) error
+	Complete(ctx context.Context, c request.Call, sink request.ResponseWriter) error
 	CallService(ctx context.Context, c request.ServiceCall) (galenastair.ServiceAnswer, error)
 	Models(key galenastair.KeyHash) ([]galenastair.ModelName, error)
 }
--- a/caller/service.go
+++ b/caller/service.go
@@ -19,7 +19,7 @@
 // passedHeaders returns what goes on from one connection to another.
 func passedHeaders(h http.Header) http.Header {
 	out := h.Clone()
-	httpclient.DropPrivate(out)
+	httpclient.RemoveNonForwardedHeaders(out)
 	out.Del("Content-Length")
 	return out
 }
--- a/caller/stream.go
+++ b/caller/stream.go
@@ -29,9 +29,9 @@
 // other: engines send "usage":null elsewhere.
 var usageMark = []byte(`"usage":{`)
 
-// Chunk sends one event. The header goes out with the first, so that a refusal
+// WriteChunk sends one event. The header goes out with the first, so that a refusal
 // before it still has its own status.
-func (s *streamWriter) Chunk(c galenastair.Chunk) error {
+func (s *streamWriter) WriteChunk(c galenastair.Chunk) error {
 	if !s.usage && bytes.Contains(c.Data, usageMark) {
 		return nil
 	}
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -29,7 +29,7 @@
 func (k Kind) Streamed() bool { return k == Stream || k == ResumableStream }
 
 // Retryable reports whether a request may run more than once.
-func (k Kind) Repeatable() bool { return k == Idempotent || k == ResumableStream }
+func (k Kind) Retryable() bool { return k == Idempotent || k == ResumableStream }
 
 // Target is a service that receives requests of a route, and its weight.
 type Target struct {
@@ -47,14 +47,14 @@
 	Timeout time.Duration
 	// TargetLatency is the longest time to the answer, or to a stream's first event, that still
 	// counts as on time.
-	Aim time.Duration
+	TargetLatency time.Duration
 	// TargetEventGap is the longest time between two events of a stream that still counts as on
 	// time.
-	Gap time.Duration
+	TargetEventGap time.Duration
 	// Priority orders waiting requests; 0 is the highest.
 	Priority int
 	// MaxAttempts is the maximum number of backend servers that may run one request.
-	Attempts int
+	MaxAttempts int
 	// Public routes need no key.
 	Public  bool
 	Targets []Target
@@ -65,18 +65,18 @@
 	Name   galenastair.ModelName
 	Memory galenastair.Bytes
 	// LoadTime is how long a load from the weight store takes.
-	Load          time.Duration
-	Adapters      int
+	LoadTime      time.Duration
+	AdapterCount  int
 	AdapterMemory galenastair.Bytes
 }
 
 // Engine describes the model engines of a service, which are all the same.
 type Engine struct {
 	Slots          int
-	CacheTokens    galenastair.Tokens
+	KVCacheTokens  galenastair.Tokens
 	Models         []Model
 	Memory         galenastair.Bytes
-	AdapterPlaces  int
+	AdapterSlots   int
 	LoadsPerSecond float64
 }
 
@@ -100,30 +100,30 @@
 	Rate  float64
 	Burst float64
 	// CountsTokens makes the quota count tokens instead of requests.
-	InTokens bool
+	CountsTokens bool
 	// DefaultTokens is the cost of a request without token counts.
-	PlainTokens galenastair.Tokens
+	DefaultTokens galenastair.Tokens
 }
 
 // Cost returns what one request takes from the organisation's quota. If counted is false, the
 // caller gave no token counts.
 func (o *Organisation) Cost(tokens galenastair.Tokens, counted bool) float64 {
 	switch {
-	case !o.InTokens:
+	case !o.CountsTokens:
 		return 1
 	case counted:
 		return float64(tokens)
 	default:
-		return float64(o.PlainTokens)
+		return float64(o.DefaultTokens)
 	}
 }
 
 // Limits bound the requests and connections of callers.
 type Limits struct {
-	HeaderBytes int
-	BodyBytes   int64
-	Header      time.Duration
-	Idle        time.Duration
+	MaxHeaderBytes int
+	MaxBodyBytes   int64
+	HeaderTimeout  time.Duration
+	IdleTimeout    time.Duration
 }
 
 // Catalog is one version of the configuration. It is immutable.
@@ -179,10 +179,12 @@
 
 // RequiresKey reports whether the requests of a route need a key. None do if the configuration has
 // no organisations.
-func (c *Catalog) NeedsKey(r *Route) bool { return c.requireKeys && !r.Public }
+func (c *Catalog) RequiresKey(r *Route) bool { return c.requireKeys && !r.Public }
 
 // OrganisationByKey returns the organisation that owns a key, or nil.
-func (c *Catalog) ByKey(k galenastair.KeyHash) *Organisation { return c.organisationsByKey[k] }
+func (c *Catalog) OrganisationByKey(k galenastair.KeyHash) *Organisation {
+	return c.organisationsByKey[k]
+}
 
 // Organisation returns the organisation with the given name, or nil.
 func (c *Catalog) Organisation(name galenastair.Organisation) *Organisation {
@@ -190,7 +192,7 @@
 }
 
 // ForEachOrganisation calls f for each organisation.
-func (c *Catalog) Organisations(f func(*Organisation)) {
+func (c *Catalog) ForEachOrganisation(f func(*Organisation)) {
 	for _, o := range c.organisations {
 		f(o)
 	}
@@ -200,7 +202,7 @@
 func (c *Catalog) Service(name galenastair.ServiceName) *Service { return c.services[name] }
 
 // ForEachService calls f for each service.
-func (c *Catalog) Services(f func(*Service)) {
+func (c *Catalog) ForEachService(f func(*Service)) {
 	for _, s := range c.services {
 		f(s)
 	}
@@ -208,7 +210,7 @@
 
 // PickService picks one of the route's targets at random by weight; draw is a random number in
 // [0, 1).
-func (r *Route) Choose(draw float64) galenastair.ServiceName {
+func (r *Route) PickService(draw float64) galenastair.ServiceName {
 	total := 0.0
 	for _, t := range r.Targets {
 		total += t.Weight
--- a/claim/begin.go
+++ b/claim/begin.go
@@ -23,7 +23,7 @@
 
 // Claim is the permission to send one request once.
 type Claim struct {
-	manager *Keeper
+	manager *Manager
 	key     Key
 	id      AttemptID
 	once    sync.Once
@@ -40,7 +40,7 @@
 // instance's table before the owner of the key is looked up. A new owner asks all members
 // of its epoch, and this instance replies only after it has applied that epoch. So either
 // the reply contains the attempt, or the attempt is made at the new owner.
-func (m *Keeper) Begin(ctx context.Context, o galenastair.Organisation, key galenastair.IdempotencyKey, d Digest, id galenastair.RequestID) (*Claim, error) {
+func (m *Manager) Begin(ctx context.Context, o galenastair.Organisation, key galenastair.IdempotencyKey, d Digest, id galenastair.RequestID) (*Claim, error) {
 	self := m.assignment.Self()
 	a := Attempt{
 		Key:         KeyOf(o, key),
@@ -58,15 +58,15 @@
 	return &Claim{manager: m, key: a.Key, id: a.ID}, nil
 }
 
-func (m *Keeper) begin(ctx context.Context, a Attempt) error {
-	if !m.assignment.Holds(m.clock.Now()) {
+func (m *Manager) begin(ctx context.Context, a Attempt) error {
+	if !m.assignment.HoldsLease(m.clock.Now()) {
 		return galenastair.Refuse(galenastair.ErrNotMember, unavailableRetryAfter, "")
 	}
 	if err := m.openLocally(a); err != nil {
 		return err
 	}
 	err := m.acquire(ctx, a)
-	if err == nil && !m.assignment.Holds(m.clock.Now()) {
+	if err == nil && !m.assignment.HoldsLease(m.clock.Now()) {
 		// After a pause longer than the lease, the key may have a new owner that has not asked this instance.
 		err = galenastair.Refuse(galenastair.ErrNotMember, unavailableRetryAfter, "")
 	}
@@ -76,15 +76,15 @@
 	return err
 }
 
-func (m *Keeper) openLocally(a Attempt) error {
+func (m *Manager) openLocally(a Attempt) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.table.Open(m.clock.Now(), a, m.isSenderMember)
 }
 
 // acquire asks the owner of the key for the grant and ensures that two availability zones store the attempt.
-func (m *Keeper) acquire(ctx context.Context, a Attempt) error {
-	owner, ok := m.assignment.Home(string(a.Key))
+func (m *Manager) acquire(ctx context.Context, a Attempt) error {
+	owner, ok := m.assignment.Owner(string(a.Key))
 	if !ok {
 		return unavailable("no instance owns the idempotency key at present")
 	}
@@ -99,12 +99,12 @@
 
 // inOtherFailureDomain reports whether a copy on the given instance survives the loss of this
 // instance's zone, or, if all members are in one zone, the loss of this instance.
-func (m *Keeper) inOtherFailureDomain(p galenastair.Peer) bool {
+func (m *Manager) inOtherFailureDomain(p galenastair.Peer) bool {
 	self := m.assignment.Self()
 	return p.ID != self.ID && (p.AvailabilityZone != self.AvailabilityZone || m.singleZone())
 }
 
-func (m *Keeper) singleZone() bool {
+func (m *Manager) singleZone() bool {
 	zone := m.assignment.Self().AvailabilityZone
 	return !slices.ContainsFunc(m.assignment.Members(), func(p galenastair.Peer) bool { return p.AvailabilityZone != zone })
 }
@@ -113,7 +113,7 @@
 	return galenastair.Refuse(galenastair.ErrClaimUnavailable, unavailableRetryAfter, detail)
 }
 
-func (m *Keeper) requestGrant(ctx context.Context, owner galenastair.Peer, a Attempt) error {
+func (m *Manager) requestGrant(ctx context.Context, owner galenastair.Peer, a Attempt) error {
 	if owner.ID == m.assignment.Self().ID {
 		return m.grant(ctx, a)
 	}
@@ -128,7 +128,7 @@
 }
 
 // storeSecondCopy stores a copy in another failure domain.
-func (m *Keeper) storeSecondCopy(ctx context.Context, a Attempt) error {
+func (m *Manager) storeSecondCopy(ctx context.Context, a Attempt) error {
 	candidates := m.copyCandidates(a.Key)
 	for _, p := range candidates[:min(maxCopyAttempts, len(candidates))] {
 		if err := m.sendCopies(ctx, p, []Attempt{a}); err == nil {
@@ -141,7 +141,7 @@
 // sendCopies sends attempts to another instance for storage. The instance is recorded as
 // a copy target before the call, so that the outcomes are sent to it even if its reply is
 // lost, and as a confirmed copy after its reply.
-func (m *Keeper) sendCopies(ctx context.Context, p galenastair.Peer, list []Attempt) error {
+func (m *Manager) sendCopies(ctx context.Context, p galenastair.Peer, list []Attempt) error {
 	process := Process{p.ID, m.incarnationOf(p.ID)}
 	m.updateAttempts(list, func(a *Attempt) { a.CopyTargets = []galenastair.InstanceID{p.ID} })
 	results, err := m.sendAttempts(ctx, p, list)
@@ -155,7 +155,7 @@
 	return nil
 }
 
-func (m *Keeper) updateAttempts(list []Attempt, change func(*Attempt)) {
+func (m *Manager) updateAttempts(list []Attempt, change func(*Attempt)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, a := range list {
@@ -166,7 +166,7 @@
 
 // copyCandidates returns the instances in other failure domains that may store a copy of an
 // attempt, in the order of rendezvous hashing.
-func (m *Keeper) copyCandidates(key Key) []galenastair.Peer {
+func (m *Manager) copyCandidates(key Key) []galenastair.Peer {
 	others := slices.DeleteFunc(slices.Clone(m.assignment.Members()), func(p galenastair.Peer) bool { return !m.inOtherFailureDomain(p) })
 	score := func(p galenastair.Peer) uint64 { return xxhash.Sum64String(string(key) + "/" + string(p.ID)) }
 	slices.SortFunc(others, func(p, q galenastair.Peer) int { return cmp.Compare(score(q), score(p)) })
--- a/claim/duties.go
+++ b/claim/duties.go
@@ -8,18 +8,18 @@
 
 // Assignment assigns the idempotency keys to the instances of the current epoch. The owner of
 // a key decides which request may be sent with it.
-type Duties interface {
+type Assignment interface {
 	// Self returns this instance.
 	Self() galenastair.Peer
 	Epoch() galenastair.Epoch
 	// Members returns all instances of the current epoch, including this one.
 	Members() []galenastair.Peer
 	// Owner returns the instance to which the current epoch assigns a key.
-	Home(key string) (galenastair.Peer, bool)
+	Owner(key string) (galenastair.Peer, bool)
 	// Serves reports whether this instance owns the key and the previous owner has stopped serving it.
 	Serves(key string, now time.Time) bool
 	// HoldsLease reports whether this instance's own lease is valid.
-	Holds(now time.Time) bool
+	HoldsLease(now time.Time) bool
 }
 
 // Incarnations is an optional interface of an Assignment whose processes can restart
--- a/claim/history_test.go
+++ b/claim/history_test.go
@@ -50,7 +50,7 @@
 		return err == nil
 	})
 	r.runRandomSteps(r.cluster.randomInt(8))
-	if !granted || !n.Holds(time.Time{}) {
+	if !granted || !n.HoldsLease(time.Time{}) {
 		return
 	}
 	call.Finished = true
--- a/claim/home.go
+++ b/claim/home.go
@@ -21,7 +21,7 @@
 // ownership moved, and a bid would run twice. So an owner grants nothing until every
 // member of its epoch has reported the attempts that it stores. Members report only in
 // that epoch; from then on the previous owner grants nothing, and senders do not ask it.
-func (m *Keeper) grant(ctx context.Context, a Attempt) error {
+func (m *Manager) grant(ctx context.Context, a Attempt) error {
 	if !m.assignment.Serves(string(a.Key), m.clock.Now()) {
 		return unavailable("the instance that was asked does not own the idempotency key")
 	}
@@ -46,7 +46,7 @@
 
 // ensureSynced asks the members for their attempts unless that has been done in this epoch.
 // Only one goroutine does so at a time.
-func (m *Keeper) ensureSynced(ctx context.Context) error {
+func (m *Manager) ensureSynced(ctx context.Context) error {
 	if m.isSynced() {
 		return nil
 	}
@@ -64,14 +64,14 @@
 	return m.sync(ctx)
 }
 
-func (m *Keeper) isSynced() bool {
+func (m *Manager) isSynced() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.syncedEpoch == m.assignment.Epoch()
 }
 
 // sync collects the attempts that the members of the current epoch store for keys owned by this instance.
-func (m *Keeper) sync(ctx context.Context) error {
+func (m *Manager) sync(ctx context.Context) error {
 	epoch := m.assignment.Epoch()
 	self := m.assignment.Self()
 	members := m.assignment.Members()
@@ -96,7 +96,7 @@
 	return m.mergeSynced(epoch, lists)
 }
 
-func (m *Keeper) fetchAttempts(ctx context.Context, p galenastair.Peer, epoch galenastair.Epoch) ([]Attempt, error) {
+func (m *Manager) fetchAttempts(ctx context.Context, p galenastair.Peer, epoch galenastair.Epoch) ([]Attempt, error) {
 	m.metrics.messages.Inc()
 	reply, err := m.peerClient(p).Sync(ctx, &claimpb.SyncRequest{Home: string(m.assignment.Self().ID), Epoch: int64(epoch)})
 	if err != nil {
@@ -105,7 +105,7 @@
 	return toAttempts(reply.Attempts, m.clock.Now()), nil
 }
 
-func (m *Keeper) mergeSynced(epoch galenastair.Epoch, lists [][]Attempt) error {
+func (m *Manager) mergeSynced(epoch galenastair.Epoch, lists [][]Attempt) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, list := range lists {
@@ -123,7 +123,7 @@
 // instance is in the same epoch: in an earlier one, this instance could still make an
 // attempt at the previous owner, and in a later one, the list would lack keys that have
 // moved to another owner since.
-func (m *Keeper) attemptsForOwner(owner galenastair.InstanceID, epoch galenastair.Epoch) ([]Attempt, error) {
+func (m *Manager) attemptsForOwner(owner galenastair.InstanceID, epoch galenastair.Epoch) ([]Attempt, error) {
 	if m.assignment.Epoch() != epoch {
 		return nil, errEpochChanged
 	}
@@ -135,7 +135,7 @@
 }
 
 // attemptsOwnedBy returns the attempts in the table whose key has the given owner.
-func (m *Keeper) attemptsOwnedBy(owner galenastair.InstanceID) []Attempt {
+func (m *Manager) attemptsOwnedBy(owner galenastair.InstanceID) []Attempt {
 	m.mu.Lock()
 	all := m.table.List(m.clock.Now())
 	m.mu.Unlock()
@@ -151,7 +151,7 @@
 	owners map[Key]galenastair.InstanceID
 }
 
-func (c *ownerCache) get(d Duties, key Key) galenastair.InstanceID {
+func (c *ownerCache) get(d Assignment, key Key) galenastair.InstanceID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	// The epoch is read before the owner, so that no cached owner is older than the epoch of the cache.
@@ -162,7 +162,7 @@
 	if id, ok := c.owners[key]; ok {
 		return id
 	}
-	p, _ := d.Home(string(key))
+	p, _ := d.Owner(string(key))
 	c.owners[key] = p.ID
 	return p.ID
 }
--- a/claim/keeper.go
+++ b/claim/keeper.go
@@ -21,8 +21,8 @@
 )
 
 // Manager claims idempotency keys for this instance and stores the claims of other instances.
-type Keeper struct {
-	assignment Duties
+type Manager struct {
+	assignment Assignment
 	clock      galenastair.Clock
 	peerClient func(galenastair.Peer) claimpb.Claim
 	httpClient *http.Client
@@ -41,27 +41,27 @@
 }
 
 // Option configures a Manager.
-type Option func(*Keeper)
+type Option func(*Manager)
 
 // WithClock sets the clock.
-func WithClock(c galenastair.Clock) Option { return func(m *Keeper) { m.clock = c } }
+func WithClock(c galenastair.Clock) Option { return func(m *Manager) { m.clock = c } }
 
 // WithPeerClient sets the function that returns a client for another instance. The default uses HTTP.
 func WithPeerClient(f func(galenastair.Peer) claimpb.Claim) Option {
-	return func(m *Keeper) { m.peerClient = f }
+	return func(m *Manager) { m.peerClient = f }
 }
 
 // WithHTTPClient sets the HTTP client for calls to other instances.
-func WithHTTPClient(c *http.Client) Option { return func(m *Keeper) { m.httpClient = c } }
+func WithHTTPClient(c *http.Client) Option { return func(m *Manager) { m.httpClient = c } }
 
 // WithMetrics registers the manager's metrics.
 func WithMetrics(r prometheus.Registerer) Option {
-	return func(m *Keeper) { m.metrics = newMetrics(r) }
+	return func(m *Manager) { m.metrics = newMetrics(r) }
 }
 
 // New returns a Manager. Its Run method must be running while it is used.
-func New(d Duties, opts ...Option) *Keeper {
-	m := &Keeper{
+func New(d Assignment, opts ...Option) *Manager {
+	m := &Manager{
 		assignment:    d,
 		clock:         galenastair.SystemClock{},
 		httpClient:    http.DefaultClient,
@@ -82,7 +82,7 @@
 }
 
 // Run sends outcomes and replaces lost copies until the context ends.
-func (m *Keeper) Run(ctx context.Context) error {
+func (m *Manager) Run(ctx context.Context) error {
 	tick := time.NewTicker(tickPeriod)
 	defer tick.Stop()
 	for {
@@ -97,14 +97,14 @@
 }
 
 // flushOutcomes tries to send the outcomes that are pending when the instance shuts down.
-func (m *Keeper) flushOutcomes(ctx context.Context) {
+func (m *Manager) flushOutcomes(ctx context.Context) {
 	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
 	m.sendOutcomes(last)
 }
 
 // Tick runs one period of Run.
-func (m *Keeper) Tick(ctx context.Context) {
+func (m *Manager) Tick(ctx context.Context) {
 	m.sendOutcomes(ctx)
 	m.restoreCopies(ctx)
 	m.mu.Lock()
@@ -114,19 +114,19 @@
 }
 
 // isSenderMember reports whether the process that made an attempt is a member of the current epoch.
-func (m *Keeper) isSenderMember(a *Attempt) bool {
+func (m *Manager) isSenderMember(a *Attempt) bool {
 	_, ok := m.member(a.ID.Sender)
 	return ok && m.incarnationOf(a.ID.Sender) == a.Incarnation
 }
 
-func (m *Keeper) incarnationOf(id galenastair.InstanceID) int64 {
+func (m *Manager) incarnationOf(id galenastair.InstanceID) int64 {
 	if d, ok := m.assignment.(Incarnations); ok {
 		return d.IncarnationOf(id)
 	}
 	return 0
 }
 
-func (m *Keeper) member(id galenastair.InstanceID) (galenastair.Peer, bool) {
+func (m *Manager) member(id galenastair.InstanceID) (galenastair.Peer, bool) {
 	for _, p := range m.assignment.Members() {
 		if p.ID == id {
 			return p, true
--- a/claim/keeper_test.go
+++ b/claim/keeper_test.go
@@ -54,7 +54,7 @@
 	for i := 0; ; i++ {
 		key := fmt.Sprint("bid-", i)
 		agreed := !slices.ContainsFunc(seenBy, func(n *node) bool {
-			p, _ := n.Home(string(KeyOf("Furnir", galenastair.IdempotencyKey(key))))
+			p, _ := n.Owner(string(KeyOf("Furnir", galenastair.IdempotencyKey(key))))
 			return p != owner.peer
 		})
 		if agreed {
@@ -153,7 +153,7 @@
 		_, err := c.nodes[2].begin(key, "d", "1")
 		is.NoErr(err)
 		c.kill(c.nodes[2])
-		owner, _ := c.nodes[3].Home(string(KeyOf("Furnir", galenastair.IdempotencyKey(key))))
+		owner, _ := c.nodes[3].Owner(string(KeyOf("Furnir", galenastair.IdempotencyKey(key))))
 		if owner != c.nodes[1].peer || c.nodes[0].manager.table.Len() == 0 {
 			continue
 		}
@@ -253,18 +253,18 @@
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	var announced []Digest
-	here := NewPoison(func(d Digest) { announced = append(announced, d) })
-	there := NewPoison(nil)
+	here := NewPoisonTracker(func(d Digest) { announced = append(announced, d) })
+	there := NewPoisonTracker(nil)
 	is.NoErr(here.Allow(now, "d"))
-	is.True(here.Stopped(now, "d"))
-	there.Heard(now, announced[0])
+	is.True(here.RecordCrash(now, "d"))
+	there.RecordRemoteCrash(now, announced[0])
 	is.NoErr(there.Allow(now, "d"))
-	is.True(!there.Stopped(now, "d"))
+	is.True(!there.RecordCrash(now, "d"))
 	is.True(errors.Is(there.Allow(now, "d"), galenastair.ErrPoison))
 	is.NoErr(there.Allow(now, "e"))
 	is.NoErr(there.Allow(now.Add(defaultRefusalDuration), "d"))
 	for i := range maxPoisonEntries + 10 {
-		here.Heard(now, Digest(fmt.Sprint(i)))
+		here.RecordRemoteCrash(now, Digest(fmt.Sprint(i)))
 	}
 	is.True(len(here.crashes) <= maxPoisonEntries)
 }
--- a/claim/poison.go
+++ b/claim/poison.go
@@ -23,7 +23,7 @@
 
 // PoisonTracker counts the backend servers that crashed while they ran a request, by the
 // digest of the request, and refuses a request that has crashed too many.
-type Poison struct {
+type PoisonTracker struct {
 	mu              sync.Mutex
 	crashes         map[Digest]crashRecord
 	announce        func(Digest)
@@ -32,13 +32,13 @@
 }
 
 // PoisonOption configures a PoisonTracker.
-type PoisonOption func(*Poison)
+type PoisonOption func(*PoisonTracker)
 
 // WithCrashLimit sets how many backend servers one request may crash, and for how long it is
 // refused after that. Where connections often break without a crash, a higher limit and a
 // shorter time prevent the refusal of valid requests.
-func WithTrials(n int, d time.Duration) PoisonOption {
-	return func(p *Poison) { p.maxCrashes, p.refusalDuration = n, d }
+func WithCrashLimit(n int, d time.Duration) PoisonOption {
+	return func(p *PoisonTracker) { p.maxCrashes, p.refusalDuration = n, d }
 }
 
 type crashRecord struct {
@@ -48,11 +48,11 @@
 
 // NewPoisonTracker returns an empty PoisonTracker. It calls announce, if not nil, with the digest of
 // each request that crashed a backend server, to be passed on to all instances.
-func NewPoison(announce func(Digest), opts ...PoisonOption) *Poison {
+func NewPoisonTracker(announce func(Digest), opts ...PoisonOption) *PoisonTracker {
 	if announce == nil {
 		announce = func(Digest) {}
 	}
-	p := &Poison{crashes: make(map[Digest]crashRecord), announce: announce, maxCrashes: defaultMaxCrashes, refusalDuration: defaultRefusalDuration}
+	p := &PoisonTracker{crashes: make(map[Digest]crashRecord), announce: announce, maxCrashes: defaultMaxCrashes, refusalDuration: defaultRefusalDuration}
 	for _, o := range opts {
 		o(p)
 	}
@@ -60,7 +60,7 @@
 }
 
 // Allow returns a refusal if the request has crashed too many backend servers.
-func (p *Poison) Allow(now time.Time, d Digest) error {
+func (p *PoisonTracker) Allow(now time.Time, d Digest) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s, ok := p.crashes[d]
@@ -75,7 +75,7 @@
 //
 // The crash is announced to every instance, since the caller may repeat the request through
 // another instance, which would otherwise start counting from zero.
-func (p *Poison) Stopped(now time.Time, d Digest) (retry bool) {
+func (p *PoisonTracker) RecordCrash(now time.Time, d Digest) (retry bool) {
 	p.mu.Lock()
 	count := p.add(now, d, 1)
 	p.mu.Unlock()
@@ -84,7 +84,7 @@
 }
 
 // RecordSuccess removes a request that a backend server has completed.
-func (p *Poison) Succeeded(d Digest) {
+func (p *PoisonTracker) RecordSuccess(d Digest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.crashes, d)
@@ -92,13 +92,13 @@
 
 // RecordRemoteCrash counts a crash that another instance announced. It is called once for each
 // backend server that crashed.
-func (p *Poison) Heard(now time.Time, d Digest) {
+func (p *PoisonTracker) RecordRemoteCrash(now time.Time, d Digest) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.add(now, d, 1)
 }
 
-func (p *Poison) add(now time.Time, d Digest, n int) int {
+func (p *PoisonTracker) add(now time.Time, d Digest, n int) int {
 	s := p.crashes[d]
 	if !now.Before(s.expiresAt) {
 		s = crashRecord{}
@@ -113,7 +113,7 @@
 }
 
 // evict removes expired entries, or if there are none, the entry that expires first.
-func (p *Poison) evict(now time.Time) {
+func (p *PoisonTracker) evict(now time.Time) {
 	var first Digest
 	for d, s := range p.crashes {
 		if !now.Before(s.expiresAt) {
--- a/claim/server.go
+++ b/claim/server.go
@@ -12,16 +12,16 @@
 )
 
 // Handler returns the HTTP handler for calls from other instances.
-func (m *Keeper) Handler() http.Handler { return claimpb.NewClaimServer(server{m}) }
+func (m *Manager) Handler() http.Handler { return claimpb.NewClaimServer(server{m}) }
 
 // Server returns the service that Handler serves, for calls without HTTP in tests and benchmarks.
-func (m *Keeper) Server() claimpb.Claim { return server{m} }
+func (m *Manager) Server() claimpb.Claim { return server{m} }
 
-func (m *Keeper) httpPeerClient(p galenastair.Peer) claimpb.Claim {
+func (m *Manager) httpPeerClient(p galenastair.Peer) claimpb.Claim {
 	return claimpb.NewClaimProtobufClient("http://"+p.Address, m.httpClient)
 }
 
-type server struct{ manager *Keeper }
+type server struct{ manager *Manager }
 
 // Begin decides, as the owner of a key, whether an attempt may be sent.
 func (s server) Begin(ctx context.Context, r *claimpb.BeginRequest) (*claimpb.BeginReply, error) {
--- a/claim/tell.go
+++ b/claim/tell.go
@@ -36,7 +36,7 @@
 	storedAsOwner
 )
 
-func (m *Keeper) finish(key Key, id AttemptID, o galenastair.Outcome) {
+func (m *Manager) finish(key Key, id AttemptID, o galenastair.Outcome) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock.Now()
@@ -49,7 +49,7 @@
 
 // sendOutcomes sends each pending outcome until the owner of the key and every copy have it.
 // If a copy of a released key stayed Open, the next owner would refuse the key.
-func (m *Keeper) sendOutcomes(ctx context.Context) {
+func (m *Manager) sendOutcomes(ctx context.Context) {
 	var g errgroup.Group
 	g.SetLimit(maxConcurrentSends)
 	for p, list := range m.pendingByInstance() {
@@ -63,7 +63,7 @@
 }
 
 // pendingByInstance groups the pending outcomes by the instance that is to receive them.
-func (m *Keeper) pendingByInstance() map[galenastair.Peer][]Attempt {
+func (m *Manager) pendingByInstance() map[galenastair.Peer][]Attempt {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	self, now := m.assignment.Self().ID, m.clock.Now()
@@ -73,7 +73,7 @@
 			_, ok := m.member(c)
 			return !ok
 		})
-		owner, ok := m.assignment.Home(string(t.attempt.Key))
+		owner, ok := m.assignment.Owner(string(t.attempt.Key))
 		if ok && owner.ID == self && m.assignment.Serves(string(t.attempt.Key), now) {
 			t.ownerPending = false
 		}
@@ -94,7 +94,7 @@
 	return batches
 }
 
-func (m *Keeper) sendOutcomesTo(ctx context.Context, p galenastair.Peer, list []Attempt) {
+func (m *Manager) sendOutcomesTo(ctx context.Context, p galenastair.Peer, list []Attempt) {
 	results, err := m.sendAttempts(ctx, p, list)
 	if err != nil {
 		return
@@ -117,7 +117,7 @@
 }
 
 // sendAttempts sends attempts to another instance, which stores them.
-func (m *Keeper) sendAttempts(ctx context.Context, p galenastair.Peer, list []Attempt) ([]storeResult, error) {
+func (m *Manager) sendAttempts(ctx context.Context, p galenastair.Peer, list []Attempt) ([]storeResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	m.metrics.messages.Inc()
@@ -136,7 +136,7 @@
 }
 
 // storeAttempts stores attempts received from another instance.
-func (m *Keeper) storeAttempts(list []Attempt) []storeResult {
+func (m *Manager) storeAttempts(list []Attempt) []storeResult {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock.Now()
@@ -156,9 +156,9 @@
 
 // restoreCopies ensures, after a change of epoch, that the attempts on keys owned by this
 // instance are again stored in two availability zones.
-func (m *Keeper) restoreCopies(ctx context.Context) {
+func (m *Manager) restoreCopies(ctx context.Context) {
 	epoch := m.assignment.Epoch()
-	if m.lastRestoredEpoch() == epoch || !m.assignment.Holds(m.clock.Now()) {
+	if m.lastRestoredEpoch() == epoch || !m.assignment.HoldsLease(m.clock.Now()) {
 		return
 	}
 	if err := m.trySync(ctx); err != nil {
@@ -176,14 +176,14 @@
 	m.restoredEpoch = epoch
 }
 
-func (m *Keeper) lastRestoredEpoch() galenastair.Epoch {
+func (m *Manager) lastRestoredEpoch() galenastair.Epoch {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.restoredEpoch
 }
 
 // trySync asks the members for their attempts, unless another goroutine is doing so.
-func (m *Keeper) trySync(ctx context.Context) error {
+func (m *Manager) trySync(ctx context.Context) error {
 	select {
 	case m.syncSemaphore <- struct{}{}:
 		defer func() { <-m.syncSemaphore }()
@@ -195,7 +195,7 @@
 
 // underReplicated returns the attempts without a second copy, grouped by the instance that is
 // to store one.
-func (m *Keeper) underReplicated() map[galenastair.Peer][]Attempt {
+func (m *Manager) underReplicated() map[galenastair.Peer][]Attempt {
 	self := m.assignment.Self().ID
 	batches := make(map[galenastair.Peer][]Attempt)
 	for _, a := range m.attemptsOwnedBy(self) {
@@ -209,7 +209,7 @@
 	return batches
 }
 
-func (m *Keeper) hasSecondCopy(a Attempt) bool {
+func (m *Manager) hasSecondCopy(a Attempt) bool {
 	holders := append(slices.Clip(a.ConfirmedCopies), Process{a.ID.Sender, a.Incarnation})
 	return slices.ContainsFunc(holders, func(h Process) bool {
 		p, ok := m.member(h.ID)
--- a/claim/world_test.go
+++ b/claim/world_test.go
@@ -39,7 +39,7 @@
 	cluster     *cluster
 	index       int
 	peer        galenastair.Peer
-	manager     *Keeper
+	manager     *Manager
 	stopped     bool
 	joinedEpoch int
 	// appliedAt holds when each epoch from joinedEpoch on was applied. Earlier epochs count as applied on joining.
@@ -148,13 +148,13 @@
 	return list
 }
 
-func (n *node) Home(key string) (galenastair.Peer, bool) {
+func (n *node) Owner(key string) (galenastair.Peer, bool) {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	return n.cluster.nodes[n.cluster.owner(n.appliedEpoch(), key)].peer, true
 }
 
-func (n *node) Holds(time.Time) bool {
+func (n *node) HoldsLease(time.Time) bool {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	return !n.stopped
--- a/cmd/galenastair/cmd_contract.go
+++ b/cmd/galenastair/cmd_contract.go
@@ -119,7 +119,7 @@
 		next.KeyHashes = old.KeyHashes
 	}
 	difference := contract.Diff(old, next)
-	latest := v.Latest(next.Organisation)
+	latest := v.LastChange(next.Organisation)
 	fmt.Fprintf(c.out, "%s# difference to revision %d\n", next.Canonical(), latest.Offset)
 	if difference == "" {
 		_, err := fmt.Fprintln(c.out, "# none: the contract is in force already")
@@ -133,7 +133,7 @@
 	if c.base >= 0 {
 		return galenastair.Offset(c.base)
 	}
-	return v.Latest(o).Offset
+	return v.LastChange(o).Offset
 }
 
 func (c *contractCommand) list(args []string) error {
@@ -149,7 +149,7 @@
 	fmt.Fprintln(w, "ORGANISATION\tREVISION\tAUTHOR\tRATE TOKENS PER SECOND\tBURST TOKENS\tKEYS\tMODELS\tSERVICES")
 	for _, o := range v.Organisations() {
 		k, _ := v.Contract(o)
-		latest := v.Latest(o)
+		latest := v.LastChange(o)
 		fmt.Fprintf(w, "%s\t%d\t%s\t%d\t%d\t%d\t%d\t%d\n", o, latest.Offset, latest.Author,
 			k.Rate, k.Burst, len(k.KeyHashes), len(k.Models), len(k.Services))
 	}
@@ -166,7 +166,7 @@
 	}
 	defer cancel()
 	o := galenastair.Organisation(c.words[0])
-	latest := v.Latest(o)
+	latest := v.LastChange(o)
 	k, found := v.Contract(o)
 	if !found {
 		return eris.Errorf("%q has no contract (last revision %d)", o, latest.Offset)
--- a/cmd/galenastair/cmd_gateway.go
+++ b/cmd/galenastair/cmd_gateway.go
@@ -67,7 +67,7 @@
 		logger.Log("event", "reload", "changed", "nothing that a running instance takes over")
 	})
 	defer stop()
-	return node.New(s, node.WithLogger(logger), node.WithDropped(lines.Dropped)).Run(ctx)
+	return node.New(s, node.WithLogger(logger), node.WithDroppedLogLines(lines.Dropped)).Run(ctx)
 }
 
 // onReload calls f on each SIGHUP, which would else end the process.
--- a/cmd/galenastair/cmd_key.go
+++ b/cmd/galenastair/cmd_key.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	if _, known := v.ByKey(hash); !known {
+	if _, known := v.LookupKey(hash); !known {
 		fmt.Fprintln(errOut, "this key was never given; it is withdrawn beforehand, and nobody can be given it")
 	}
 	return flags.change(ctx, p, config.KindKeyWithdrawn, config.KeyWithdrawn{KeyHash: hash}, out)
--- a/cmd/galenastair/command_test.go
+++ b/cmd/galenastair/command_test.go
@@ -83,16 +83,16 @@
 // fakeEntry answers each request with two tokens, or refuses it.
 type fakeEntry struct{ refuse error }
 
-func (f fakeEntry) Complete(_ context.Context, _ request.Call, sink request.Sink) error {
+func (f fakeEntry) Complete(_ context.Context, _ request.Call, sink request.ResponseWriter) error {
 	if f.refuse != nil {
 		return f.refuse
 	}
 	for i, data := range []string{`{"choices":[{"index":0,"delta":{"content":"a"}}]}`, `{"choices":[{"index":0,"delta":{"content":"b"},"finish_reason":"stop"}]}`} {
-		if err := sink.Chunk(galenastair.Chunk{Sequence: int64(i + 1), Data: []byte(data)}); err != nil {
+		if err := sink.WriteChunk(galenastair.Chunk{Sequence: int64(i + 1), Data: []byte(data)}); err != nil {
 			return err
 		}
 	}
-	return sink.Chunk(galenastair.Chunk{Sequence: 3, End: true})
+	return sink.WriteChunk(galenastair.Chunk{Sequence: 3, End: true})
 }
 
 func (f fakeEntry) CallService(context.Context, request.ServiceCall) (galenastair.ServiceAnswer, error) {
--- a/cmd/galenastair/gateways.go
+++ b/cmd/galenastair/gateways.go
@@ -15,25 +15,25 @@
 	fmt.Fprintln(w, "INSTANCE\tZONE\tREADY\tVERSION\tAGE\tPLANNER\tFLEET\tLENDER")
 	for _, s := range all {
 		ready := yesUnless(s.NotReady)
-		planner := s.Planner
-		if s.Plans {
+		planner := s.Leader
+		if s.IsLeader {
 			planner = "itself"
 		}
 		lender := "answers"
-		if s.Alone {
+		if s.InFallback {
 			lender = "silent"
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%d\t%s\n", s.Instance, s.AvailabilityZone, ready,
-			s.Version, s.Age.Round(time.Millisecond), planner, s.Fleet, lender)
+			s.Version, s.Age.Round(time.Millisecond), planner, s.FleetSize, lender)
 	}
 	if len(all) == 0 {
 		return
 	}
 	fmt.Fprintf(w, "\nBACKEND SERVER\tSERVICE\tZONE\tADDRESS\tIN USE\tREQUESTS\tFAILURES\tLIMIT\tHOLDS\n")
 	for _, b := range all[0].BackendServers {
-		use := yesUnless(string(b.Out))
+		use := yesUnless(string(b.Unavailable))
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%.0f%%\t%s\t%s\n", b.ID, b.Service, b.AvailabilityZone, b.Address,
-			use, b.Flights, 100*b.FailureShare, limitOf(b), joinNames(b.Holds))
+			use, b.InFlight, 100*b.FailureRate, limitOf(b), joinNames(b.Holds))
 	}
 }
 
--- a/config/assembly.go
+++ b/config/assembly.go
@@ -19,7 +19,7 @@
 type snapshotAssembler struct {
 	id     snapshotID
 	parts  [][]byte
-	newest *Fold
+	newest *StateMachine
 }
 
 func (a *snapshotAssembler) add(rec galenastair.LogRecord) {
--- a/config/bench_test.go
+++ b/config/bench_test.go
@@ -24,8 +24,8 @@
 	return records
 }
 
-func applyAll(records []galenastair.LogRecord) *Fold {
-	f := NewFold()
+func applyAll(records []galenastair.LogRecord) *StateMachine {
+	f := NewStateMachine()
 	for _, rec := range records {
 		f.Apply(rec)
 	}
@@ -86,7 +86,7 @@
 	h := testKey(3000)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, found := v.ByKey(h); !found {
+		if _, found := v.LookupKey(h); !found {
 			b.Fatal("key is missing")
 		}
 	}
--- a/config/fold.go
+++ b/config/fold.go
@@ -12,7 +12,7 @@
 const firstOffset galenastair.Offset = 1
 
 // StateMachine is the deterministic state of the configuration stream up to an offset.
-type Fold struct {
+type StateMachine struct {
 	next          galenastair.Offset
 	rulesVersion  int
 	halted        bool
@@ -29,8 +29,8 @@
 }
 
 // NewStateMachine returns the state of an empty stream.
-func NewFold() *Fold {
-	return &Fold{
+func NewStateMachine() *StateMachine {
+	return &StateMachine{
 		next:          firstOffset,
 		rulesVersion:  1,
 		organisations: newCOWMap[galenastair.Organisation, *organisation](hashOrganisation),
@@ -43,16 +43,16 @@
 }
 
 // Next returns the offset of the first record that has not been applied.
-func (sm *Fold) Next() galenastair.Offset { return sm.next }
+func (sm *StateMachine) Next() galenastair.Offset { return sm.next }
 
 // Halted reports whether the stream requires a rules version that this program does not support.
-func (sm *Fold) Halted() bool { return sm.halted }
+func (sm *StateMachine) Halted() bool { return sm.halted }
 
 // Digest returns the digest of the state machine's entries.
-func (sm *Fold) Digest() Digest { return sm.digest }
+func (sm *StateMachine) Digest() Digest { return sm.digest }
 
 // Apply applies the next record; records before Next are skipped.
-func (sm *Fold) Apply(rec galenastair.LogRecord) ApplyResult {
+func (sm *StateMachine) Apply(rec galenastair.LogRecord) ApplyResult {
 	res := ApplyResult{Offset: rec.Offset, Outcome: Skipped}
 	switch {
 	case rec.Offset < sm.next:
@@ -74,7 +74,7 @@
 	return res
 }
 
-func (sm *Fold) apply(rec galenastair.LogRecord, res ApplyResult) ApplyResult {
+func (sm *StateMachine) apply(rec galenastair.LogRecord, res ApplyResult) ApplyResult {
 	r, err := decodeRecord(rec.Data)
 	if err != nil {
 		res.Reason, res.Detail = Malformed, err.Error()
@@ -93,7 +93,7 @@
 	return res
 }
 
-func (sm *Fold) applyByKind(r galenastair.Record, c Change, res ApplyResult) ApplyResult {
+func (sm *StateMachine) applyByKind(r galenastair.Record, c Change, res ApplyResult) ApplyResult {
 	switch r.Kind {
 	case KindContractPublished:
 		return decodeAndApply(r, c, res, sm.applyContractPublished)
@@ -135,7 +135,7 @@
 	return res
 }
 
-func (sm *Fold) applyRulesRaised(b RulesRaised, _ Change) rejection {
+func (sm *StateMachine) applyRulesRaised(b RulesRaised, _ Change) rejection {
 	if b.Version <= sm.rulesVersion {
 		return rejection{reason: Conflict, detail: "rules version already in force"}
 	}
@@ -147,14 +147,14 @@
 	return rejection{}
 }
 
-func (sm *Fold) recordApplied(a appliedRecord) {
+func (sm *StateMachine) recordApplied(a appliedRecord) {
 	sm.digest.add(a.digestInput())
 	if old, forgotten := sm.recent.add(a); forgotten {
 		sm.digest.remove(old.digestInput())
 	}
 }
 
-func (sm *Fold) setOrganisation(o *organisation) {
+func (sm *StateMachine) setOrganisation(o *organisation) {
 	if old, found := sm.organisations.get(o.Name); found {
 		sm.digest.remove(old.digestInput())
 	}
--- a/config/follower.go
+++ b/config/follower.go
@@ -31,7 +31,7 @@
 // Follower tails the configuration stream and provides the current view of it.
 type Follower struct {
 	reader         *reader
-	peers          Peers
+	peers          PeerClient
 	logger         log.Logger
 	clock          galenastair.Clock
 	fleetSize      func() int
@@ -50,7 +50,7 @@
 
 // WithPeers sets the client with which the follower reads records and snapshots from other
 // instances while the log is unreachable.
-func WithPeers(p Peers) FollowerOption { return func(f *Follower) { f.peers = p } }
+func WithPeers(p PeerClient) FollowerOption { return func(f *Follower) { f.peers = p } }
 
 // WithLogger sets the logger, which receives accepted changes, records that were not
 // applied, and failures.
@@ -61,7 +61,7 @@
 
 // WithFleetSize sets a function that returns how many instances tail the log; the poll
 // timeout depends on it.
-func WithFleet(size func() int) FollowerOption { return func(f *Follower) { f.fleetSize = size } }
+func WithFleetSize(size func() int) FollowerOption { return func(f *Follower) { f.fleetSize = size } }
 
 // NewFollower returns a follower; call Run to start it.
 func NewFollower(l galenastair.Log, opts ...FollowerOption) *Follower {
--- a/config/follower_test.go
+++ b/config/follower_test.go
@@ -72,7 +72,7 @@
 	is.True(!f.Ready())
 	startFollower(t, f)
 	v := waitForView(t, f, 2)
-	k, found := v.ByKey(testKey(1))
+	k, found := v.LookupKey(testKey(1))
 	is.True(found && k.Organisation == "A" && k.Contract.PermitsModel("m2"))
 	is.True(f.Ready() && !f.LogContact().IsZero())
 	l.add(testRecord("b", KindKeyWithdrawn, KeyWithdrawn{KeyHash: testKey(1)}))
@@ -81,9 +81,9 @@
 	case <-time.After(10 * time.Second):
 		t.Fatal("view was not superseded")
 	}
-	k, found = f.View().ByKey(testKey(1))
+	k, found = f.View().LookupKey(testKey(1))
 	is.True(found && k.Withdrawn)
-	_, found = v.ByKey(testKey(1))
+	_, found = v.LookupKey(testKey(1))
 	is.True(found) // the old view is immutable
 }
 
@@ -119,7 +119,7 @@
 func TestNoPollTimeoutAfterFailedRead(t *testing.T) {
 	is := is.New(t)
 	l := &pollTimeoutLog{fakeLog: newFakeLog()}
-	f := NewFollower(l, WithFleet(func() int { return 370 }))
+	f := NewFollower(l, WithFleetSize(func() int { return 370 }))
 	is.NoErr(f.poll(t.Context()))
 	is.NoErr(f.poll(t.Context()))
 	l.setDown(true)
--- a/config/history_test.go
+++ b/config/history_test.go
@@ -151,7 +151,7 @@
 	}
 	switch c.random.IntN(6) {
 	case 0:
-		c.recorder.add(c.id, call, operation{}, result{state: string(v.Latest("R").Record)}, true)
+		c.recorder.add(c.id, call, operation{}, result{state: string(v.LastChange("R").Record)}, true)
 	case 1:
 		c.recorder.add(c.id, call, operation{key: key}, result{state: keyState(v, key)}, true)
 	case 2:
@@ -161,7 +161,7 @@
 			c.change(ctx, operation{kind: KindKeyWithdrawn, key: key}, KeyWithdrawn{key})
 		}
 	default:
-		latest := v.Latest("R")
+		latest := v.LastChange("R")
 		next := testContract("R")
 		next.Rate = galenastair.TokensPerSecond(1 + c.random.IntN(1000))
 		c.change(ctx, operation{kind: KindContractPublished, base: latest.Record}, ContractPublished{latest.Offset, next})
@@ -187,7 +187,7 @@
 }
 
 func keyState(v *View, h galenastair.KeyHash) string {
-	k, found := v.ByKey(h)
+	k, found := v.LookupKey(h)
 	switch {
 	case !found:
 		return keyUnknown
--- a/config/measure_test.go
+++ b/config/measure_test.go
@@ -62,7 +62,7 @@
 		if i < unreachable {
 			log = partitionableLog{client, &f.logUnreachable}
 		}
-		follower := config.NewFollower(log, config.WithPeers(record.NewClient(others)), config.WithFleet(func() int { return n }))
+		follower := config.NewFollower(log, config.WithPeers(record.NewClient(others)), config.WithFleetSize(func() int { return n }))
 		h := httptest.NewServer(record.NewServer(map[galenastair.Stream]record.Source{galenastair.ConfigurationStream: follower}))
 		t.Cleanup(h.Close)
 		self.Address = h.Listener.Addr().String()
--- a/config/model_test.go
+++ b/config/model_test.go
@@ -107,7 +107,7 @@
 func formatView(v *View) string {
 	m := newModel()
 	for i := range 6 {
-		k, found := v.ByKey(testKey(i))
+		k, found := v.LookupKey(testKey(i))
 		switch {
 		case found && k.Withdrawn:
 			m.keys[testKey(i)] = keyWithdrawn
@@ -116,7 +116,7 @@
 		}
 	}
 	for _, o := range modelOrganisations {
-		m.revision[o] = v.Latest(o).Offset
+		m.revision[o] = v.LastChange(o).Offset
 		_, m.inForce[o] = v.Contract(o)
 	}
 	return m.String()
@@ -126,7 +126,7 @@
 type simulation struct {
 	log               *fakeLog
 	model             *model
-	reference         *Fold
+	reference         *StateMachine
 	expectedViews     map[galenastair.Offset]string
 	expectedSnapshots map[galenastair.Offset]string
 	instances         []*reader
@@ -136,7 +136,7 @@
 
 func newSimulation() *simulation {
 	sim := &simulation{
-		log: newFakeLog(), model: newModel(), reference: NewFold(), lastOffsets: make([]galenastair.Offset, 3),
+		log: newFakeLog(), model: newModel(), reference: NewStateMachine(), lastOffsets: make([]galenastair.Offset, 3),
 		expectedViews: make(map[galenastair.Offset]string), expectedSnapshots: make(map[galenastair.Offset]string),
 	}
 	for range sim.lastOffsets {
@@ -296,7 +296,7 @@
 	f.Add(testRecord("r", KindSnapshotTaken, SnapshotTaken{Covers: 2, Parts: 1, Data: []byte("{}")}))
 	f.Add(testRecord("r", KindRulesRaised, RulesRaised{2}))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		s := &harness{sm: NewFold()}
+		s := &harness{sm: NewStateMachine()}
 		s.publish(NoRevision, "A", testKey(1))
 		s.withdrawKey(testKey(3))
 		v := s.sm.Apply(galenastair.LogRecord{Offset: 3, Data: data})
--- a/config/pace.go
+++ b/config/pace.go
@@ -34,7 +34,7 @@
 // is the leader.
 //
 // It needs no fencing: a second leader appends the same bytes for the same offset.
-func (f *Follower) Republish(ctx context.Context, retention time.Duration, author string, isLeader func() bool) error {
+func (f *Follower) PublishSnapshots(ctx context.Context, retention time.Duration, author string, isLeader func() bool) error {
 	tick := time.NewTicker(retention / snapshotsPerRetention / checksPerInterval)
 	defer tick.Stop()
 	// lastAppended is when this instance last appended a snapshot, which it may not have
--- a/config/pace_test.go
+++ b/config/pace_test.go
@@ -34,7 +34,7 @@
 		return true
 	}
 	ended := make(chan error, 1)
-	go func() { ended <- f.Republish(ctx, 16*time.Millisecond, "leader", isLeader) }()
+	go func() { ended <- f.PublishSnapshots(ctx, 16*time.Millisecond, "leader", isLeader) }()
 	t.Cleanup(func() {
 		cancel()
 		if err := <-ended; !errors.Is(err, context.Canceled) {
--- a/config/peers.go
+++ b/config/peers.go
@@ -15,11 +15,11 @@
 	ErrNoPeer = eris.New("no other instance responded")
 	// ErrNotCaughtUp is returned by an instance that has not caught up with the log yet, and
 	// so cannot serve its peers.
-	ErrNoView = eris.New("no configuration is in force here yet")
+	ErrNotCaughtUp = eris.New("no configuration is in force here yet")
 )
 
 // PeerResponse is the response of one peer to a read of a stream.
-type Answer struct {
+type PeerResponse struct {
 	Peer  Peer
 	Batch galenastair.Batch
 	// LogAge is the time since the log last answered the peer; it is negative if it never did.
@@ -27,14 +27,14 @@
 }
 
 // PeerClient sends requests to the other instances of the last known epoch.
-type Peers interface {
+type PeerClient interface {
 	// Members returns the other instances.
 	Members() []Peer
 	// ReadRecords asks some members of each availability zone, different ones on each call,
 	// for the records from an offset on, and returns the responses received in time.
-	ReadRecords(ctx context.Context, s galenastair.Stream, from galenastair.Offset) []Answer
+	ReadRecords(ctx context.Context, s galenastair.Stream, from galenastair.Offset) []PeerResponse
 	// FetchSnapshot asks one member for a snapshot of its state.
-	FetchFold(ctx context.Context, s galenastair.Stream, p Peer) ([]byte, error)
+	FetchSnapshot(ctx context.Context, s galenastair.Stream, p Peer) ([]byte, error)
 }
 
 // noPeers is the PeerClient of an instance without peers.
@@ -42,11 +42,11 @@
 
 func (noPeers) Members() []Peer { return nil }
 
-func (noPeers) ReadRecords(context.Context, galenastair.Stream, galenastair.Offset) []Answer {
+func (noPeers) ReadRecords(context.Context, galenastair.Stream, galenastair.Offset) []PeerResponse {
 	return nil
 }
 
-func (noPeers) FetchFold(context.Context, galenastair.Stream, Peer) ([]byte, error) {
+func (noPeers) FetchSnapshot(context.Context, galenastair.Stream, Peer) ([]byte, error) {
 	return nil, ErrNoPeer
 }
 
@@ -60,7 +60,7 @@
 	f.detector.beginRound()
 	responses := f.peers.ReadRecords(ctx, galenastair.ConfigurationStream, f.reader.sm.Next())
 	now := f.clock.Now()
-	var best *Answer
+	var best *PeerResponse
 	for i := range responses {
 		r := &responses[i]
 		f.detector.recordResponse(now, r.Peer.AvailabilityZone, r.LogAge, r.LogAge >= 0)
@@ -76,7 +76,7 @@
 	}
 }
 
-func (f *Follower) applyPeerResponse(ctx context.Context, r *Answer) error {
+func (f *Follower) applyPeerResponse(ctx context.Context, r *PeerResponse) error {
 	next := f.reader.sm.Next()
 	switch {
 	case r.Batch.Next < next:
@@ -92,7 +92,7 @@
 }
 
 func (f *Follower) restoreFromPeer(ctx context.Context, p Peer) error {
-	data, err := f.peers.FetchFold(ctx, galenastair.ConfigurationStream, p)
+	data, err := f.peers.FetchSnapshot(ctx, galenastair.ConfigurationStream, p)
 	if err != nil {
 		return err
 	}
--- a/config/reach.go
+++ b/config/reach.go
@@ -30,7 +30,7 @@
 	AvailabilityZone galenastair.AvailabilityZone
 	// Deregistered is set when a recent read of the platform's instance list no longer
 	// contains the peer.
-	Gone bool
+	Deregistered bool
 }
 
 // maxUnansweredRounds is the number of consecutive rounds of requests after which an
@@ -105,7 +105,7 @@
 	registered := 0
 	for _, p := range peers {
 		size[p.AvailabilityZone]++
-		if !p.Gone {
+		if !p.Deregistered {
 			present[p.AvailabilityZone]++
 			registered++
 		}
--- a/config/reach_test.go
+++ b/config/reach_test.go
@@ -30,7 +30,7 @@
 	}
 	all := peersInZones("a", "a", "b", "b", "c", "c")
 	deregistered := peersInZones("a", "a", "b", "b", "c", "c")
-	deregistered[4].Gone, deregistered[5].Gone = true, true
+	deregistered[4].Deregistered, deregistered[5].Deregistered = true, true
 	tests := []struct {
 		name      string
 		contact   time.Duration // time since the log answered
--- a/config/reader.go
+++ b/config/reader.go
@@ -34,13 +34,13 @@
 // reader applies the records of the configuration stream as it reads them from the log.
 type reader struct {
 	log galenastair.Log
-	sm  *Fold
+	sm  *StateMachine
 	// onApplied is called for every applied record, in order.
 	onApplied func(galenastair.LogRecord, ApplyResult)
 }
 
 func newReader(l galenastair.Log) *reader {
-	return &reader{log: l, sm: NewFold(), onApplied: func(galenastair.LogRecord, ApplyResult) {}}
+	return &reader{log: l, sm: NewStateMachine(), onApplied: func(galenastair.LogRecord, ApplyResult) {}}
 }
 
 // read applies the records of one read and reports whether that reached the end of the stream.
@@ -103,7 +103,7 @@
 }
 
 // installIfNewer replaces the state machine if the given one is at a higher offset.
-func (r *reader) installIfNewer(sm *Fold) bool {
+func (r *reader) installIfNewer(sm *StateMachine) bool {
 	if sm.Next() <= r.sm.Next() {
 		return false
 	}
@@ -111,7 +111,7 @@
 	return true
 }
 
-func (r *reader) newestSnapshot(ctx context.Context) (*Fold, error) {
+func (r *reader) newestSnapshot(ctx context.Context) (*StateMachine, error) {
 	end, err := r.readBatch(ctx, offsetPastEnd, 0)
 	if err != nil {
 		return nil, err
--- a/config/recovery_test.go
+++ b/config/recovery_test.go
@@ -17,16 +17,16 @@
 
 func (p fakePeers) Members() []Peer { return []Peer{{ID: "other", AvailabilityZone: "z1"}} }
 
-func (p fakePeers) ReadRecords(_ context.Context, _ galenastair.Stream, from galenastair.Offset) []Answer {
+func (p fakePeers) ReadRecords(_ context.Context, _ galenastair.Stream, from galenastair.Offset) []PeerResponse {
 	b, err := p.follower.ReadRecords(from)
 	if err != nil {
 		return nil
 	}
-	return []Answer{{Peer: p.Members()[0], Batch: b, LogAge: p.follower.LogAge()}}
+	return []PeerResponse{{Peer: p.Members()[0], Batch: b, LogAge: p.follower.LogAge()}}
 }
 
-func (p fakePeers) FetchFold(context.Context, galenastair.Stream, Peer) ([]byte, error) {
-	return p.follower.FetchFold()
+func (p fakePeers) FetchSnapshot(context.Context, galenastair.Stream, Peer) ([]byte, error) {
+	return p.follower.FetchSnapshot()
 }
 
 // publishContracts publishes contracts of organisations O1 to On.
@@ -61,7 +61,7 @@
 	got := waitForView(t, fresh, l.next())
 	is.Equal(got.Digest(), want.Digest())
 	is.Equal(got.Snapshot(), want.Snapshot())
-	k, _ := got.ByKey(testKey(7))
+	k, _ := got.LookupKey(testKey(7))
 	is.True(k.Withdrawn)
 }
 
@@ -105,7 +105,7 @@
 	waitForView(t, ahead, l.next())
 	l.setDown(true)
 
-	k, _ := waitForView(t, lagging, l.next()).ByKey(testKey(1))
+	k, _ := waitForView(t, lagging, l.next()).LookupKey(testKey(1))
 	is.True(k.Withdrawn)
 	is.True(len(lagging.tail.records) > 0) // records were read, not a snapshot
 	replaced := NewFollower(behind, WithPeers(fakePeers{ahead}))
@@ -128,8 +128,8 @@
 	b := NewFollower(l, WithPeers(fakePeers{a}))
 	b.readFromPeers(context.Background())
 	is.True(!b.Ready())
-	_, err := a.FetchFold()
-	is.True(errors.Is(err, ErrNoView))
+	_, err := a.FetchSnapshot()
+	is.True(errors.Is(err, ErrNotCaughtUp))
 }
 
 // A leader with a faulty build appends a snapshot that differs. Instances that start from it
@@ -137,9 +137,9 @@
 // Fails without the comparison in verifySnapshot, or without those in assemble.
 func TestSnapshotMismatch(t *testing.T) {
 	is := is.New(t)
-	s := &harness{sm: NewFold()}
+	s := &harness{sm: NewStateMachine()}
 	s.publish(0, "A", testKey(1))
-	other := &harness{sm: NewFold()}
+	other := &harness{sm: NewStateMachine()}
 	other.publish(0, "A", testKey(2))
 	before := s.sm.Digest()
 	right, err := snapshotRecords(s.sm.View(), "leader")
@@ -209,7 +209,7 @@
 	l.releaseDelayed()
 	v, err := p.CatchUp(context.Background())
 	is.NoErr(err)
-	is.Equal(v.Latest("A").Record, r.ID)
+	is.Equal(v.LastChange("A").Record, r.ID)
 	l.fault = func() appendFault { return appendRefused }
 	_, err = p.Publish(ctx, r)
 	is.True(errors.Is(err, ErrNotPublished))
--- a/config/rules.go
+++ b/config/rules.go
@@ -13,7 +13,7 @@
 // Without this check, one of two concurrent changes, or a change made since the published
 // file was exported, would be overwritten silently. All instances compare the same base
 // with the same revision, since they apply records in log order.
-func (sm *Fold) applyContractPublished(b ContractPublished, c Change) rejection {
+func (sm *StateMachine) applyContractPublished(b ContractPublished, c Change) rejection {
 	if err := b.Contract.Validate(); err != nil {
 		return rejection{reason: Invalid, detail: err.Error()}
 	}
@@ -38,7 +38,7 @@
 
 // applyContractWithdrawn withdraws the contract and, permanently, its keys: a key restored
 // by a later contract would be a withdrawn key that is valid again.
-func (sm *Fold) applyContractWithdrawn(b ContractWithdrawn, c Change) rejection {
+func (sm *StateMachine) applyContractWithdrawn(b ContractWithdrawn, c Change) rejection {
 	old, found := sm.organisations.get(b.Organisation)
 	if !found || old.Contract == nil {
 		return rejection{reason: NoContract, detail: fmt.Sprintf("%q has no contract", b.Organisation)}
@@ -53,7 +53,7 @@
 	return rejection{}
 }
 
-func (sm *Fold) applyKeyGiven(b KeyGiven, c Change) rejection {
+func (sm *StateMachine) applyKeyGiven(b KeyGiven, c Change) rejection {
 	if !contract.ValidKeyHash(b.KeyHash) {
 		return rejection{reason: Invalid, detail: "key hash is not 64 hex digits"}
 	}
@@ -80,7 +80,7 @@
 
 // applyKeyWithdrawn has no base revision, so it never conflicts. It also applies to a key
 // that is given only later in the stream.
-func (sm *Fold) applyKeyWithdrawn(b KeyWithdrawn, c Change) rejection {
+func (sm *StateMachine) applyKeyWithdrawn(b KeyWithdrawn, c Change) rejection {
 	id, ok := parseKeyID(b.KeyHash)
 	if !ok || !contract.ValidKeyHash(b.KeyHash) {
 		return rejection{reason: Invalid, detail: "key hash is not 64 hex digits"}
@@ -97,7 +97,7 @@
 	return rejection{}
 }
 
-func (sm *Fold) checkBase(name galenastair.Organisation, base galenastair.Offset) rejection {
+func (sm *StateMachine) checkBase(name galenastair.Organisation, base galenastair.Offset) rejection {
 	old, found := sm.organisations.get(name)
 	if !found && base == NoRevision {
 		return rejection{}
@@ -113,7 +113,7 @@
 }
 
 // checkName rejects a name that is visually confusable with another organisation's name.
-func (sm *Fold) checkName(name galenastair.Organisation) rejection {
+func (sm *StateMachine) checkName(name galenastair.Organisation) rejection {
 	other, found := sm.skeletons[contract.Skeleton(name)]
 	if !found || other == name {
 		return rejection{}
@@ -125,7 +125,7 @@
 // checkKeys rejects withdrawn keys and keys of other organisations. A contract that lists
 // no keys keeps the current ones. One that lists keys must list all current ones, since a
 // missing key could mean either that it is kept or that it is withdrawn.
-func (sm *Fold) checkKeys(c *contract.Contract) rejection {
+func (sm *StateMachine) checkKeys(c *contract.Contract) rejection {
 	for _, h := range c.KeyHashes {
 		if rej := sm.checkKey(h, c.Organisation); rej.reason != NoReason {
 			return rej
@@ -147,7 +147,7 @@
 	return rejection{}
 }
 
-func (sm *Fold) checkKey(h galenastair.KeyHash, name galenastair.Organisation) rejection {
+func (sm *StateMachine) checkKey(h galenastair.KeyHash, name galenastair.Organisation) rejection {
 	id, _ := parseKeyID(h)
 	if _, withdrawn := sm.withdrawn.get(id); withdrawn {
 		return rejection{reason: KeyWasWithdrawn, detail: fmt.Sprintf("key hash %s was withdrawn and cannot be used again", h)}
@@ -160,12 +160,12 @@
 	return rejection{reason: KeyTaken, detail: fmt.Sprintf("key hash %s belongs to another organisation", h)}
 }
 
-func (sm *Fold) addKey(h galenastair.KeyHash, name galenastair.Organisation) {
+func (sm *StateMachine) addKey(h galenastair.KeyHash, name galenastair.Organisation) {
 	id, _ := parseKeyID(h)
 	sm.keys.put(id, name)
 }
 
-func (sm *Fold) withdrawKey(h galenastair.KeyHash) {
+func (sm *StateMachine) withdrawKey(h galenastair.KeyHash) {
 	id, _ := parseKeyID(h)
 	sm.keys.remove(id)
 	if _, already := sm.withdrawn.get(id); already {
--- a/config/rules_test.go
+++ b/config/rules_test.go
@@ -10,7 +10,7 @@
 )
 
 // harness applies records in sequence, at offsets from 1.
-type harness struct{ sm *Fold }
+type harness struct{ sm *StateMachine }
 
 func (s *harness) apply(kind galenastair.RecordKind, body any) ApplyResult {
 	at := s.sm.Next()
@@ -34,7 +34,7 @@
 }
 
 func (s *harness) keyOwner(h galenastair.KeyHash) string {
-	k, found := s.sm.View().ByKey(h)
+	k, found := s.sm.View().LookupKey(h)
 	switch {
 	case !found:
 		return "unknown"
@@ -94,7 +94,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			s := &harness{sm: NewFold()}
+			s := &harness{sm: NewStateMachine()}
 			res := tt.steps(s)
 			is.Equal(res.Reason, tt.want)
 			is.Equal(s.keyOwner(k1), tt.key)
@@ -110,7 +110,7 @@
 // Fails if Apply does not check recent.
 func TestDuplicateRecordAppliedOnce(t *testing.T) {
 	is := is.New(t)
-	sm := NewFold()
+	sm := NewStateMachine()
 	data := testRecord("r1", KindContractPublished, ContractPublished{Contract: testContract("A")})
 	is.Equal(sm.Apply(galenastair.LogRecord{Offset: 1, Data: data}).Outcome, Accepted)
 	digest := sm.Digest()
--- a/config/serve.go
+++ b/config/serve.go
@@ -13,16 +13,16 @@
 // and reject every key as unknown.
 func (f *Follower) ReadRecords(from galenastair.Offset) (galenastair.Batch, error) {
 	if f.view.Load() == nil {
-		return galenastair.Batch{}, ErrNoView
+		return galenastair.Batch{}, ErrNotCaughtUp
 	}
 	return f.tail.read(from), nil
 }
 
 // FetchSnapshot returns a snapshot of the newest view to a peer.
-func (f *Follower) FetchFold() ([]byte, error) {
+func (f *Follower) FetchSnapshot() ([]byte, error) {
 	v := f.view.Load()
 	if v == nil {
-		return nil, ErrNoView
+		return nil, ErrNotCaughtUp
 	}
 	return v.Snapshot(), nil
 }
--- a/config/snapshot.go
+++ b/config/snapshot.go
@@ -27,7 +27,7 @@
 }
 
 // Snapshot serialises the state machine; Restore is its inverse.
-func (sm *Fold) Snapshot() []byte { return sm.View().Snapshot() }
+func (sm *StateMachine) Snapshot() []byte { return sm.View().Snapshot() }
 
 // Snapshot serialises the state machine at the view's offset.
 func (v *View) Snapshot() []byte {
@@ -50,7 +50,7 @@
 
 // Restore returns the state machine that a snapshot was taken of. It verifies the digest
 // that the snapshot names.
-func Restore(data []byte) (*Fold, error) {
+func Restore(data []byte) (*StateMachine, error) {
 	var s snapshot
 	if err := decode(data, &s); err != nil {
 		return nil, err
@@ -58,7 +58,7 @@
 	if s.Rules < 1 || s.Rules > maxRulesVersion {
 		return nil, eris.Wrapf(ErrMalformed, "unsupported rules version %d of snapshot", s.Rules)
 	}
-	sm := NewFold()
+	sm := NewStateMachine()
 	sm.next, sm.rulesVersion = s.Next, s.Rules
 	for _, o := range s.Organisations {
 		if err := sm.restoreOrganisation(o); err != nil {
@@ -80,7 +80,7 @@
 	return sm, nil
 }
 
-func (sm *Fold) restoreOrganisation(o *organisation) error {
+func (sm *StateMachine) restoreOrganisation(o *organisation) error {
 	if o == nil {
 		return eris.Wrap(ErrMalformed, "organisation is null")
 	}
@@ -97,7 +97,7 @@
 	return nil
 }
 
-func (sm *Fold) restoreWithdrawnKey(text string) error {
+func (sm *StateMachine) restoreWithdrawnKey(text string) error {
 	id, ok := parseKeyID(galenastair.KeyHash(text + strings.Repeat("0", len(text))))
 	if !ok {
 		return eris.Wrap(ErrMalformed, "invalid hash of withdrawn key")
@@ -113,7 +113,7 @@
 // If a leader with a faulty build appends a snapshot that differs, instances that start
 // from it would use other contracts than those that kept running. Running instances never
 // load a snapshot from the stream, and each of them reports the mismatch.
-func (sm *Fold) verifySnapshot(r galenastair.Record, res ApplyResult) ApplyResult {
+func (sm *StateMachine) verifySnapshot(r galenastair.Record, res ApplyResult) ApplyResult {
 	var b SnapshotTaken
 	if err := decode(r.Body, &b); err != nil {
 		res.Reason, res.Detail = Malformed, err.Error()
--- a/config/view.go
+++ b/config/view.go
@@ -22,7 +22,7 @@
 }
 
 // View returns the current configuration.
-func (sm *Fold) View() *View {
+func (sm *StateMachine) View() *View {
 	return &View{
 		next:          sm.next,
 		rulesVersion:  sm.rulesVersion,
@@ -38,7 +38,7 @@
 
 // LookupKey returns the state of a key; it returns false for a key that was neither given
 // nor withdrawn.
-func (v *View) ByKey(h galenastair.KeyHash) (Key, bool) {
+func (v *View) LookupKey(h galenastair.KeyHash) (Key, bool) {
 	id, ok := parseKeyID(h)
 	if !ok {
 		return Key{}, false
@@ -61,7 +61,7 @@
 }
 
 // LastChange returns the last change of an organisation's configuration, which may be a withdrawal.
-func (v *View) Latest(name galenastair.Organisation) Change {
+func (v *View) LastChange(name galenastair.Organisation) Change {
 	o, found := v.organisations.get(name)
 	if !found {
 		return Change{Offset: NoRevision}
--- a/contract/parse.go
+++ b/contract/parse.go
@@ -32,7 +32,7 @@
 
 // Parse parses a contract file. Its error is an inifile.Problems that lists all problems.
 func Parse(text []byte) (Contract, error) {
-	file, err := inifile.Read(text, schema, maxFileBytes)
+	file, err := inifile.Parse(text, schema, maxFileBytes)
 	if err != nil {
 		return Contract{}, err
 	}
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -21,8 +21,8 @@
 	{"region", 270, 250, 2000},
 }
 
-func benchCore(s benchSize) *Core {
-	c := NewCore(rand.New(rand.NewPCG(1, 2)))
+func benchCore(s benchSize) *Scheduler {
+	c := NewScheduler(rand.New(rand.NewPCG(1, 2)))
 	c.SetServers(start, serverList(s.servers))
 	for i := range s.servers {
 		r := galenastair.EngineReport{BackendServer: galenastair.BackendServerID(fmt.Sprint(i))}
@@ -30,7 +30,7 @@
 			m := galenastair.ModelName(fmt.Sprint("m", (i*6+j)%s.models))
 			r.Loaded = append(r.Loaded, galenastair.LoadedWeight{Weight: galenastair.Weight{Name: m}, State: galenastair.Ready})
 		}
-		c.Report(start, r)
+		c.ApplyReport(start, r)
 	}
 	return c
 }
@@ -43,7 +43,7 @@
 		Model:        m,
 		PromptTokens: 400,
 		OutputTokens: 120,
-		Prefix:       route.Prefix(m, prompt),
+		PrefixHashes: route.PrefixHashes(m, prompt),
 	}
 }
 
@@ -117,6 +117,6 @@
 	prompt := make([]byte, 8192)
 	b.ReportAllocs()
 	for b.Loop() {
-		route.Prefix("m", prompt)
+		route.PrefixHashes("m", prompt)
 	}
 }
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -38,7 +38,7 @@
 
 // Scheduler decides which waiting request is sent to which backend server. It does no I/O
 // and starts no goroutine. It is not safe for concurrent use.
-type Core struct {
+type Scheduler struct {
 	router       *route.Router
 	modelStates  map[galenastair.ModelName]*modelState
 	serverShares map[galenastair.BackendServerID]*shareTracker
@@ -49,8 +49,8 @@
 }
 
 // NewScheduler returns a scheduler without backend servers that takes random numbers from rng.
-func NewCore(rng *rand.Rand) *Core {
-	return &Core{
+func NewScheduler(rng *rand.Rand) *Scheduler {
+	return &Scheduler{
 		router:       route.New(rng),
 		modelStates:  map[galenastair.ModelName]*modelState{},
 		serverShares: map[galenastair.BackendServerID]*shareTracker{},
@@ -61,11 +61,11 @@
 }
 
 // Submit adds a request. The next or a later Poll returns its decision.
-func (s *Core) Submit(now time.Time, r Request) *Ticket {
+func (s *Scheduler) Submit(now time.Time, r Request) *Ticket {
 	t := &Ticket{Request: r, submittedAt: now}
 	m := s.model(r.Model)
 	s.recordDemand(m, r)
-	s.router.Review(now)
+	s.router.DetectOutliers(now)
 	if err := s.checkCopies(now, m, r); err != nil {
 		s.refuse(now, t, err)
 		return t
@@ -76,15 +76,15 @@
 		Organisation: r.Organisation,
 		Weight:       r.Weight,
 		Cost:         r.cost(),
-		Fresh:        now.Add(queueTimeTarget),
+		LateAfter:    now.Add(queueTimeTarget),
 		Deadline:     r.Deadline,
 	}
 	s.tickets[it] = t
 	s.backlog.add(it)
-	it.Entitled = s.backlog.withinShare(it.Organisation)
+	it.WithinShare = s.backlog.withinShare(it.Organisation)
 	s.refuseAll(now, m.queue.Push(now, it))
 	s.dispatchModel(now, m)
-	if t.state == queued && it.Entitled {
+	if t.state == queued && it.WithinShare {
 		s.dispatchWithinShare(now, m, t)
 	}
 	if len(s.tickets) > maxQueuedRequests {
@@ -95,8 +95,8 @@
 
 // checkCopies returns a refusal if no copy of the request's model has been ready for
 // noCopyTimeout, and nil if one is ready or may still become so. A retry is refused at once.
-func (s *Core) checkCopies(now time.Time, m *modelState, r Request) *galenastair.Refusal {
-	if s.router.Known(now, r.Model, r.Exclude) {
+func (s *Scheduler) checkCopies(now time.Time, m *modelState, r Request) *galenastair.Refusal {
+	if s.router.HasCopy(now, r.Model, r.Exclude) {
 		m.noCopySince = time.Time{}
 		return nil
 	}
@@ -112,7 +112,7 @@
 	return galenastair.Refuse(galenastair.ErrNoBackendServer, noCopyRetryAfter, string(r.Model))
 }
 
-func (s *Core) model(name galenastair.ModelName) *modelState {
+func (s *Scheduler) model(name galenastair.ModelName) *modelState {
 	m := s.modelStates[name]
 	if m == nil {
 		m = &modelState{queue: queue.NewFair(queue.MaxWaiting)}
@@ -122,7 +122,7 @@
 }
 
 // dispatchModel sends waiting requests of one model while any copy has capacity.
-func (s *Core) dispatchModel(now time.Time, m *modelState) {
+func (s *Scheduler) dispatchModel(now time.Time, m *modelState) {
 	fit := func(*queue.Item) bool { return true }
 	for m.queue.Len() > 0 {
 		it := m.queue.Next(now, fit)
@@ -145,17 +145,17 @@
 
 // dispatchWithinShare sends a request of an organisation within its share, if need be beyond
 // the window of the backend server.
-func (s *Core) dispatchWithinShare(now time.Time, m *modelState, t *Ticket) {
+func (s *Scheduler) dispatchWithinShare(now time.Time, m *modelState, t *Ticket) {
 	q := t.Request.query()
-	q.Entitled = true
+	q.WithinShare = true
 	if d, ok := s.router.Choose(now, q); ok {
 		s.grant(now, m, &t.item, d)
 	}
 }
 
 // dispatchServer sends waiting requests to a backend server while it has capacity.
-func (s *Core) dispatchServer(now time.Time, id galenastair.BackendServerID) {
-	for s.router.HasRoom(id) {
+func (s *Scheduler) dispatchServer(now time.Time, id galenastair.BackendServerID) {
+	for s.router.HasCapacity(id) {
 		name, it := s.nextFor(now, id)
 		if it == nil {
 			return
@@ -165,7 +165,7 @@
 			s.refuseAll(now, m.queue.Expire(now))
 			continue
 		}
-		s.grant(now, m, it, s.router.Take(id, s.tickets[it].Request.query()))
+		s.grant(now, m, it, s.router.Assign(id, s.tickets[it].Request.query()))
 	}
 	// An ejected backend server may still hold the only copy of a model.
 	for _, name := range s.router.Loaded(id) {
@@ -177,7 +177,7 @@
 
 // nextFor returns the waiting request that is next on a backend server, and its model. It
 // compares the first request of each organisation in the queue of each loaded model.
-func (s *Core) nextFor(now time.Time, id galenastair.BackendServerID) (galenastair.ModelName, *queue.Item) {
+func (s *Scheduler) nextFor(now time.Time, id galenastair.BackendServerID) (galenastair.ModelName, *queue.Item) {
 	tn := s.serverShare(id)
 	fit := func(it *queue.Item) bool { return !s.excludes(it, id) }
 	var best galenastair.ModelName
@@ -200,7 +200,7 @@
 
 // less reports whether a goes before b on a backend server: requests within
 // queueTimeTarget before late ones, then by the organisations' start tags, then by arrival.
-func (s *Core) less(now time.Time, a, b *queue.Item, tagA, tagB float64) bool {
+func (s *Scheduler) less(now time.Time, a, b *queue.Item, tagA, tagB float64) bool {
 	if a.Late(now) != b.Late(now) {
 		return b.Late(now)
 	}
@@ -210,7 +210,7 @@
 	return s.tickets[a].submittedAt.Before(s.tickets[b].submittedAt)
 }
 
-func (s *Core) excludes(it *queue.Item, id galenastair.BackendServerID) bool {
+func (s *Scheduler) excludes(it *queue.Item, id galenastair.BackendServerID) bool {
 	for _, e := range s.tickets[it].Request.Exclude {
 		if e == id {
 			return true
@@ -219,7 +219,7 @@
 	return false
 }
 
-func (s *Core) serverShare(id galenastair.BackendServerID) *shareTracker {
+func (s *Scheduler) serverShare(id galenastair.BackendServerID) *shareTracker {
 	t := s.serverShares[id]
 	if t == nil {
 		t = newShareTracker()
@@ -228,19 +228,19 @@
 	return t
 }
 
-func (s *Core) grant(now time.Time, m *modelState, it *queue.Item, d route.Decision) {
+func (s *Scheduler) grant(now time.Time, m *modelState, it *queue.Item, d route.Decision) {
 	t := s.tickets[it]
 	s.serverShare(d.Server).charge(it.Organisation, float64(it.Cost), float64(it.Weight))
 	m.queue.Take(now, it)
 	s.removeQueued(it)
 	t.state, t.grantedAt, t.server = running, now, d.Server
-	s.router.Sent(now, d.Server, t.Request.Prefix)
+	s.router.Sent(now, d.Server, t.Request.PrefixHashes)
 	waited := now.Sub(t.submittedAt)
 	s.recordQuality(t, waited <= queueTimeTarget)
 	s.decisions = append(s.decisions, Decision{Ticket: t, Choice: Choice{
-		Decision: d,
-		Priority: s.priority(m, it),
-		Waited:   waited,
+		Decision:  d,
+		Priority:  s.priority(m, it),
+		QueueTime: waited,
 	}})
 }
 
@@ -248,27 +248,27 @@
 // gets the next less urgent level: if its requests are spread over many models and
 // instances, it has few waiting in each queue, and the level of the queue alone would not
 // rank it behind the others.
-func (s *Core) priority(m *modelState, it *queue.Item) int {
+func (s *Scheduler) priority(m *modelState, it *queue.Item) int {
 	level := m.queue.Priority(it.Organisation)
-	if !it.Entitled && s.backlog.overShare(it.Organisation) {
+	if !it.WithinShare && s.backlog.overShare(it.Organisation) {
 		return level + 1
 	}
 	return level
 }
 
-func (s *Core) removeQueued(it *queue.Item) {
+func (s *Scheduler) removeQueued(it *queue.Item) {
 	delete(s.tickets, it)
 	s.backlog.remove(it)
 }
 
-func (s *Core) refuse(_ time.Time, t *Ticket, err *galenastair.Refusal) {
+func (s *Scheduler) refuse(_ time.Time, t *Ticket, err *galenastair.Refusal) {
 	t.state = ended
 	s.model(t.Request.Model).demand.Refused++
 	s.recordQuality(t, false)
 	s.decisions = append(s.decisions, Decision{Ticket: t, Err: err})
 }
 
-func (s *Core) refuseAll(now time.Time, refused []queue.Refused) {
+func (s *Scheduler) refuseAll(now time.Time, refused []queue.Refused) {
 	for _, r := range refused {
 		t := s.tickets[r.Item]
 		s.removeQueued(r.Item)
@@ -277,7 +277,7 @@
 }
 
 // shed refuses one request of the longest queue when all queues together are full.
-func (s *Core) shed(now time.Time) {
+func (s *Scheduler) shed(now time.Time) {
 	var longest *modelState
 	for _, m := range s.modelStates {
 		if longest == nil || m.queue.Len() > longest.queue.Len() {
@@ -288,7 +288,7 @@
 }
 
 // Poll returns the decisions made since the previous call.
-func (s *Core) Poll() []Decision {
+func (s *Scheduler) Poll() []Decision {
 	out := s.decisions
 	s.decisions = nil
 	return out
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -16,11 +16,11 @@
 
 var start = time.Unix(1000, 0)
 
-func newCore(servers int, models ...galenastair.ModelName) *Core {
-	c := NewCore(rand.New(rand.NewPCG(1, 2)))
+func newCore(servers int, models ...galenastair.ModelName) *Scheduler {
+	c := NewScheduler(rand.New(rand.NewPCG(1, 2)))
 	c.SetServers(start, serverList(servers))
 	for i := range servers {
-		c.Report(start, report(i, models...))
+		c.ApplyReport(start, report(i, models...))
 	}
 	return c
 }
@@ -126,7 +126,7 @@
 	c := newCore(1)
 	c.Submit(start, request("a", "m"))
 	is.Equal(len(c.Poll()), 0)
-	c.Report(start.Add(time.Second), report(0, "m"))
+	c.ApplyReport(start.Add(time.Second), report(0, "m"))
 	ds := c.Poll()
 	is.Equal(len(ds), 1)
 	is.Equal(ds[0].Err, nil)
@@ -135,7 +135,7 @@
 	ds = c.Poll()
 	is.True(errors.Is(ds[0].Err, galenastair.ErrNoBackendServer))
 	is.Equal(ds[0].Err.Outcome, galenastair.NotRun)
-	is.Equal(c.Waiting(), 0)
+	is.Equal(c.QueueLength(), 0)
 }
 
 // A flood must not exhaust the memory of an instance: the number of waiting requests is
@@ -146,7 +146,7 @@
 	c := newCore(1, models...)
 	for i := range 4000 {
 		c.Submit(start, request("flood", models[i%len(models)]))
-		is.True(c.Waiting() <= maxQueuedRequests)
+		is.True(c.QueueLength() <= maxQueuedRequests)
 	}
 }
 
@@ -173,7 +173,7 @@
 	is := is.New(t)
 	d := New()
 	d.SetServers(serverList(1))
-	d.Report(report(0, "m"))
+	d.ApplyReport(report(0, "m"))
 	var grants []*Grant
 	for range 4 {
 		g, err := d.Acquire(context.Background(), request("a", "m"))
@@ -188,7 +188,7 @@
 			gone <- err
 		}()
 	}
-	for d.Waiting() < cap(gone) {
+	for d.QueueLength() < cap(gone) {
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
@@ -198,7 +198,7 @@
 		}
 		is.True(errors.Is(<-gone, context.Canceled))
 	}
-	is.Equal(d.Waiting(), 0)
+	is.Equal(d.QueueLength(), 0)
 	for i := range 4 {
 		g, err := d.Acquire(context.Background(), request("a", "m"))
 		is.NoErr(err)
@@ -226,7 +226,7 @@
 		models = append(models, galenastair.ModelName(fmt.Sprint("m", i)))
 	}
 	c := newCore(2, models...)
-	c.Report(start, report(1, "x"))
+	c.ApplyReport(start, report(1, "x"))
 	send := func(o string, m galenastair.ModelName) []Decision {
 		r := request(o, m)
 		r.Weight = 10_000
--- a/dispatch/demand.go
+++ b/dispatch/demand.go
@@ -29,7 +29,7 @@
 	PromptTokens galenastair.Tokens
 	// MaxOutputTokens sums the output limits of the requests, OutputTokens the tokens that
 	// were produced.
-	PermittedTokens galenastair.Tokens
+	MaxOutputTokens galenastair.Tokens
 	OutputTokens    galenastair.Tokens
 	// Work sums prompt tokens and permitted output tokens, weighted more for organisations
 	// whose requests are late. Placement uses it, so that models of the worst served
@@ -41,12 +41,12 @@
 // processes about ten prompt tokens in the time in which a batch produces one output token.
 const promptTokenWork = 0.1
 
-func (s *Core) recordDemand(m *modelState, r Request) {
+func (s *Scheduler) recordDemand(m *modelState, r Request) {
 	d := &m.demand
 	d.Model = r.Model
 	d.Requests++
 	d.PromptTokens += r.PromptTokens
-	d.PermittedTokens += r.OutputTokens
+	d.MaxOutputTokens += r.OutputTokens
 	work := promptTokenWork*float64(r.PromptTokens) + float64(r.OutputTokens)
 	if q := s.quality[r.Organisation]; q != nil {
 		work *= 1 + lateDemandFactor*q.lateShare
@@ -54,7 +54,7 @@
 	d.Work += work
 }
 
-func (s *Core) recordQuality(t *Ticket, good bool) {
+func (s *Scheduler) recordQuality(t *Ticket, good bool) {
 	q := s.quality[t.Request.Organisation]
 	if q == nil {
 		if len(s.quality) >= maxTrackedQuality {
@@ -71,7 +71,7 @@
 }
 
 // Demand returns the demand of every model requested so far.
-func (s *Core) Demand() []Demand {
+func (s *Scheduler) Demand() []Demand {
 	out := make([]Demand, 0, len(s.modelStates))
 	for _, m := range s.modelStates {
 		out = append(out, m.demand)
@@ -80,4 +80,4 @@
 }
 
 // QueueLength returns the number of requests that wait for a backend server.
-func (s *Core) Waiting() int { return len(s.tickets) }
+func (s *Scheduler) QueueLength() int { return len(s.tickets) }
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -16,10 +16,10 @@
 	clock galenastair.Clock
 	rng   *rand.Rand
 
-	mu      sync.Mutex
-	core    *Core
-	budget  *RetryBudget
-	waiters map[*Ticket]chan Decision
+	mu        sync.Mutex
+	scheduler *Scheduler
+	budget    *RetryBudget
+	waiters   map[*Ticket]chan Decision
 }
 
 // Option configures a Dispatcher.
@@ -46,7 +46,7 @@
 	for _, opt := range opts {
 		opt(d)
 	}
-	d.core = NewCore(d.rng)
+	d.scheduler = NewScheduler(d.rng)
 	return d
 }
 
@@ -87,7 +87,7 @@
 	if len(r.Exclude) == 0 {
 		d.budget.Earn()
 	}
-	t := d.core.Submit(d.clock.Now(), r)
+	t := d.scheduler.Submit(d.clock.Now(), r)
 	d.waiters[t] = decided
 	d.deliver()
 	return t, decided
@@ -96,7 +96,7 @@
 // deliver sends the pending decisions to their waiters. The channels never block, as each
 // has a buffer of one and receives one decision.
 func (d *Dispatcher) deliver() {
-	for _, dec := range d.core.Poll() {
+	for _, dec := range d.scheduler.Poll() {
 		if decided, ok := d.waiters[dec.Ticket]; ok {
 			delete(d.waiters, dec.Ticket)
 			decided <- dec
@@ -114,7 +114,7 @@
 func (d *Dispatcher) expire(m galenastair.ModelName) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.core.Expire(d.clock.Now(), m)
+	d.scheduler.Expire(d.clock.Now(), m)
 	d.deliver()
 }
 
@@ -123,12 +123,12 @@
 func (d *Dispatcher) abandon(ctx context.Context, t *Ticket, decided chan Decision) (*Grant, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.core.Cancel(t)
+	d.scheduler.Cancel(t)
 	delete(d.waiters, t)
 	select {
 	case dec := <-decided:
 		if dec.Err == nil {
-			d.core.Done(d.clock.Now(), t, Result{})
+			d.scheduler.Done(d.clock.Now(), t, Result{})
 			d.deliver()
 		}
 	default:
@@ -147,15 +147,15 @@
 func (d *Dispatcher) SetServers(servers []Server) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.core.SetServers(d.clock.Now(), servers)
+	d.scheduler.SetServers(d.clock.Now(), servers)
 	d.deliver()
 }
 
 // ApplyReport applies an engine's report of its state.
-func (d *Dispatcher) Report(r galenastair.EngineReport) {
+func (d *Dispatcher) ApplyReport(r galenastair.EngineReport) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.core.Report(d.clock.Now(), r)
+	d.scheduler.ApplyReport(d.clock.Now(), r)
 	d.deliver()
 }
 
@@ -163,26 +163,26 @@
 func (d *Dispatcher) CacheEvents(id galenastair.BackendServerID, events []galenastair.CacheEvent) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.core.CacheEvents(id, events)
+	d.scheduler.CacheEvents(id, events)
 }
 
 // Demand returns the demand of every model requested on this instance so far.
 func (d *Dispatcher) Demand() []Demand {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.core.Demand()
+	return d.scheduler.Demand()
 }
 
 // Unhealthy returns the backend servers that remain slow, failing or silent.
-func (d *Dispatcher) Slow() []galenastair.BackendServerID {
+func (d *Dispatcher) Unhealthy() []galenastair.BackendServerID {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.core.Slow(d.clock.Now())
+	return d.scheduler.Unhealthy(d.clock.Now())
 }
 
 // QueueLength returns the number of requests that wait for a backend server.
-func (d *Dispatcher) Waiting() int {
+func (d *Dispatcher) QueueLength() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.core.Waiting()
+	return d.scheduler.QueueLength()
 }
--- a/dispatch/flight.go
+++ b/dispatch/flight.go
@@ -8,7 +8,7 @@
 )
 
 // Cancel removes a request whose caller went away before it was granted.
-func (s *Core) Cancel(t *Ticket) {
+func (s *Scheduler) Cancel(t *Ticket) {
 	if s.tickets[&t.item] == nil {
 		return
 	}
@@ -19,20 +19,20 @@
 
 // Expire refuses the waiting requests of a model whose deadline has passed, and all of them
 // if no copy of the model has been ready for noCopyTimeout.
-func (s *Core) Expire(now time.Time, name galenastair.ModelName) {
+func (s *Scheduler) Expire(now time.Time, name galenastair.ModelName) {
 	m := s.modelStates[name]
 	if m == nil {
 		return
 	}
 	s.refuseAll(now, m.queue.Expire(now))
-	if m.noCopySince.IsZero() || now.Sub(m.noCopySince) < noCopyTimeout || s.router.Known(now, name, nil) {
+	if m.noCopySince.IsZero() || now.Sub(m.noCopySince) < noCopyTimeout || s.router.HasCopy(now, name, nil) {
 		return
 	}
 	s.refuseAll(now, m.queue.Clear(galenastair.ErrNoBackendServer, noCopyRetryAfter))
 }
 
 // FirstToken records the arrival of the first token of a granted request.
-func (s *Core) FirstToken(now time.Time, t *Ticket) {
+func (s *Scheduler) FirstToken(now time.Time, t *Ticket) {
 	if t.state != running || !t.firstTokenAt.IsZero() {
 		return
 	}
@@ -42,29 +42,29 @@
 	s.dispatchServer(now, t.server)
 }
 
-func (s *Core) firstToken(now time.Time, t *Ticket, took time.Duration) {
+func (s *Scheduler) firstToken(now time.Time, t *Ticket, took time.Duration) {
 	t.firstTokenAt = t.grantedAt.Add(took)
 	s.router.FirstToken(now, t.server, took, t.Request.PromptTokens)
 }
 
 // Done records the end of a granted request and reuses its slot.
-func (s *Core) Done(now time.Time, t *Ticket, res Result) {
+func (s *Scheduler) Done(now time.Time, t *Ticket, res Result) {
 	if t.state != running {
 		return
 	}
-	if t.firstTokenAt.IsZero() && res.FirstToken > 0 {
-		s.firstToken(now, t, res.FirstToken)
+	if t.firstTokenAt.IsZero() && res.TimeToFirstToken > 0 {
+		s.firstToken(now, t, res.TimeToFirstToken)
 	}
 	t.state = ended
 	m := s.model(t.Request.Model)
 	m.queue.Refund(t.Request.Organisation, t.Request.OutputTokens-res.OutputTokens)
 	m.demand.OutputTokens += res.OutputTokens
-	s.router.Done(now, t.server, route.End{
-		Answered: !t.firstTokenAt.IsZero(),
-		Failed:   res.Failed,
-		Gap:      interTokenLatency(now, t, res),
+	s.router.Done(now, t.server, route.Result{
+		Answered:          !t.firstTokenAt.IsZero(),
+		Failed:            res.Failed,
+		InterTokenLatency: interTokenLatency(now, t, res),
 	})
-	s.router.Review(now)
+	s.router.DetectOutliers(now)
 	s.dispatchServer(now, t.server)
 }
 
@@ -76,7 +76,7 @@
 }
 
 // SetServers replaces the list of model engines.
-func (s *Core) SetServers(now time.Time, list []Server) {
+func (s *Scheduler) SetServers(now time.Time, list []Server) {
 	s.router.SetServers(now, list)
 	present := make(map[galenastair.BackendServerID]bool, len(list))
 	for _, srv := range list {
@@ -90,20 +90,20 @@
 }
 
 // ApplyReport applies an engine's report of its state, and uses the capacity that it shows.
-func (s *Core) Report(now time.Time, r galenastair.EngineReport) {
-	s.router.Report(now, r)
-	s.router.Review(now)
+func (s *Scheduler) ApplyReport(now time.Time, r galenastair.EngineReport) {
+	s.router.ApplyReport(now, r)
+	s.router.DetectOutliers(now)
 	s.dispatchServer(now, r.BackendServer)
 }
 
 // CacheEvents applies an engine's additions to and evictions from its prefix cache.
-func (s *Core) CacheEvents(id galenastair.BackendServerID, events []galenastair.CacheEvent) {
+func (s *Scheduler) CacheEvents(id galenastair.BackendServerID, events []galenastair.CacheEvent) {
 	s.router.CacheEvents(id, events)
 }
 
 // Unhealthy returns the backend servers that remain slow, failing or silent. Placement loads
 // copies of their models on other ones.
-func (s *Core) Slow(now time.Time) []galenastair.BackendServerID {
-	s.router.Review(now)
-	return s.router.Slow()
+func (s *Scheduler) Unhealthy(now time.Time) []galenastair.BackendServerID {
+	s.router.DetectOutliers(now)
+	return s.router.Unhealthy()
 }
--- a/dispatch/grant.go
+++ b/dispatch/grant.go
@@ -11,7 +11,7 @@
 func (g *Grant) FirstToken() {
 	g.dispatcher.mu.Lock()
 	defer g.dispatcher.mu.Unlock()
-	g.dispatcher.core.FirstToken(g.dispatcher.clock.Now(), g.ticket)
+	g.dispatcher.scheduler.FirstToken(g.dispatcher.clock.Now(), g.ticket)
 	g.dispatcher.deliver()
 }
 
@@ -19,6 +19,6 @@
 func (g *Grant) Release(res Result) {
 	g.dispatcher.mu.Lock()
 	defer g.dispatcher.mu.Unlock()
-	g.dispatcher.core.Done(g.dispatcher.clock.Now(), g.ticket, res)
+	g.dispatcher.scheduler.Done(g.dispatcher.clock.Now(), g.ticket, res)
 	g.dispatcher.deliver()
 }
--- a/dispatch/request.go
+++ b/dispatch/request.go
@@ -19,7 +19,7 @@
 	// OutputTokens is the maximum number of output tokens.
 	OutputTokens galenastair.Tokens
 	// PrefixHashes holds the chained hashes of the prompt's blocks, from route.PrefixHashes.
-	Prefix []uint64
+	PrefixHashes []uint64
 	// Deadline is the latest useful time for the first token, zero for none.
 	Deadline time.Time
 	// Exclude lists the backend servers on which this request has already failed.
@@ -29,14 +29,14 @@
 func (r Request) cost() galenastair.Tokens { return r.PromptTokens + r.OutputTokens }
 
 func (r Request) query() route.Query {
-	return route.Query{Model: r.Model, Prefix: r.Prefix, Exclude: r.Exclude}
+	return route.Query{Model: r.Model, PrefixHashes: r.PrefixHashes, Exclude: r.Exclude}
 }
 
 // Result describes how a granted request ended.
 type Result struct {
 	// TimeToFirstToken is measured from the grant, zero if no token came. It is needed only
 	// if Grant.FirstToken was not called.
-	FirstToken time.Duration
+	TimeToFirstToken time.Duration
 	// OutputTokens counts the tokens that the backend server produced.
 	OutputTokens galenastair.Tokens
 	// Failed reports that the backend server, and not the caller, aborted the request.
@@ -52,7 +52,7 @@
 	// Priority is the priority level for the engine. Lower levels are served first.
 	Priority int
 	// QueueTime is how long the request waited in the queue.
-	Waited time.Duration
+	QueueTime time.Duration
 }
 
 // Decision is the choice for a submitted request or its refusal.
--- a/engine/client.go
+++ b/engine/client.go
@@ -70,10 +70,10 @@
 	}
 	limited, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	tracked, sending := httpclient.Track(limited)
-	resp, err := c.pool.For(server).RoundTrip(req.WithContext(tracked))
+	tracked, sending := httpclient.WithRequestTrace(limited)
+	resp, err := c.pool.Transport(server).RoundTrip(req.WithContext(tracked))
 	if err != nil {
-		return c.pool.Failed(ctx, server, sending, err)
+		return c.pool.ClassifyError(ctx, server, sending, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
--- a/engine/complete.go
+++ b/engine/complete.go
@@ -28,7 +28,7 @@
 		return nil, eris.Wrapf(galenastair.ErrNotSent, "%v", err)
 	}
 	req.Header.Set("Content-Type", "application/json")
-	return c.open(ctx, req, c.pool.For(server), comp.ID, 0)
+	return c.open(ctx, req, c.pool.Transport(server), comp.ID, 0)
 }
 
 // Resume continues an answer after the given sequence on a new connection.
@@ -38,15 +38,15 @@
 		return nil, eris.Wrapf(galenastair.ErrNotSent, "%v", err)
 	}
 	req.Header.Set(HeaderLastEventID, strconv.FormatInt(after, 10))
-	c.pool.Forget(server)
-	return c.open(ctx, req, c.pool.Fresh(), id, after)
+	c.pool.CloseIdle(server)
+	return c.open(ctx, req, c.pool.UnpooledTransport(), id, after)
 }
 
 // open sends a request and returns its stream once the headers of the answer are in.
 func (c *Client) open(ctx context.Context, req *http.Request, t http.RoundTripper, id galenastair.RequestID, after int64) (galenastair.AnswerStream, error) {
 	req.Header.Set(HeaderRequestID, string(id))
 	req.Header.Set("Accept", "text/event-stream")
-	tracked, sending := httpclient.Track(ctx)
+	tracked, sending := httpclient.WithRequestTrace(ctx)
 	tracked, cancel := context.WithCancel(tracked)
 	s := &stream{cancel: cancel, silence: c.silence, check: checker{id: id, next: after + 1}}
 	s.timer = time.AfterFunc(c.silence, s.expire)
@@ -55,10 +55,10 @@
 	if err != nil {
 		cancel()
 		if s.silent.Load() && !sending.NotSent() {
-			c.pool.Forget(req.URL.Host)
+			c.pool.CloseIdle(req.URL.Host)
 			return nil, eris.Wrap(galenastair.ErrSilent, "before the answer began")
 		}
-		return nil, c.pool.Failed(ctx, req.URL.Host, sending, err)
+		return nil, c.pool.ClassifyError(ctx, req.URL.Host, sending, err)
 	}
 	if resp.StatusCode != http.StatusOK {
 		defer cancel()
--- a/engine/path_test.go
+++ b/engine/path_test.go
@@ -38,7 +38,7 @@
 	server string
 }
 
-func (b bare) Complete(ctx context.Context, c carry.Call, sink carry.Sink) error {
+func (b bare) Complete(ctx context.Context, c carry.Call, sink carry.ResponseWriter) error {
 	s, err := b.engine.Complete(ctx, b.server, galenastair.Completion{ID: c.ID, Model: c.Model, Body: c.Body})
 	if err != nil {
 		return err
@@ -52,7 +52,7 @@
 		if err != nil {
 			return err
 		}
-		if err := sink.Chunk(chunk); err != nil {
+		if err := sink.WriteChunk(chunk); err != nil {
 			return err
 		}
 	}
--- a/entry/adapt.go
+++ b/entry/adapt.go
@@ -23,7 +23,7 @@
 	if !ok {
 		return rate.Contract{}, false
 	}
-	return rate.Contract{Rate: found.Rate, Burst: found.Burst, Offset: c.view.Latest(o).Offset}, true
+	return rate.Contract{Rate: found.Rate, Burst: found.Burst, Offset: c.view.LastChange(o).Offset}, true
 }
 
 // Organisations returns all organisations that have a contract.
@@ -55,11 +55,11 @@
 }
 
 // claimsAdapter implements request.Claims with a claim keeper.
-type claimsAdapter struct{ *claim.Keeper }
+type claimsAdapter struct{ *claim.Manager }
 
 // Begin takes the claim of a request with an idempotency key.
 func (c claimsAdapter) Begin(ctx context.Context, o galenastair.Organisation, key galenastair.IdempotencyKey, d claim.Digest, id galenastair.RequestID) (request.Claim, error) {
-	taken, err := c.Keeper.Begin(ctx, o, key, d, id)
+	taken, err := c.Manager.Begin(ctx, o, key, d, id)
 	if err != nil {
 		return nil, err
 	}
--- a/entry/duty.go
+++ b/entry/duty.go
@@ -11,7 +11,7 @@
 // claimOwnerSlot is the slot of the claim owner in the ranking of members for a key.
 const claimOwnerSlot = 0
 
-func (e *Entry) rateDuties() rate.Duties { return rateDuties{e.members.Status()} }
+func (e *Entry) rateAssignment() rate.Assignment { return rateAssignment{e.members.Status()} }
 
 func (e *Entry) rateContracts() rate.Contracts { return contractSource{e.follower.View()} }
 
@@ -25,12 +25,12 @@
 // shareOwner returns the OwnerFunc of a rate share. If the ring has fewer members
 // than there are shares, a member owns several. Otherwise one or two instances could
 // serve only one or two thirds of each contract.
-func shareOwner(a rate.Account) member.Duty {
+func shareOwner(a rate.ShareID) member.OwnerFunc {
 	return func(v member.View) (member.Member, bool) {
 		if len(v.Ring) == 0 {
 			return member.Member{}, false
 		}
-		return member.SlotDuty(shareKey(a.Organisation), int(a.Slot)%len(v.Ring))(v)
+		return member.SlotOwner(shareKey(a.Organisation), int(a.Slot)%len(v.Ring))(v)
 	}
 }
 
@@ -38,33 +38,33 @@
 func claimKey(key string) string { return "claim:" + key }
 
 // rateAssignment tells the rate limiter which member owns which share.
-type rateDuties struct{ s *member.Status }
+type rateAssignment struct{ s *member.Status }
 
 // Self returns this instance.
-func (d rateDuties) Self() galenastair.Peer { return peerOf(d.s.Self) }
+func (d rateAssignment) Self() galenastair.Peer { return peerOf(d.s.Self) }
 
 // Epoch returns the current epoch.
-func (d rateDuties) Epoch() galenastair.Epoch { return d.s.View.Epoch }
+func (d rateAssignment) Epoch() galenastair.Epoch { return d.s.View.Epoch }
 
 // Incarnation returns the number of this instance's current membership, which is new
 // after each join.
-func (d rateDuties) Incarnation() int64 { return int64(d.s.Self.Incarnation) }
+func (d rateAssignment) Incarnation() int64 { return int64(d.s.Self.Incarnation) }
 
 // Owner returns the member that owns a share.
-func (d rateDuties) Owner(a rate.Account) (galenastair.Peer, bool) {
+func (d rateAssignment) Owner(a rate.ShareID) (galenastair.Peer, bool) {
 	m, ok := shareOwner(a)(d.s.View)
 	return peerOf(m), ok
 }
 
 // Owns reports whether this instance owns a share in the current ring and its lease is valid.
-func (d rateDuties) Holds(a rate.Account, now time.Time) bool {
+func (d rateAssignment) Owns(a rate.ShareID, now time.Time) bool {
 	owner, ok := shareOwner(a)(d.s.View)
 	return ok && owner.Incarnation == d.s.Self.Incarnation && d.s.Holds(now)
 }
 
 // Serves reports whether this instance may act as the owner of a share now.
-func (d rateDuties) Serves(a rate.Account, now time.Time) bool {
-	return d.s.ServesDuty(shareOwner(a), now)
+func (d rateAssignment) Serves(a rate.ShareID, now time.Time) bool {
+	return d.s.ActsAs(shareOwner(a), now)
 }
 
 // claimAssignment tells the claim keeper which member owns which key.
@@ -98,8 +98,8 @@
 	return 0
 }
 
-// Home returns the member that owns a key.
-func (d claimAssignment) Home(key string) (galenastair.Peer, bool) {
+// Owner returns the member that owns a key.
+func (d claimAssignment) Owner(key string) (galenastair.Peer, bool) {
 	m, ok := d.members.Status().Owner(claimKey(key), claimOwnerSlot)
 	return peerOf(m), ok
 }
@@ -109,8 +109,8 @@
 	return d.members.Status().Serves(claimKey(key), claimOwnerSlot, now)
 }
 
-// Holds reports whether this instance's lease is valid.
-func (d claimAssignment) Holds(now time.Time) bool { return d.members.Status().Holds(now) }
+// HoldsLease reports whether this instance's lease is valid.
+func (d claimAssignment) HoldsLease(now time.Time) bool { return d.members.Status().Holds(now) }
 
 // Holds reports whether this instance's lease is valid.
 func (e *Entry) Holds(now time.Time) bool { return e.members.Status().Holds(now) }
--- a/entry/duty_test.go
+++ b/entry/duty_test.go
@@ -20,7 +20,7 @@
 			ring[i] = member.Member{ID: "entry", Incarnation: member.Incarnation(i + 1)}
 		}
 		for slot := range rate.Holders {
-			_, ok := shareOwner(rate.Account{Organisation: "Furnir", Slot: rate.Slot(slot)})(member.View{Ring: ring})
+			_, ok := shareOwner(rate.ShareID{Organisation: "Furnir", Slot: rate.Slot(slot)})(member.View{Ring: ring})
 			is.True(ok)
 		}
 	}
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -41,7 +41,7 @@
 	dispatcher     *dispatch.Dispatcher
 	services       *request.ServiceList
 	limiter        *rate.Limiter
-	claims         *claim.Keeper
+	claims         *claim.Manager
 	engine         engineClient
 	leader         *place.Leader
 	reporter       *report.Reporter
@@ -50,7 +50,7 @@
 	callerListener net.Listener
 	// callerServeDone is closed when the callers' port no longer accepts connections.
 	callerServeDone <-chan struct{}
-	conns           *httpserve.Conns
+	conns           *httpserve.ConnTracker
 	fleet           fleet
 	shutdown        shutdownState
 }
@@ -63,7 +63,7 @@
 
 // New returns an entry that does nothing until Run is called.
 func New(s settings.Settings, opts ...Option) (*Entry, error) {
-	e := &Entry{settings: s, logger: log.NewNopLogger(), metrics: operator.NewMetrics(), loop: control.NewLoop(), conns: httpserve.NewConns()}
+	e := &Entry{settings: s, logger: log.NewNopLogger(), metrics: operator.NewMetrics(), loop: control.NewLoop(), conns: httpserve.NewConnTracker()}
 	for _, o := range opts {
 		o(e)
 	}
@@ -71,7 +71,7 @@
 	e.instanceList = logservice.New(s.Platform.InstanceListAddress)
 	e.engine = newEngineClient(s.Engines, e.fleet.engineName)
 	e.leader = e.newLeader(e.loop)
-	e.follower = config.NewFollower(e.log, config.WithLogger(e.logger), config.WithFleet(e.fleet.entryCount),
+	e.follower = config.NewFollower(e.log, config.WithLogger(e.logger), config.WithFleetSize(e.fleet.entryCount),
 		config.WithPeers(record.NewClient(e.otherMembers)))
 	e.members = member.New(e.log,
 		member.WithInstance(s.Instance.ID, s.Instance.AvailabilityZone, s.Instance.PeerAddress),
@@ -81,7 +81,7 @@
 		member.WithLogger(e.logger),
 		member.WithRegisterer(e.metrics.Registry()),
 		member.WithConfigurationOffset(e.configurationOffset),
-		member.WithFold(e.leader),
+		member.WithStateMachine(e.leader),
 	)
 	e.dispatcher = dispatch.New()
 	e.reporter = e.newReporter()
@@ -100,7 +100,7 @@
 		Claims:        claimsAdapter{e.claims},
 		Dispatcher:    e.dispatcher,
 		Services:      e.services,
-		Poison:        poisonTracker{claim.NewPoison(nil), e.members},
+		Poison:        poisonTracker{claim.NewPoisonTracker(nil), e.members},
 		Retries:       e.dispatcher,
 		Engine:        e.engine,
 		Service:       service.New(),
@@ -118,9 +118,9 @@
 		return nil, err
 	}
 	if h != nil {
-		opts = append(opts, rate.WithHistory(h.record))
+		opts = append(opts, rate.WithGrantObserver(h.record))
 	}
-	return rate.New(e.rateDuties, e.rateContracts, opts...), nil
+	return rate.New(e.rateAssignment, e.rateContracts, opts...), nil
 }
 
 // Run serves until the context is done, then shuts down gracefully.
@@ -162,7 +162,7 @@
 // instance is the leader.
 func (e *Entry) publishSnapshots(ctx context.Context) error {
 	isLeader := func() bool { return e.members.Status().Leads(time.Now()) }
-	return e.follower.Republish(ctx, e.settings.Platform.Retention, string(e.settings.Instance.ID), isLeader)
+	return e.follower.PublishSnapshots(ctx, e.settings.Platform.Retention, string(e.settings.Instance.ID), isLeader)
 }
 
 // cancelWithdrawn cancels the requests of withdrawn keys after each change of the
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -253,12 +253,12 @@
 		return len(first.members.Status().View.Ring) == 2 && len(second.members.Status().View.Ring) == 2 && second.Ready() == nil
 	})
 	d := claim.DigestOf("Furnir", "model-1", []byte("poison"))
-	one, two := poisonTracker{claim.NewPoison(nil), first.members}, poisonTracker{claim.NewPoison(nil), second.members}
+	one, two := poisonTracker{claim.NewPoisonTracker(nil), first.members}, poisonTracker{claim.NewPoisonTracker(nil), second.members}
 	now := time.Now()
-	is.True(one.Stopped(now, d))
+	is.True(one.RecordCrash(now, d))
 	x.waitUntil("the second has received the crash", func() bool { return second.members.Status().Fleet.Refuses(firstCrashKey(d), now) })
 	is.NoErr(two.Allow(now, d))
-	is.True(!two.Stopped(now, d))
+	is.True(!two.RecordCrash(now, d))
 	x.waitUntil("the first refuses the request", func() bool { return errors.Is(one.Allow(now, d), galenastair.ErrPoison) })
 	is.NoErr(one.Allow(now, claim.DigestOf("Furnir", "model-1", []byte("other"))))
 	x.stop()
--- a/entry/listen.go
+++ b/entry/listen.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	e.conns.Watch(callers.server)
+	e.conns.Track(callers.server)
 	e.callerListener = callers.ln
 	e.callerServeDone = httpserve.Add(g, callers.server, callers.ln)
 	httpserve.Add(g, peers.server, peers.ln)
--- a/entry/peer.go
+++ b/entry/peer.go
@@ -23,7 +23,7 @@
 		galenastair.ConfigurationStream: e.follower,
 	}))
 	r.PathPrefix(ratepb.RatePathPrefix).Handler(e.limiter.Handler())
-	r.PathPrefix(demand.PathPrefix).Handler(demand.NewServer(e.modelNames, e.leader.Demand))
+	r.PathPrefix(demand.PathPrefix).Handler(demand.NewServer(e.modelNames, e.leader.RecordDemand))
 	r.PathPrefix(report.PathPrefix).Handler(e.reporter.Handler())
 	r.PathPrefix(claimpb.ClaimPathPrefix).Handler(e.claims.Handler())
 	return r
@@ -44,7 +44,7 @@
 		}
 		peers = append(peers, config.Peer{
 			ID: m.ID, Address: m.PeerAddress, AvailabilityZone: m.AvailabilityZone,
-			Gone: len(listed) > 0 && !listed[string(m.ID)],
+			Deregistered: len(listed) > 0 && !listed[string(m.ID)],
 		})
 	}
 	return peers
--- a/entry/place.go
+++ b/entry/place.go
@@ -65,14 +65,14 @@
 	planner.LoadsPerSecond = s.WeightStore.LoadsPerSecond
 	planner.LoadsInFlight = s.WeightStore.LoadsInFlight
 	planner.AdaptersInFlight = s.WeightStore.AdapterLoadsInFlight
-	return place.NewLeader(s.Instance.ID, s.Instance.Region, place.Ports{
-		Engine: e.engine,
-		Log:    e.log,
-		Store:  logservice.New(s.Platform.WeightStoreAddress),
-		Duty:   e.leadership,
-		Loop:   loop,
-	}, place.WithLogger(e.logger), place.WithSettings(planner), place.WithOrdered(e.metrics.Ordered),
-		place.WithRecords(func(now time.Time) bool { return e.members.Status().LogReach(now) == member.Reached }))
+	return place.NewLeader(s.Instance.ID, s.Instance.Region, place.Dependencies{
+		Engine:     e.engine,
+		Log:        e.log,
+		Store:      logservice.New(s.Platform.WeightStoreAddress),
+		Leadership: e.leadership,
+		Loop:       loop,
+	}, place.WithLogger(e.logger), place.WithSettings(planner), place.WithOrderObserver(e.metrics.Ordered),
+		place.WithLogReachable(func(now time.Time) bool { return e.members.Status().LogReachability(now) == member.LogReachable }))
 }
 
 func (e *Entry) leadership(now time.Time) (galenastair.Fence, bool) {
@@ -101,7 +101,7 @@
 	case len(ds) == 0 || leader.ID == "":
 		return nil
 	case leader.ID == self:
-		return e.leader.Demand(ctx, self, ds)
+		return e.leader.RecordDemand(ctx, self, ds)
 	default:
 		return demand.Tell(ctx, client, leader.PeerAddress, self, ds)
 	}
--- a/entry/poison.go
+++ b/entry/poison.go
@@ -25,7 +25,7 @@
 // other. Crashes are therefore sent to all members with the heartbeats, so that the
 // second crash is recognised on every instance.
 type poisonTracker struct {
-	local   *claim.Poison
+	local   *claim.PoisonTracker
 	members *member.Runtime
 }
 
@@ -44,8 +44,8 @@
 }
 
 // RecordCrash counts a crash and reports whether the request may be retried.
-func (p poisonTracker) Stopped(now time.Time, d claim.Digest) bool {
-	retry := p.local.Stopped(now, d)
+func (p poisonTracker) RecordCrash(now time.Time, d claim.Digest) bool {
+	retry := p.local.RecordCrash(now, d)
 	if p.members.Status().Fleet.Refuses(firstCrashKey(d), now) {
 		retry = false
 	}
@@ -57,6 +57,6 @@
 	defer cancel()
 	// The error can be ignored: a member whose control loop does not respond has lost
 	// its lease as well.
-	_ = p.members.Announce(ctx, key, fleetRefusalPeriod)
+	_ = p.members.RefuseDigest(ctx, key, fleetRefusalPeriod)
 	return retry
 }
--- a/entry/report.go
+++ b/entry/report.go
@@ -65,9 +65,9 @@
 // handleReport passes an engine's report to the status page, the dispatcher and the leader.
 func (e *Entry) handleReport(r galenastair.EngineReport) {
 	e.fleet.setReport(r, time.Now())
-	e.dispatcher.Report(r)
+	e.dispatcher.ApplyReport(r)
 	// An error means that the control loop, and thus the instance, has stopped.
-	_ = e.leader.Report(context.Background(), r)
+	_ = e.leader.ApplyReport(context.Background(), r)
 }
 
 // engineServers returns the listed engines.
@@ -85,7 +85,7 @@
 func (e *Entry) pollCacheEvents(ctx context.Context) error {
 	after := map[galenastair.BackendServerID]int64{}
 	for timer.Wait(ctx, cacheEventsPeriod) {
-		_ = e.leader.SetSlow(ctx, e.dispatcher.Slow())
+		_ = e.leader.SetUnhealthy(ctx, e.dispatcher.Unhealthy())
 		servers := e.fleet.engineServers()
 		if len(servers) > cacheEventsMaxEngines {
 			continue
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -52,7 +52,7 @@
 	s := metastore.New()
 	server := httptest.NewServer(s.Handler())
 	r := &reader{values: map[string]string{}}
-	f := follow.New(platform.NewStore(server.Listener.Addr().String()), topic, r.apply, append([]follow.Option{follow.WithWait(100 * time.Millisecond)}, opts...)...)
+	f := follow.New(platform.NewStore(server.Listener.Addr().String()), topic, r.apply, append([]follow.Option{follow.WithPollTimeout(100 * time.Millisecond)}, opts...)...)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- f.Run(ctx) }()
@@ -149,7 +149,7 @@
 	mu.Unlock()
 	age, _ := f.Age()
 	is.True(age >= 9*time.Second)
-	waitFor(t, "the loss of contact", f.Away)
+	waitFor(t, "the loss of contact", f.Unavailable)
 	s.Switch(func(sw *metastore.Switches) { sw.Silent = false })
 	waitFor(t, "the regained contact", func() bool {
 		age, _ := f.Age()
@@ -185,7 +185,7 @@
 	tail.Add(galenastair.KeyedBatch{Records: []galenastair.KeyedRecord{record}, Next: from + 1, End: from + 1}, false)
 	notify := func() {
 		at, _ := f.Position()
-		f.Tell(follow.Hint{KeyedBatch: tail.Since(at), AsOf: boottime.Now()})
+		f.Notify(follow.Hint{KeyedBatch: tail.Since(at), ConfirmedAt: boottime.Now()})
 	}
 	// a poll may still be in flight
 	notify()
@@ -214,7 +214,7 @@
 	at, _ := f.Position()
 	var applied atomic.Int64
 	notify := func(end galenastair.Offset) {
-		f.Tell(follow.Hint{KeyedBatch: galenastair.KeyedBatch{Next: at, End: end}, AsOf: boottime.Now(), Changes: func() { applied.Add(1) }})
+		f.Notify(follow.Hint{KeyedBatch: galenastair.KeyedBatch{Next: at, End: end}, ConfirmedAt: boottime.Now(), ApplyChanges: func() { applied.Add(1) }})
 	}
 	noCalls := func(end galenastair.Offset) bool {
 		calls := s.Calls("/v1/log-read")
@@ -239,7 +239,7 @@
 	s.Put(string(topic), "a", []byte("1"))
 	waitFor(t, "the first value", func() bool { return r.get("a") == "1" })
 	newest := s.Calls("/v1/log-newest")
-	f.Refresh()
+	f.Resync()
 	waitFor(t, "a new listing", func() bool { return s.Calls("/v1/log-newest") > newest })
 }
 
@@ -251,13 +251,13 @@
 	s.Put(string(topic), "a", []byte("1"))
 	waitFor(t, "the first value", func() bool { return r.get("a") == "1" })
 	s.Switch(func(sw *metastore.Switches) { sw.Refuse = true })
-	waitFor(t, "the loss of contact", f.Away)
+	waitFor(t, "the loss of contact", f.Unavailable)
 	at, _ := f.Position()
 	for range 20 {
-		f.Tell(follow.Hint{KeyedBatch: galenastair.KeyedBatch{Next: at, End: at}, AsOf: boottime.Now().Add(-5 * time.Second)})
+		f.Notify(follow.Hint{KeyedBatch: galenastair.KeyedBatch{Next: at, End: at}, ConfirmedAt: boottime.Now().Add(-5 * time.Second)})
 		time.Sleep(10 * time.Millisecond)
 	}
-	is.True(f.Away())
+	is.True(f.Unavailable())
 	age, _ := f.Age()
 	is.True(age >= 200*time.Millisecond)
 }
@@ -297,9 +297,9 @@
 		source.Add(galenastair.KeyedBatch{Records: []galenastair.KeyedRecord{r}, Next: at, End: at}, false)
 	}
 	// a tail that is filled from another tail
-	next.Add(source.All(3), false)
+	next.Add(source.AllSince(3), false)
 	for _, tail := range []*follow.Tail{&source, &next} {
-		b := tail.All(5)
+		b := tail.AllSince(5)
 		is.Equal(len(b.Records), 1)
 		is.Equal(b.Records[0].Value[0], byte(versions-1))
 		is.Equal(b.From(), galenastair.Offset(5))
@@ -323,7 +323,7 @@
 		tail.Add(galenastair.KeyedBatch{Records: []galenastair.KeyedRecord{{Key: "a", Value: []byte(value)}}, Next: at, End: at}, false)
 	}
 	waitFor(t, "the newest value", func() bool {
-		f.Tell(follow.Hint{KeyedBatch: tail.Since(from), AsOf: boottime.Now()})
+		f.Notify(follow.Hint{KeyedBatch: tail.Since(from), ConfirmedAt: boottime.Now()})
 		return r.get("a") == "4"
 	})
 	at, _ := f.Position()
@@ -340,7 +340,7 @@
 	at, _ := f.Position()
 	notify := func(behind time.Duration) {
 		now := boottime.Now()
-		f.Tell(follow.Hint{KeyedBatch: galenastair.KeyedBatch{Next: at, End: at + 1}, AsOf: now, FromAsOf: now.Add(-behind), Wait: true})
+		f.Notify(follow.Hint{KeyedBatch: galenastair.KeyedBatch{Next: at, End: at + 1}, ConfirmedAt: now, StartConfirmedAt: now.Add(-behind), Wait: true})
 	}
 	noCalls := func(behind time.Duration) bool {
 		calls := s.Calls("/v1/log-read")
--- a/follow/follower.go
+++ b/follow/follower.go
@@ -28,13 +28,13 @@
 
 // ApplyFunc processes a batch of records. If snapshot is true, the batch has the newest record of
 // each key, and keys that are not in it no longer exist.
-type Apply func(b galenastair.KeyedBatch, snapshot bool)
+type ApplyFunc func(b galenastair.KeyedBatch, snapshot bool)
 
 // Follower watches one topic.
 type Follower struct {
 	store       galenastair.Store
 	topic       galenastair.Topic
-	apply       Apply
+	apply       ApplyFunc
 	pollTimeout func() time.Duration
 	minInterval func() time.Duration
 	// maxHintAge is the age up to which another instance's confirmation replaces a poll of the
@@ -72,22 +72,26 @@
 type Option func(*Follower)
 
 // WithPollTimeout sets how long the store may hold a poll while there is no new record.
-func WithWait(d time.Duration) Option { return WithWaits(func() time.Duration { return d }) }
+func WithPollTimeout(d time.Duration) Option {
+	return WithPollTimeoutFunc(func() time.Duration { return d })
+}
 
 // WithPollTimeoutFunc is like WithPollTimeout, for a timeout that changes at run time.
-func WithWaits(wait func() time.Duration) Option { return func(f *Follower) { f.pollTimeout = wait } }
+func WithPollTimeoutFunc(wait func() time.Duration) Option {
+	return func(f *Follower) { f.pollTimeout = wait }
+}
 
 // WithMinInterval sets the minimum time between an answer with records and the next call.
 // Without it, each change in a burst costs every instance a separate call.
-func WithPace(d func() time.Duration) Option { return func(f *Follower) { f.minInterval = d } }
+func WithMinInterval(d func() time.Duration) Option { return func(f *Follower) { f.minInterval = d } }
 
 // WithMaxHintAge sets the age up to which a confirmation from another instance replaces a
 // poll of the store.
-func WithHintLife(d time.Duration) Option { return func(f *Follower) { f.maxHintAge = d } }
+func WithMaxHintAge(d time.Duration) Option { return func(f *Follower) { f.maxHintAge = d } }
 
 // WithIsLeader sets the function that reports whether this instance reads the topic for all
 // others. While it returns true, hints replace no polls of the store.
-func WithLeads(isLeader func() bool) Option { return func(f *Follower) { f.isLeader = isLeader } }
+func WithIsLeader(isLeader func() bool) Option { return func(f *Follower) { f.isLeader = isLeader } }
 
 // WithClock replaces the system's boot-time clock.
 func WithClock(c boottime.Clock) Option { return func(f *Follower) { f.clock = c } }
@@ -96,11 +100,11 @@
 func WithLogger(l log.Logger) Option { return func(f *Follower) { f.logger = l } }
 
 // New returns a follower of a topic; Run starts it.
-func New(s galenastair.Store, t galenastair.Topic, apply Apply, opts ...Option) *Follower {
+func New(s galenastair.Store, t galenastair.Topic, apply ApplyFunc, opts ...Option) *Follower {
 	f := &Follower{store: s, topic: t, apply: apply, clock: boottime.Now, logger: log.NewNopLogger(), hints: make(chan Hint, 1),
 		maxHintAge: defaultMaxHintAge, isLeader: func() bool { return false }, wake: make(chan struct{}, 1)}
-	WithWait(defaultPollTimeout)(f)
-	WithPace(func() time.Duration { return 0 })(f)
+	WithPollTimeout(defaultPollTimeout)(f)
+	WithMinInterval(func() time.Duration { return 0 })(f)
 	for _, o := range opts {
 		o(f)
 	}
@@ -118,17 +122,17 @@
 
 // SinceAnswer returns the time since the store's last known answer, to this instance or, as a
 // hint tells, to another; false before the first.
-func (f *Follower) Silence() (time.Duration, bool) {
+func (f *Follower) SinceAnswer() (time.Duration, bool) {
 	at := f.lastAnswer.Load()
 	return f.clock().Sub(boottime.Time(at)), at != 0
 }
 
 // Unavailable reports whether the last call got no usable answer and no hint has come since.
-func (f *Follower) Away() bool { return f.unavailable.Load() }
+func (f *Follower) Unavailable() bool { return f.unavailable.Load() }
 
 // SinceFailure returns the time since the last call without a usable answer was sent: the store
 // may have been unavailable until then. False if the store has answered every call.
-func (f *Follower) SinceUnanswered() (time.Duration, bool) {
+func (f *Follower) SinceFailure() (time.Duration, bool) {
 	at := f.lastFailure.Load()
 	return f.clock().Sub(boottime.Time(at)), at != 0
 }
@@ -189,7 +193,7 @@
 }
 
 // Resync makes Run list the newest record of each key again.
-func (f *Follower) Refresh() {
+func (f *Follower) Resync() {
 	f.resync.Store(true)
 	select {
 	case f.wake <- struct{}{}:
--- a/follow/hint.go
+++ b/follow/hint.go
@@ -14,15 +14,15 @@
 	galenastair.KeyedBatch
 	// ConfirmedAt is when the store confirmed that the topic ended at End. It is on this
 	// instance's clock and never later than the true time.
-	AsOf boottime.Time
+	ConfirmedAt boottime.Time
 	// StartConfirmedAt is when the store last confirmed that the topic ended at the start of
 	// the hint, which this instance has reached already; 0 if unknown. While records are
 	// written faster than they reach the instances, an instance never has all of them, and
 	// uses the age of those that it has.
-	FromAsOf boottime.Time
+	StartConfirmedAt boottime.Time
 	// ApplyChanges applies the changes from Next to End, if they were sent in another form
 	// than records; else nil.
-	Changes func()
+	ApplyChanges func()
 	// Wait is set if another instance will have the missing records soon, so that the store
 	// need not be polled for them.
 	Wait bool
@@ -37,7 +37,7 @@
 }
 
 // Notify passes a hint to the follower. It replaces an earlier hint that is still unprocessed.
-func (f *Follower) Tell(h Hint) {
+func (f *Follower) Notify(h Hint) {
 	select {
 	case <-f.hints:
 	default:
@@ -50,25 +50,25 @@
 
 // applyHint applies a hint and reports whether it replaces a poll of the store.
 func (f *Follower) applyHint(h Hint) bool {
-	if !f.listed || f.clock().Sub(h.AsOf) > f.maxHintAge {
+	if !f.listed || f.clock().Sub(h.ConfirmedAt) > f.maxHintAge {
 		return false
 	}
 	switch {
-	case h.Changes != nil && h.Next <= f.next && f.next < h.End:
-		h.Changes()
+	case h.ApplyChanges != nil && h.Next <= f.next && f.next < h.End:
+		h.ApplyChanges()
 		f.advance(h.End)
 	case len(h.Records) > 0 && h.From() <= f.next && h.Next > f.next:
 		f.apply(h.recordsFrom(f.next), false)
 		f.advance(h.Next)
 	}
-	f.markAvailable(h.AsOf)
-	if h.FromAsOf != 0 && h.From() <= f.next {
-		f.confirmFromHint(h.FromAsOf)
+	f.markAvailable(h.ConfirmedAt)
+	if h.StartConfirmedAt != 0 && h.From() <= f.next {
+		f.confirmFromHint(h.StartConfirmedAt)
 	}
 	if f.next < h.End && !f.fetchMissing(h) {
 		return h.Wait
 	}
-	f.confirmFromHint(h.AsOf)
+	f.confirmFromHint(h.ConfirmedAt)
 	return true
 }
 
--- a/follow/tail.go
+++ b/follow/tail.go
@@ -74,7 +74,9 @@
 }
 
 // AllSince returns the kept records from an offset on, whatever their size.
-func (t *Tail) All(from galenastair.Offset) galenastair.KeyedBatch { return t.since(from, math.MaxInt) }
+func (t *Tail) AllSince(from galenastair.Offset) galenastair.KeyedBatch {
+	return t.since(from, math.MaxInt)
+}
 
 func (t *Tail) since(from galenastair.Offset, maxBytes int) galenastair.KeyedBatch {
 	t.mu.Lock()
--- a/forecast/forecast.go
+++ b/forecast/forecast.go
@@ -36,7 +36,7 @@
 
 // WithTimeConstant sets the time constant of the level and turns off the trend in predictions. It
 // is for placement that pays off within seconds.
-func WithMemory(d time.Duration) Option {
+func WithTimeConstant(d time.Duration) Option {
 	return func(f *Forecast) { f.levelTimeConstant, f.horizon = d, 0 }
 }
 
@@ -67,7 +67,7 @@
 }
 
 // EndPeriod ends a period: the work observed since the last call becomes the period's rate.
-func (f *Forecast) Step(now time.Time) {
+func (f *Forecast) EndPeriod(now time.Time) {
 	period := now.Sub(f.lastUpdate)
 	first := f.lastUpdate.IsZero()
 	f.lastUpdate = now
@@ -101,7 +101,7 @@
 }
 
 // Predict returns the predicted work per second for a model.
-func (f *Forecast) Work(m galenastair.ModelName) float64 {
+func (f *Forecast) Predict(m galenastair.ModelName) float64 {
 	s := f.models[m]
 	if s == nil {
 		return 0
--- a/forecast/forecast_test.go
+++ b/forecast/forecast_test.go
@@ -17,10 +17,10 @@
 	rate := func(at time.Duration) float64 { return 100 * math.Pow(10, at.Hours()) }
 	for at := time.Duration(0); at < time.Hour; at += 5 * time.Second {
 		f.Observe("m", 5*rate(at))
-		f.Step(now.Add(at + 5*time.Second))
+		f.EndPeriod(now.Add(at + 5*time.Second))
 	}
-	is.True(f.Work("m") > rate(time.Hour))                     // not behind the demand
-	is.True(f.Work("m") < 1.2*rate(time.Hour+forecastHorizon)) // and not far above it
+	is.True(f.Predict("m") > rate(time.Hour))                     // not behind the demand
+	is.True(f.Predict("m") < 1.2*rate(time.Hour+forecastHorizon)) // and not far above it
 }
 
 // A burst of five seconds during steady demand must not move a model, as it would with a
@@ -36,12 +36,12 @@
 		}
 		now = now.Add(5 * time.Second)
 		f.Observe("m", work)
-		f.Step(now)
+		f.EndPeriod(now)
 	}
-	is.True(f.Work("m") < 350)
+	is.True(f.Predict("m") < 350)
 	for range 3000 {
 		now = now.Add(5 * time.Second)
-		f.Step(now)
+		f.EndPeriod(now)
 	}
 	is.Equal(len(f.models), 0)
 }
--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -49,12 +49,12 @@
 // instance that lost its connection to the store or was suspended may have an outdated
 // catalog that still holds a withdrawn key, so a catalog older than MaxCatalogAge
 // admits no key.
-func (g *Gateway) authorise(c *Call) (admission, error) {
-	current, age := g.catalogSource.View()
+func (g *Gateway) authorise(c *Request) (admission, error) {
+	current, age := g.catalogSource.Current()
 	if current == nil {
 		return admission{}, galenastair.Refuse(galenastair.ErrConfiguration, catalogRetryAfter, "not loaded yet")
 	}
-	fresh := age < g.settings.ViewLife
+	fresh := age < g.settings.MaxCatalogAge
 	a := admission{version: current.Version, age: age}
 	a.route = current.Match(c.Host, c.Path)
 	if a.route == nil {
@@ -63,7 +63,7 @@
 		}
 		return a, galenastair.Refuse(galenastair.ErrNotFound, 0, "no route matches")
 	}
-	if !current.NeedsKey(a.route) {
+	if !current.RequiresKey(a.route) {
 		return a, nil
 	}
 	if !fresh {
@@ -72,7 +72,7 @@
 	if c.Key == "" {
 		return a, galenastair.Refuse(galenastair.ErrKeyMissing, 0, "")
 	}
-	a.organisation = current.ByKey(c.Key)
+	a.organisation = current.OrganisationByKey(c.Key)
 	if a.organisation == nil {
 		return a, galenastair.Refuse(galenastair.ErrKeyUnknown, 0, "")
 	}
@@ -88,7 +88,7 @@
 	if g.quota.Take(g.clock.Now(), a.organisationName(), cost) || g.quota.Borrow(ctx, a.organisationName(), cost) {
 		return nil
 	}
-	return galenastair.Refuse(galenastair.ErrRateExceeded, clampRetryAfter(g.quota.Wait(a.organisationName(), cost)), "")
+	return galenastair.Refuse(galenastair.ErrRateExceeded, clampRetryAfter(g.quota.RetryAfter(a.organisationName(), cost)), "")
 }
 
 func clampRetryAfter(d time.Duration) time.Duration { return min(maxRetryAfter, max(minRetryAfter, d)) }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -35,7 +35,7 @@
 	r.tried = append(r.tried, choice.ID)
 	r.sends++
 	r.g.logger.Log("event", "route", "request", r.req.ID, "server", choice.ID, "zone", choice.AvailabilityZone, "reason", choice.Reason,
-		"candidates", choice.Candidates, "foretold", choice.Foretold, "cached", int64(choice.Cached), "send", r.sends)
+		"candidates", choice.Candidates, "foretold", choice.PredictedLatency, "cached", int64(choice.CachedTokens), "send", r.sends)
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(context.Canceled)
 	stop := r.cancelIfSilent(cancel, choice)
@@ -46,7 +46,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.Limit > 0 || !resp.Declined {
-		r.g.pool.NoteLimit(r.g.clock.Now(), choice.ID, resp.Limit, now)
+		r.g.pool.ObserveLimit(r.g.clock.Now(), choice.ID, resp.Limit, now)
 	}
 	if resp.Declined {
 		return r.handleDecline(attempt, choice, resp)
@@ -54,7 +54,7 @@
 	r.runs++
 	if r.wroteHeader && resp.Status/100 != 2 {
 		// If the error body were forwarded, the caller would take its response for complete.
-		attempt.End(r.g.clock.Now(), pool.Erred)
+		attempt.End(r.g.clock.Now(), pool.ServerError)
 		return eris.Wrapf(errBackendFailure, "status %d for a resumed stream", resp.Status)
 	}
 	if !r.admission.route.Kind.Streamed() || resp.Status/100 != 2 {
@@ -75,7 +75,7 @@
 		Organisation: r.admission.organisationName(),
 		Left:         max(0, r.deadline.Sub(now)),
 		Priority:     -1,
-		After:        r.req.After,
+		After:        r.req.LastEventID,
 		Usable:       func() bool { return r.g.pool.Usable(r.g.clock.Now(), choice.ID) },
 	}
 	if r.req.Hints.Model != "" {
@@ -104,7 +104,7 @@
 // the timer.
 func (r *activeRequest) cancelIfSilent(cancel context.CancelCauseFunc, choice pool.Choice) func() bool {
 	route := r.admission.route
-	if !route.Kind.Repeatable() || r.runs+1 >= route.Attempts || choice.Candidates < 2 {
+	if !route.Kind.Retryable() || r.runs+1 >= route.MaxAttempts || choice.Candidates < 2 {
 		return func() bool { return true }
 	}
 	minSilence := minPlainSilence
@@ -112,7 +112,7 @@
 		minSilence = minStreamSilence
 	}
 	remaining := r.deadline.Sub(r.g.clock.Now())
-	wait := max(minSilence, silenceFactor*choice.Foretold)
+	wait := max(minSilence, silenceFactor*choice.PredictedLatency)
 	if wait > remaining/2 {
 		return func() bool { return true }
 	}
@@ -122,11 +122,11 @@
 
 // handleFailure reports an attempt without a response to the pool, and counts it as a run
 // if the request may have reached the backend server.
-func (r *activeRequest) handleFailure(ctx context.Context, attempt *pool.Flight, err error) error {
+func (r *activeRequest) handleFailure(ctx context.Context, attempt *pool.Attempt, err error) error {
 	now := r.g.clock.Now()
 	switch {
 	case errors.Is(err, galenastair.ErrAbsent):
-		attempt.End(now, pool.Absent)
+		attempt.End(now, pool.Down)
 		return err
 	case errors.Is(err, galenastair.ErrNotSent):
 		attempt.End(now, pool.Failed)
@@ -140,14 +140,14 @@
 	r.runs++
 	attempt.End(now, pool.Failed)
 	if ctx.Err() == nil && errors.Is(err, galenastair.ErrAnswerCut) {
-		r.g.poison.Stopped(now, r.digest)
+		r.g.poison.RecordCrash(now, r.digest)
 	}
 	return err
 }
 
 // handleDecline handles a response that states that the backend server did not run the
 // request.
-func (r *activeRequest) handleDecline(attempt *pool.Flight, choice pool.Choice, resp *galenastair.BackendAnswer) error {
+func (r *activeRequest) handleDecline(attempt *pool.Attempt, choice pool.Choice, resp *galenastair.BackendAnswer) error {
 	result := pool.Full
 	if resp.Elsewhere {
 		result = pool.Neutral
@@ -161,7 +161,7 @@
 
 // forwardResponse forwards a response that is no stream. A body of up to maxBufferedBytes
 // is read completely first.
-func (r *activeRequest) forwardResponse(ctx context.Context, attempt *pool.Flight, resp *galenastair.BackendAnswer, stop func() bool) error {
+func (r *activeRequest) forwardResponse(ctx context.Context, attempt *pool.Attempt, resp *galenastair.BackendAnswer, stop func() bool) error {
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBytes+1))
 	stop()
 	now := r.g.clock.Now()
@@ -171,7 +171,7 @@
 	}
 	failure := resp.Status >= http.StatusInternalServerError
 	if failure && r.mayRetryFailure() {
-		attempt.End(now, pool.Erred)
+		attempt.End(now, pool.ServerError)
 		return eris.Wrapf(errBackendFailure, "status %d", resp.Status)
 	}
 	r.firstByteAt, r.status = now, resp.Status
@@ -180,7 +180,7 @@
 		length = -1
 	}
 	r.wroteHeader = true
-	err = r.w.Head(resp.Status, resp.Header, length)
+	err = r.w.WriteHeader(resp.Status, resp.Header, length)
 	if err == nil {
 		err = r.w.Write(data)
 	}
@@ -192,17 +192,17 @@
 	}
 	result := pool.Succeeded
 	if failure {
-		result = pool.Erred
+		result = pool.ServerError
 	}
 	attempt.End(r.g.clock.Now(), result)
-	r.g.poison.Succeeded(r.digest)
+	r.g.poison.RecordSuccess(r.digest)
 	return nil
 }
 
 // mayRetryFailure reports whether an error status may be retried on another backend server.
 func (r *activeRequest) mayRetryFailure() bool {
 	route := r.admission.route
-	return route.Kind.Repeatable() && !r.wroteHeader && r.runs < route.Attempts
+	return route.Kind.Retryable() && !r.wroteHeader && r.runs < route.MaxAttempts
 }
 
 func (r *activeRequest) copyBody(body io.Reader) error {
@@ -224,7 +224,7 @@
 }
 
 // handleTruncation reports a response that broke off to the pool.
-func (r *activeRequest) handleTruncation(ctx context.Context, attempt *pool.Flight, err error) error {
+func (r *activeRequest) handleTruncation(ctx context.Context, attempt *pool.Attempt, err error) error {
 	result := pool.Failed
 	if errors.Is(err, errCallerGone) || ctx.Err() != nil && !errors.Is(context.Cause(ctx), galenastair.ErrSilent) {
 		result = pool.Neutral
@@ -235,7 +235,7 @@
 
 // forwardStream forwards a stream event by event. The caller gets complete events only, so
 // that another backend server can continue the same response after the last one.
-func (r *activeRequest) forwardStream(ctx context.Context, attempt *pool.Flight, resp *galenastair.BackendAnswer, stop func() bool) error {
+func (r *activeRequest) forwardStream(ctx context.Context, attempt *pool.Attempt, resp *galenastair.BackendAnswer, stop func() bool) error {
 	buf := make([]byte, readBufferBytes)
 	started := false
 	for {
@@ -261,7 +261,7 @@
 	}
 }
 
-func (r *activeRequest) finishStream(attempt *pool.Flight, resp *galenastair.BackendAnswer) error {
+func (r *activeRequest) finishStream(attempt *pool.Attempt, resp *galenastair.BackendAnswer) error {
 	now := r.g.clock.Now()
 	if r.events.hasPartial() {
 		r.events.discardPartial()
@@ -269,7 +269,7 @@
 		return eris.Wrap(galenastair.ErrAnswerCut, "the stream ended inside an event")
 	}
 	attempt.End(now, pool.Succeeded)
-	r.g.poison.Succeeded(r.digest)
+	r.g.poison.RecordSuccess(r.digest)
 	if r.wroteHeader {
 		return nil
 	}
@@ -282,7 +282,7 @@
 	if !r.wroteHeader {
 		r.wroteHeader = true
 		r.firstByteAt, r.status = r.g.clock.Now(), resp.Status
-		if err := r.w.Head(resp.Status, resp.Header, -1); err != nil {
+		if err := r.w.WriteHeader(resp.Status, resp.Header, -1); err != nil {
 			return err
 		}
 	}
--- a/gateway/bed_test.go
+++ b/gateway/bed_test.go
@@ -82,7 +82,7 @@
 	body         strings.Builder
 }
 
-func (c *recordedResponse) Head(status int, _ http.Header, _ int64) error {
+func (c *recordedResponse) WriteHeader(status int, _ http.Header, _ int64) error {
 	c.status = status
 	c.headerWrites++
 	return nil
@@ -100,13 +100,13 @@
 	initial *catalog.Catalog
 }
 
-func (v *fakeCatalogSource) Await(context.Context) {
+func (v *fakeCatalogSource) WaitReady(context.Context) {
 	if v.catalog == nil {
 		v.catalog = v.initial
 	}
 }
 
-func (v *fakeCatalogSource) View() (*catalog.Catalog, time.Duration) { return v.catalog, v.age }
+func (v *fakeCatalogSource) Current() (*catalog.Catalog, time.Duration) { return v.catalog, v.age }
 
 type fakeQuota struct{ refuse bool }
 
@@ -114,31 +114,31 @@
 func (q *fakeQuota) Borrow(context.Context, galenastair.Organisation, float64) bool {
 	return false
 }
-func (q *fakeQuota) Wait(galenastair.Organisation, float64) time.Duration {
+func (q *fakeQuota) RetryAfter(galenastair.Organisation, float64) time.Duration {
 	return 700 * time.Millisecond
 }
 
 type fakePlacement struct {
-	availability planner.Promise
+	availability planner.Availability
 	requests     int
 }
 
-func (p *fakePlacement) Need(context.Context, galenastair.ModelName) (planner.Promise, error) {
+func (p *fakePlacement) EnsureLoaded(context.Context, galenastair.ModelName) (planner.Availability, error) {
 	p.requests++
 	return p.availability, nil
 }
-func (p *fakePlacement) Asked(galenastair.ModelName, time.Duration) {}
+func (p *fakePlacement) RecordDemand(galenastair.ModelName, time.Duration) {}
 
 // fakeLimiter returns its verdicts in order, and then admits every request at once.
 type fakeLimiter struct {
-	verdicts []ratelimit.Verdict
+	verdicts []ratelimit.Decision
 	calls    []ratelimit.Limit
 }
 
-func (l *fakeLimiter) Admit(_ context.Context, limit ratelimit.Limit, _ time.Duration) ratelimit.Verdict {
+func (l *fakeLimiter) Admit(_ context.Context, limit ratelimit.Limit, _ time.Duration) ratelimit.Decision {
 	l.calls = append(l.calls, limit)
 	if len(l.calls) > len(l.verdicts) {
-		return ratelimit.Verdict{Granted: true}
+		return ratelimit.Decision{Granted: true}
 	}
 	return l.verdicts[len(l.calls)-1]
 }
@@ -172,12 +172,12 @@
 	}
 	b.addServers()
 	b.gateway = New(Settings{
-		ViewLife: maxCatalogAge, RetryRatio: 0.2, RetrySlack: 50,
-		Fleet:   func() int { return 1 },
-		Closing: func() bool { return b.draining },
-	}, Ports{
-		Views: b.catalogSource, Pool: b.pool, Backend: b.backend, Quota: b.quota, Placement: b.placement, Limits: b.limiter,
-		Poison: claim.NewPoison(nil, claim.WithTrials(3, time.Minute)),
+		MaxCatalogAge: maxCatalogAge, RetryRatio: 0.2, RetrySlack: 50,
+		FleetSize: func() int { return 1 },
+		Draining:  func() bool { return b.draining },
+	}, Dependencies{
+		CatalogSource: b.catalogSource, Pool: b.pool, Backend: b.backend, Quota: b.quota, Placement: b.placement, Limiter: b.limiter,
+		Poison: claim.NewPoisonTracker(nil, claim.WithCrashLimit(3, time.Minute)),
 	})
 	return b
 }
@@ -194,7 +194,7 @@
 func testCatalog() *catalog.Catalog {
 	route := func(prefix string, kind catalog.Kind, s galenastair.ServiceName, attempts int) *catalog.Route {
 		return &catalog.Route{Name: prefix, Host: testHost, PathPrefix: prefix, Kind: kind, Timeout: 2 * time.Second,
-			Aim: 500 * time.Millisecond, Attempts: attempts, Targets: []catalog.Target{{Service: s, Weight: 1}}}
+			TargetLatency: 500 * time.Millisecond, MaxAttempts: attempts, Targets: []catalog.Target{{Service: s, Weight: 1}}}
 	}
 	return catalog.New(1, catalog.Limits{}, []*catalog.Route{
 		route("/stream/", catalog.ResumableStream, "writer", 2),
@@ -202,13 +202,13 @@
 		route("/read/", catalog.Idempotent, "app", 2),
 		route("/bid/", catalog.AtMostOnce, "app", 2),
 	}, []*catalog.Service{{Name: "writer"}, {Name: "app"}}, []*catalog.Organisation{
-		{Name: "org", Keys: []galenastair.KeyHash{galenastair.HashKey(testKey)}, Rate: 100, Burst: 100, InTokens: true},
+		{Name: "org", Keys: []galenastair.KeyHash{galenastair.HashKey(testKey)}, Rate: 100, Burst: 100, CountsTokens: true},
 	})
 }
 
-func testRequest(path string) Call {
-	c := Call{ID: "r1", Method: http.MethodPost, Host: testHost, Target: path, Path: path, Header: http.Header{},
-		Body: []byte("body"), Key: galenastair.HashKey(testKey), Left: 2 * time.Second, Received: time.Now()}
+func testRequest(path string) Request {
+	c := Request{ID: "r1", Method: http.MethodPost, Host: testHost, Target: path, Path: path, Header: http.Header{},
+		Body: []byte("body"), Key: galenastair.HashKey(testKey), Timeout: 2 * time.Second, Received: time.Now()}
 	if strings.Contains(path, "stream") {
 		c.Hints = galenastair.Hints{Model: "m", Prompt: 100, Output: 20, Counted: true}
 	}
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -8,7 +8,7 @@
 )
 
 // Request is one request as its caller sent it.
-type Call struct {
+type Request struct {
 	ID     galenastair.RequestID
 	Method string
 	Host   string
@@ -21,17 +21,17 @@
 	Key   galenastair.KeyHash
 	Hints galenastair.Hints
 	// Timeout is how long the caller waits from Received on, 0 if it did not say.
-	Left time.Duration
+	Timeout time.Duration
 	// LastEventID is the id of the last event of this stream that the caller has received.
-	After    string
-	Received time.Time
+	LastEventID string
+	Received    time.Time
 }
 
 // ResponseWriter sends a response to the caller.
-type Sink interface {
+type ResponseWriter interface {
 	// WriteHeader sends the status and headers; it is called at most once. Length is the
 	// length of the body, or -1 if unknown.
-	Head(status int, h http.Header, length int64) error
+	WriteHeader(status int, h http.Header, length int64) error
 	// Write sends a part of the body without delay.
 	Write(p []byte) error
 }
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -40,7 +40,7 @@
 		return r.awaitLimit(ctx, now, choice)
 	}
 	switch choice.Reason {
-	case pool.ReasonDeferred:
+	case pool.ReasonThrottled:
 		return pool.Choice{}, r.handleDeferred(ctx, choice)
 	case pool.ReasonNoServer:
 		return choice, galenastair.Refuse(galenastair.ErrNoBackendServer, noServerRetryAfter, string(r.service))
@@ -57,17 +57,17 @@
 	if c.Limit.PerSecond == 0 {
 		return c, nil
 	}
-	maxWait := max(0, min(r.admission.route.Aim-c.Foretold, r.deadline.Sub(now)/2))
+	maxWait := max(0, min(r.admission.route.TargetLatency-c.PredictedLatency, r.deadline.Sub(now)/2))
 	v := r.g.limiter.Admit(ctx, c.Limit, maxWait)
-	r.g.logger.Log("event", "limit", "request", r.req.ID, "server", c.ID, "limit", c.Limit.PerSecond, "age", c.Limit.Age, "granted", v.Granted, "wait", v.Wait)
+	r.g.logger.Log("event", "limit", "request", r.req.ID, "server", c.ID, "limit", c.Limit.PerSecond, "age", c.Limit.Age, "granted", v.Granted, "wait", v.Delay)
 	if !v.Granted {
-		r.g.pool.Defer(r.g.clock.Now(), c.ID, v.Wait-maxWait)
+		r.g.pool.Throttle(r.g.clock.Now(), c.ID, v.Delay-maxWait)
 		return pool.Choice{}, nil
 	}
-	if v.Wait == 0 {
+	if v.Delay == 0 {
 		return c, nil
 	}
-	if !timer.Wait(ctx, v.Wait) {
+	if !timer.Wait(ctx, v.Delay) {
 		return pool.Choice{}, context.Cause(ctx)
 	}
 	if !r.g.pool.Usable(r.g.clock.Now(), c.ID) {
@@ -84,7 +84,7 @@
 		return nil
 	}
 	remaining := r.deadline.Sub(r.g.clock.Now())
-	return galenastair.Refuse(galenastair.ErrOverloaded, clampRetryAfter(min(c.Wait, remaining/3)), c.Reason)
+	return galenastair.Refuse(galenastair.ErrOverloaded, clampRetryAfter(min(c.RetryAfter, remaining/3)), c.Reason)
 }
 
 // checkQueueTime refuses a request that can't be answered before its deadline. When engines
@@ -92,10 +92,10 @@
 // would process prompts whose callers have gone, which delays the following ones as well.
 func (r *activeRequest) checkQueueTime(now time.Time, c pool.Choice) error {
 	remaining := r.deadline.Sub(now)
-	if c.Foretold < remaining || r.sends > 0 || r.req.Hints.Model == "" {
+	if c.PredictedLatency < remaining || r.sends > 0 || r.req.Hints.Model == "" {
 		return nil
 	}
-	return galenastair.Refuse(galenastair.ErrOverloaded, clampRetryAfter(min(c.Foretold-remaining/2, remaining/3)), "expected queue time exceeds the deadline")
+	return galenastair.Refuse(galenastair.ErrOverloaded, clampRetryAfter(min(c.PredictedLatency-remaining/2, remaining/3)), "expected queue time exceeds the deadline")
 }
 
 // requestPlacement asks the planner for a backend server that holds or loads the request's
@@ -106,20 +106,20 @@
 	if r.placementRequests > maxPlacementRequests {
 		return galenastair.Refuse(galenastair.ErrNoBackendServer, adapterRetryAfter, "the promised copy is gone")
 	}
-	availability, err := r.g.placement.Need(ctx, name)
+	availability, err := r.g.placement.EnsureLoaded(ctx, name)
 	if err != nil {
 		r.g.logger.Log("event", "need", "request", r.req.ID, "model", name, "err", err)
 		return galenastair.Refuse(galenastair.ErrNoBackendServer, adapterRetryAfter, "the planner could not be reached")
 	}
 	remaining := r.deadline.Sub(r.g.clock.Now())
-	r.g.logger.Log("event", "need", "request", r.req.ID, "model", name, "server", availability.Server, "ready", availability.Ready, "left", remaining)
+	r.g.logger.Log("event", "need", "request", r.req.ID, "model", name, "server", availability.Server, "ready", availability.ReadyIn, "left", remaining)
 	if availability.Server == "" {
-		return galenastair.Refuse(galenastair.ErrNoBackendServer, min(max(minModelRetryAfter, availability.Ready), remaining/3), "no copy is loaded or being loaded")
+		return galenastair.Refuse(galenastair.ErrNoBackendServer, min(max(minModelRetryAfter, availability.ReadyIn), remaining/3), "no copy is loaded or being loaded")
 	}
-	if availability.Ready > remaining-responseMargin {
-		return galenastair.Refuse(galenastair.ErrNoBackendServer, min(availability.Ready, remaining/3), "the model would be loaded too late")
+	if availability.ReadyIn > remaining-responseMargin {
+		return galenastair.Refuse(galenastair.ErrNoBackendServer, min(availability.ReadyIn, remaining/3), "the model would be loaded too late")
 	}
-	if !timer.Wait(ctx, availability.Ready) {
+	if !timer.Wait(ctx, availability.ReadyIn) {
 		return context.Cause(ctx)
 	}
 	r.g.pool.AddModel(r.g.clock.Now(), availability.Server, name)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -18,13 +18,13 @@
 )
 
 // CatalogSource provides the configuration.
-type Views interface {
+type CatalogSource interface {
 	// Current returns the current configuration, nil before the first one was read, and
 	// how long ago the store confirmed that there is no newer one.
-	View() (*catalog.Catalog, time.Duration)
+	Current() (*catalog.Catalog, time.Duration)
 	// WaitReady waits, for a limited time after the start of the instance, until the first
 	// configuration was read.
-	Await(context.Context)
+	WaitReady(context.Context)
 }
 
 // Quota charges requests to the rate limits of organisations.
@@ -35,34 +35,34 @@
 	// returns true.
 	Borrow(ctx context.Context, o galenastair.Organisation, cost float64) bool
 	// RetryAfter returns the time until the organisation has quota for the cost.
-	Wait(o galenastair.Organisation, cost float64) time.Duration
+	RetryAfter(o galenastair.Organisation, cost float64) time.Duration
 }
 
 // Placement has models and adapters loaded that no backend server is known to hold.
 type Placement interface {
 	// EnsureLoaded asks for a backend server that holds the model or will load it.
-	Need(ctx context.Context, name galenastair.ModelName) (planner.Promise, error)
+	EnsureLoaded(ctx context.Context, name galenastair.ModelName) (planner.Availability, error)
 	// RecordDemand adds the expected engine time of a request to the planner's forecast.
-	Asked(name galenastair.ModelName, work time.Duration)
+	RecordDemand(name galenastair.ModelName, work time.Duration)
 }
 
 // Limiter admits requests to backend servers that advertise a rate limit.
-type Limits interface {
-	Admit(ctx context.Context, l ratelimit.Limit, maxWait time.Duration) ratelimit.Verdict
+type Limiter interface {
+	Admit(ctx context.Context, l ratelimit.Limit, maxWait time.Duration) ratelimit.Decision
 }
 
 // Settings holds the limits that the platform sets and the state of this instance.
 type Settings struct {
 	// MaxCatalogAge is the greatest age of a configuration that may admit a key.
-	ViewLife time.Duration
+	MaxCatalogAge time.Duration
 	// RetryRatio is the share of the requests to a service that may be retried.
 	// RetrySlack is the number of retries permitted beyond it, over all instances.
 	RetryRatio float64
 	RetrySlack float64
 	// FleetSize returns the number of instances.
-	Fleet func() int
+	FleetSize func() int
 	// Draining reports whether this instance shuts down within seconds.
-	Closing func() bool
+	Draining func() bool
 }
 
 // retryBudgetUse is the share of the platform's retry limits that the instances use
@@ -73,13 +73,13 @@
 // Gateway forwards requests to backend servers.
 type Gateway struct {
 	settings      Settings
-	catalogSource Views
+	catalogSource CatalogSource
 	pool          *pool.Pool
 	backend       galenastair.Backend
 	quota         Quota
 	placement     Placement
-	limiter       Limits
-	poison        *claim.Poison
+	limiter       Limiter
+	poison        *claim.PoisonTracker
 	clock         galenastair.Clock
 	logger        log.Logger
 	recorder      Recorder
@@ -89,14 +89,14 @@
 }
 
 // Dependencies are the components that a Gateway uses; all are required.
-type Ports struct {
-	Views     Views
-	Pool      *pool.Pool
-	Backend   galenastair.Backend
-	Quota     Quota
-	Placement Placement
-	Limits    Limits
-	Poison    *claim.Poison
+type Dependencies struct {
+	CatalogSource CatalogSource
+	Pool          *pool.Pool
+	Backend       galenastair.Backend
+	Quota         Quota
+	Placement     Placement
+	Limiter       Limiter
+	Poison        *claim.PoisonTracker
 }
 
 // Option configures a Gateway.
@@ -112,15 +112,15 @@
 func WithRecorder(r Recorder) Option { return func(g *Gateway) { g.recorder = r } }
 
 // New returns a gateway with the given dependencies.
-func New(s Settings, d Ports, opts ...Option) *Gateway {
+func New(s Settings, d Dependencies, opts ...Option) *Gateway {
 	g := &Gateway{
 		settings:      s,
-		catalogSource: d.Views,
+		catalogSource: d.CatalogSource,
 		pool:          d.Pool,
 		backend:       d.Backend,
 		quota:         d.Quota,
 		placement:     d.Placement,
-		limiter:       d.Limits,
+		limiter:       d.Limiter,
 		poison:        d.Poison,
 		clock:         galenastair.SystemClock{},
 		logger:        log.NewNopLogger(),
@@ -142,7 +142,7 @@
 		b = dispatch.NewRetryBudget()
 		g.budgets[s] = b
 	}
-	b.SetBounds(retryBudgetUse*g.settings.RetryRatio, retryBudgetUse*g.settings.RetrySlack/float64(max(1, g.settings.Fleet())))
+	b.SetBounds(retryBudgetUse*g.settings.RetryRatio, retryBudgetUse*g.settings.RetrySlack/float64(max(1, g.settings.FleetSize())))
 	return b
 }
 
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -174,7 +174,7 @@
 func TestKeyIsCheckedAgainBeforeSending(t *testing.T) {
 	is := is.New(t)
 	b := newTestEnv(respond(200, "id: 1\ndata: a\n\n"))
-	b.placement.availability = planner.Promise{Server: "s1", Ready: 50 * time.Millisecond}
+	b.placement.availability = planner.Availability{Server: "s1", ReadyIn: 50 * time.Millisecond}
 	b.gateway.placement = hookedPlacement{b.placement, func() { b.catalogSource.age = maxCatalogAge }}
 	call := testRequest("/stream/1")
 	call.Hints.Model = "m/a1"
@@ -189,9 +189,9 @@
 	onRequest func()
 }
 
-func (n hookedPlacement) Need(ctx context.Context, name galenastair.ModelName) (planner.Promise, error) {
+func (n hookedPlacement) EnsureLoaded(ctx context.Context, name galenastair.ModelName) (planner.Availability, error) {
 	n.onRequest()
-	return n.fakePlacement.Need(ctx, name)
+	return n.fakePlacement.EnsureLoaded(ctx, name)
 }
 
 // An adapter that no server holds is loaded while the caller waits; the request is then
@@ -199,7 +199,7 @@
 func TestAdapterIsLoadedOnDemand(t *testing.T) {
 	is := is.New(t)
 	b := newTestEnv(respond(200, "id: 1\ndata: a\n\n"))
-	b.placement.availability = planner.Promise{Server: "s2", Ready: 5 * time.Millisecond}
+	b.placement.availability = planner.Availability{Server: "s2", ReadyIn: 5 * time.Millisecond}
 	call := testRequest("/stream/1")
 	call.Hints.Model = "m/a1"
 	to := &recordedResponse{}
@@ -213,7 +213,7 @@
 func TestModelLoadedTooLateIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	b := newTestEnv()
-	b.placement.availability = planner.Promise{Server: "s2", Ready: 5 * time.Second}
+	b.placement.availability = planner.Availability{Server: "s2", ReadyIn: 5 * time.Second}
 	call := testRequest("/stream/1")
 	call.Hints.Model = "other"
 	begun := time.Now()
@@ -235,8 +235,8 @@
 	call.Hints.Model = "other"
 	b.catalogSource.catalog.Match(call.Host, call.Path).Timeout = time.Minute
 	retry := func(ready, left time.Duration) time.Duration {
-		b.placement.availability = planner.Promise{Ready: ready}
-		call.Left, call.Received = left, time.Now()
+		b.placement.availability = planner.Availability{ReadyIn: ready}
+		call.Timeout, call.Received = left, time.Now()
 		_, err := b.gateway.Serve(t.Context(), call, &recordedResponse{})
 		var r *galenastair.Refusal
 		is.True(errors.As(err, &r))
@@ -295,7 +295,7 @@
 	is := is.New(t)
 	b := newTestEnv(hang)
 	call := testRequest("/bid/1")
-	call.Left = 100 * time.Millisecond
+	call.Timeout = 100 * time.Millisecond
 	_, err := b.gateway.Serve(t.Context(), call, &recordedResponse{})
 	var r *galenastair.Refusal
 	is.True(errors.As(err, &r))
--- a/gateway/limit_test.go
+++ b/gateway/limit_test.go
@@ -66,7 +66,7 @@
 	b.keepOneServer()
 	_, _, err := b.serve(t, "/bid/1")
 	is.NoErr(err)
-	b.limiter.verdicts = []ratelimit.Verdict{{Wait: 1900 * time.Millisecond}}
+	b.limiter.verdicts = []ratelimit.Decision{{Delay: 1900 * time.Millisecond}}
 	begun := time.Now()
 	_, _, err = b.serve(t, "/bid/1")
 	is.True(time.Since(begun) < 100*time.Millisecond)
@@ -85,7 +85,7 @@
 	b.keepOneServer()
 	_, _, err := b.serve(t, "/bid/1")
 	is.NoErr(err)
-	b.limiter.verdicts = []ratelimit.Verdict{{Granted: true, Wait: 150 * time.Millisecond}}
+	b.limiter.verdicts = []ratelimit.Decision{{Granted: true, Delay: 150 * time.Millisecond}}
 	begun := time.Now()
 	_, _, err = b.serve(t, "/bid/1")
 	is.NoErr(err)
@@ -104,8 +104,8 @@
 	_, _, err := b.serve(t, "/stream/1")
 	is.NoErr(err)
 	b.pool.Set(time.Now(), pool.Server{ID: "s2", Service: "writer", Address: "s2", AvailabilityZone: "z1", Slots: 8})
-	b.limiter.verdicts = []ratelimit.Verdict{{Wait: time.Minute}}
-	b.placement.availability = planner.Promise{Server: "s2"}
+	b.limiter.verdicts = []ratelimit.Decision{{Delay: time.Minute}}
+	b.placement.availability = planner.Availability{Server: "s2"}
 	_, _, err = b.serve(t, "/stream/1")
 	is.NoErr(err)
 	is.Equal(b.placement.requests, 1)
@@ -120,7 +120,7 @@
 	_, _, err := b.serve(t, "/bid/1")
 	is.NoErr(err)
 	b.addServers()
-	b.limiter.verdicts = []ratelimit.Verdict{{Wait: time.Minute}}
+	b.limiter.verdicts = []ratelimit.Decision{{Delay: time.Minute}}
 	for range 2 {
 		to, _, err := b.serve(t, "/bid/1")
 		is.NoErr(err)
--- a/gateway/record.go
+++ b/gateway/record.go
@@ -8,7 +8,7 @@
 )
 
 // RequestSummary describes a finished request, for logs and metrics.
-type Ending struct {
+type RequestSummary struct {
 	ID           galenastair.RequestID
 	Organisation galenastair.Organisation
 	Kind         catalog.Kind
@@ -20,20 +20,20 @@
 	// Sends counts how often the request was sent to a backend server.
 	Sends int
 	// TimeToFirstByte is the time to the response header or first event, zero if none came.
-	First time.Duration
-	Total time.Duration
+	TimeToFirstByte time.Duration
+	Duration        time.Duration
 	// Complete reports whether the caller received a complete response.
-	Whole bool
+	Complete bool
 }
 
 // Recorder records finished requests and retries.
 type Recorder interface {
-	RequestEnded(e Ending)
+	RequestEnded(e RequestSummary)
 	// Retried counts a retry and its reason.
 	Retried(reason string)
 }
 
 type noRecorder struct{}
 
-func (noRecorder) RequestEnded(Ending) {}
-func (noRecorder) Retried(string)      {}
+func (noRecorder) RequestEnded(RequestSummary) {}
+func (noRecorder) Retried(string)              {}
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -17,8 +17,8 @@
 // activeRequest is the state of one request while it is served.
 type activeRequest struct {
 	g         *Gateway
-	req       Call
-	w         Sink
+	req       Request
+	w         ResponseWriter
 	admission admission
 	service   galenastair.ServiceName
 	digest    claim.Digest
@@ -44,7 +44,7 @@
 // Serve handles one request. A nil error means that w got a complete response. Otherwise
 // the error is a *galenastair.Refusal to be sent to the caller. If wroteHeader is true, the
 // response has begun: it must be aborted instead, so that the caller sees it as truncated.
-func (g *Gateway) Serve(ctx context.Context, req Call, w Sink) (wroteHeader bool, err error) {
+func (g *Gateway) Serve(ctx context.Context, req Request, w ResponseWriter) (wroteHeader bool, err error) {
 	r := &activeRequest{g: g, req: req, w: w, startedAt: req.Received}
 	err = r.serve(ctx)
 	if err != nil {
@@ -55,17 +55,17 @@
 }
 
 func (r *activeRequest) serve(ctx context.Context) error {
-	r.g.catalogSource.Await(ctx)
+	r.g.catalogSource.WaitReady(ctx)
 	a, err := r.g.authorise(&r.req)
 	r.admission = a
 	if err != nil {
 		return err
 	}
-	if a.route.Kind.Streamed() && r.g.settings.Closing() {
+	if a.route.Kind.Streamed() && r.g.settings.Draining() {
 		// A stream takes seconds, and the shutdown of this instance would truncate it.
 		return galenastair.Refuse(galenastair.ErrStopping, minRetryAfter, "")
 	}
-	r.service = a.route.Choose(randomFraction())
+	r.service = a.route.PickService(randomFraction())
 	r.digest = claim.DigestOf(a.organisationName(), r.req.Method+" "+r.req.Target, r.req.Body)
 	if err := r.g.poison.Allow(r.g.clock.Now(), r.digest); err != nil {
 		return galenastair.Refuse(galenastair.ErrOverloaded, maxRetryAfter, "identical requests crashed the backend servers")
@@ -74,7 +74,7 @@
 		return err
 	}
 	if r.req.Hints.Model != "" {
-		r.g.placement.Asked(r.req.Hints.Model, r.g.pool.EngineTime(r.poolQuery()))
+		r.g.placement.RecordDemand(r.req.Hints.Model, r.g.pool.EngineTime(r.poolQuery()))
 	}
 	r.g.earnRetry(r.service)
 	r.deadline = r.startedAt.Add(r.timeout())
@@ -87,8 +87,8 @@
 // whichever is shorter.
 func (r *activeRequest) timeout() time.Duration {
 	p := r.admission.route.Timeout
-	if r.req.Left > 0 && (p <= 0 || r.req.Left < p) {
-		p = r.req.Left
+	if r.req.Timeout > 0 && (p <= 0 || r.req.Timeout < p) {
+		p = r.req.Timeout
 	}
 	if p <= 0 {
 		p = defaultTimeout
@@ -130,14 +130,14 @@
 	kind := r.admission.route.Kind
 	clean := errors.Is(err, galenastair.ErrNotSent) || errors.Is(err, galenastair.ErrDeclined)
 	if !clean {
-		if !kind.Repeatable() || r.wroteHeader && kind != catalog.ResumableStream {
+		if !kind.Retryable() || r.wroteHeader && kind != catalog.ResumableStream {
 			return err
 		}
-		if r.runs >= r.admission.route.Attempts {
+		if r.runs >= r.admission.route.MaxAttempts {
 			return err
 		}
 	}
-	if r.sends >= r.admission.route.Attempts+maxExtraSends {
+	if r.sends >= r.admission.route.MaxAttempts+maxExtraSends {
 		return err
 	}
 	// An attempt that was not sent put no load on a backend server and costs no budget.
@@ -172,11 +172,11 @@
 // poolQuery returns the request's properties by which the pool chooses a backend server.
 func (r *activeRequest) poolQuery() pool.Query {
 	return pool.Query{
-		Service: r.service,
-		Hints:   r.req.Hints,
-		Aim:     r.admission.route.Aim,
-		Once:    !r.admission.route.Kind.Repeatable(),
-		Exclude: r.tried,
+		Service:       r.service,
+		Hints:         r.req.Hints,
+		TargetLatency: r.admission.route.TargetLatency,
+		NoRetry:       !r.admission.route.Kind.Retryable(),
+		Exclude:       r.tried,
 	}
 }
 
@@ -214,20 +214,20 @@
 
 func (r *activeRequest) record(err error) {
 	now := r.g.clock.Now()
-	e := Ending{
+	e := RequestSummary{
 		ID:           r.req.ID,
 		Organisation: r.admission.organisationName(),
 		Status:       r.status,
 		Outcome:      galenastair.Ran,
 		Sends:        r.sends,
-		Total:        now.Sub(r.startedAt),
-		Whole:        err == nil,
+		Duration:     now.Sub(r.startedAt),
+		Complete:     err == nil,
 	}
 	if r.admission.route != nil {
 		e.Kind, e.Route = r.admission.route.Kind, r.admission.route.Name
 	}
 	if !r.firstByteAt.IsZero() {
-		e.First = r.firstByteAt.Sub(r.startedAt)
+		e.TimeToFirstByte = r.firstByteAt.Sub(r.startedAt)
 	}
 	var refused *galenastair.Refusal
 	if errors.As(err, &refused) {
@@ -245,7 +245,7 @@
 		}
 	}
 	r.g.logger.Log("event", event, "request", e.ID, "organisation", e.Organisation, "route", e.Route, "status", e.Status,
-		"code", e.Code, "outcome", e.Outcome, "sends", e.Sends, "runs", r.runs, "first", e.First, "total", e.Total, "pause", r.longestPause,
+		"code", e.Code, "outcome", e.Outcome, "sends", e.Sends, "runs", r.runs, "first", e.TimeToFirstByte, "total", e.Duration, "pause", r.longestPause,
 		"version", r.admission.version, "age", r.admission.age, "model", r.req.Hints.Model, "tokens", int64(r.req.Hints.Prompt+r.req.Hints.Output), "cause", err)
 }
 
--- a/httpclient/failed.go
+++ b/httpclient/failed.go
@@ -13,7 +13,7 @@
 // A request that a backend server may have run must not be reported as not run, since the
 // caller would repeat it. So ErrNotSent is returned only if no byte was written before
 // further writes were blocked.
-func (p *Pool) Failed(ctx context.Context, server string, t *RequestTrace, err error) error {
+func (p *Pool) ClassifyError(ctx context.Context, server string, t *RequestTrace, err error) error {
 	if t.NotSent() {
 		return eris.Wrapf(galenastair.ErrNotSent, "%v", err)
 	}
@@ -21,6 +21,6 @@
 		return ctx.Err()
 	}
 	// The other pooled connections to the server may have failed as well.
-	p.Forget(server)
+	p.CloseIdle(server)
 	return eris.Wrapf(galenastair.ErrBackendServer, "no response: %v", err)
 }
--- a/httpclient/failed_test.go
+++ b/httpclient/failed_test.go
@@ -41,10 +41,10 @@
 	send := func(address, path string) error {
 		req, err := NewRequest(http.MethodPost, "http://"+address+path, nil)
 		is.NoErr(err)
-		ctx, requestTrace := Track(t.Context())
-		resp, err := p.For(server).RoundTrip(req.WithContext(ctx))
+		ctx, requestTrace := WithRequestTrace(t.Context())
+		resp, err := p.Transport(server).RoundTrip(req.WithContext(ctx))
 		if err != nil {
-			return p.Failed(ctx, server, requestTrace, err)
+			return p.ClassifyError(ctx, server, requestTrace, err)
 		}
 		_, err = io.Copy(io.Discard, resp.Body)
 		is.NoErr(err)
@@ -55,7 +55,7 @@
 	is.NoErr(send(server, "/"))
 	is.Equal(opened.Load(), int32(1))
 	sent := &RequestTrace{written: true}
-	err := p.Failed(t.Context(), server, sent, io.ErrUnexpectedEOF)
+	err := p.ClassifyError(t.Context(), server, sent, io.ErrUnexpectedEOF)
 	is.True(errors.Is(err, galenastair.ErrBackendServer))
 	is.NoErr(send(server, "/"))
 	is.Equal(opened.Load(), int32(2))
@@ -65,5 +65,5 @@
 
 	gone, cancel := context.WithCancel(t.Context())
 	cancel()
-	is.Equal(p.Failed(gone, server, sent, io.EOF), context.Canceled)
+	is.Equal(p.ClassifyError(gone, server, sent, io.EOF), context.Canceled)
 }
--- a/httpclient/header.go
+++ b/httpclient/header.go
@@ -22,7 +22,7 @@
 
 // RemoveNonForwardedHeaders removes the headers that must not be forwarded, including those that
 // the Connection header lists.
-func DropPrivate(h http.Header) {
+func RemoveNonForwardedHeaders(h http.Header) {
 	for _, line := range h.Values("Connection") {
 		for _, name := range strings.Split(line, ",") {
 			h.Del(strings.TrimSpace(name))
--- a/httpclient/pool.go
+++ b/httpclient/pool.go
@@ -25,11 +25,11 @@
 
 // NewPool returns an empty pool.
 func NewPool() *Pool {
-	return &Pool{byServer: map[string]*pooledTransport{}, unpooled: NewFreshTransport()}
+	return &Pool{byServer: map[string]*pooledTransport{}, unpooled: NewUnpooledTransport()}
 }
 
 // Transport returns the transport of a server. It pools connections.
-func (p *Pool) For(server string) *http.Transport {
+func (p *Pool) Transport(server string) *http.Transport {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -44,7 +44,7 @@
 }
 
 // UnpooledTransport returns a transport that opens a new connection for each request.
-func (p *Pool) Fresh() *http.Transport { return p.unpooled }
+func (p *Pool) UnpooledTransport() *http.Transport { return p.unpooled }
 
 func (p *Pool) prune(now time.Time) {
 	for server, t := range p.byServer {
@@ -56,7 +56,7 @@
 }
 
 // CloseIdle closes the idle connections to one server.
-func (p *Pool) Forget(server string) {
+func (p *Pool) CloseIdle(server string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if t, ok := p.byServer[server]; ok {
--- a/httpclient/sending.go
+++ b/httpclient/sending.go
@@ -16,7 +16,7 @@
 
 // WithRequestTrace returns a context for one request, and the RequestTrace that records whether
 // the request was written.
-func Track(ctx context.Context) (context.Context, *RequestTrace) {
+func WithRequestTrace(ctx context.Context) (context.Context, *RequestTrace) {
 	t := &RequestTrace{}
 	trace := &httptrace.ClientTrace{GotConn: t.gotConn}
 	return httptrace.WithClientTrace(ctx, trace), t
--- a/httpclient/sending_test.go
+++ b/httpclient/sending_test.go
@@ -21,7 +21,7 @@
 	near, far := net.Pipe()
 	defer far.Close()
 	c := &conn{Conn: near}
-	ctx, requestTrace := Track(context.Background())
+	ctx, requestTrace := WithRequestTrace(context.Background())
 	httptrace.ContextClientTrace(ctx).GotConn(httptrace.GotConnInfo{Conn: c})
 	is.True(requestTrace.NotSent())
 	_, err := c.Write([]byte("POST /bid"))
@@ -55,7 +55,7 @@
 			req, err := NewRequest(method, server.URL+"/bid", nil)
 			is.NoErr(err)
 			req.Header.Set("Idempotency-Key", "k1")
-			ctx, requestTrace := Track(context.Background())
+			ctx, requestTrace := WithRequestTrace(context.Background())
 			_, err = transport.RoundTrip(req.WithContext(ctx))
 			is.True(err != nil)
 			is.True(!requestTrace.NotSent())
--- a/httpclient/transport.go
+++ b/httpclient/transport.go
@@ -36,7 +36,7 @@
 }
 
 // NewUnpooledTransport returns a transport that opens a new connection for each request.
-func NewFreshTransport() *http.Transport {
+func NewUnpooledTransport() *http.Transport {
 	t := NewTransport()
 	t.DisableKeepAlives = true
 	return t
--- a/httpserve/conns.go
+++ b/httpserve/conns.go
@@ -53,16 +53,16 @@
 // on it is being read. The request then reaches a backend server, but its caller gets no
 // response. ConnTracker prevents this: a connection is either closed or serves a request,
 // since both are entered by a compare-and-swap from the idle state.
-type Conns struct {
+type ConnTracker struct {
 	mu    sync.Mutex
 	conns map[net.Conn]*conn
 }
 
 // NewConnTracker returns a ConnTracker without a server.
-func NewConns() *Conns { return &Conns{conns: map[net.Conn]*conn{}} }
+func NewConnTracker() *ConnTracker { return &ConnTracker{conns: map[net.Conn]*conn{}} }
 
 // Track tracks the connections of a server. It must be called before the server starts.
-func (s *Conns) Watch(server *http.Server) {
+func (s *ConnTracker) Track(server *http.Server) {
 	server.Handler = s.wrapHandler(server.Handler)
 	server.ConnContext, server.ConnState = s.connContext, s.connState
 }
@@ -70,7 +70,7 @@
 type connKey struct{}
 
 // connContext is the server's ConnContext hook. It adds the connection to the context of its requests.
-func (s *Conns) connContext(ctx context.Context, c net.Conn) context.Context {
+func (s *ConnTracker) connContext(ctx context.Context, c net.Conn) context.Context {
 	k := &conn{Conn: c, opened: time.Now()}
 	s.mu.Lock()
 	s.conns[c] = k
@@ -79,7 +79,7 @@
 }
 
 // connState is the server's ConnState hook.
-func (s *Conns) connState(c net.Conn, state http.ConnState) {
+func (s *ConnTracker) connState(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch state {
@@ -93,7 +93,7 @@
 }
 
 // wrapHandler aborts requests whose connection has already been closed.
-func (s *Conns) wrapHandler(next http.Handler) http.Handler {
+func (s *ConnTracker) wrapHandler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		k, ok := r.Context().Value(connKey{}).(*conn)
 		if !ok {
@@ -127,7 +127,7 @@
 // Without the cancellation, a request that waits at a backend server for longer than the
 // shutdown may take would have its connection closed without a response, after seconds of
 // waiting. With it, the caller gets a response and can repeat the request at another instance.
-func (s *Conns) Drain(ctx context.Context) int {
+func (s *ConnTracker) Drain(ctx context.Context) int {
 	if left := s.closeIdleUntil(ctx); left == 0 {
 		return 0
 	}
@@ -142,7 +142,7 @@
 }
 
 // closeIdleUntil closes idle connections until none is left or the context ends.
-func (s *Conns) closeIdleUntil(ctx context.Context) int {
+func (s *ConnTracker) closeIdleUntil(ctx context.Context) int {
 	for {
 		left := s.closeIdleConns(time.Now().Add(-newConnGracePeriod))
 		if left == 0 || !timer.Wait(ctx, closeInterval) {
@@ -151,7 +151,7 @@
 	}
 }
 
-func (s *Conns) snapshot() []*conn {
+func (s *ConnTracker) snapshot() []*conn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := make([]*conn, 0, len(s.conns))
@@ -161,7 +161,7 @@
 	return list
 }
 
-func (s *Conns) closeIdleConns(before time.Time) int {
+func (s *ConnTracker) closeIdleConns(before time.Time) int {
 	list := s.snapshot()
 	for _, k := range list {
 		if k.used.Load() || k.opened.Before(before) {
--- a/httpserve/conns_test.go
+++ b/httpserve/conns_test.go
@@ -16,11 +16,11 @@
 )
 
 // startServer serves h on a loopback address with tracked connections.
-func startServer(t *testing.T, h http.Handler) (*Conns, net.Listener) {
+func startServer(t *testing.T, h http.Handler) (*ConnTracker, net.Listener) {
 	t.Helper()
-	conns := NewConns()
+	conns := NewConnTracker()
 	s := &http.Server{Handler: h}
-	conns.Watch(s)
+	conns.Track(s)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -76,7 +76,7 @@
 
 // waitAccepted waits until the server has accepted a connection. A connection that has not been
 // accepted when the listener is closed is reset, which tells its client that nothing was read.
-func waitAccepted(t *testing.T, s *Conns) {
+func waitAccepted(t *testing.T, s *ConnTracker) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		s.mu.Lock()
--- a/inifile/file.go
+++ b/inifile/file.go
@@ -36,7 +36,7 @@
 }
 
 // Parse parses a text according to a schema. Its error is a Problems that lists all problems.
-func Read(text []byte, schema Schema, maxBytes int) (File, error) {
+func Parse(text []byte, schema Schema, maxBytes int) (File, error) {
 	lines, problems := scan(text, schema, maxBytes)
 	if len(problems) > 0 {
 		return File{}, problems
--- a/inifile/file_test.go
+++ b/inifile/file_test.go
@@ -22,7 +22,7 @@
 	for _, value := range []string{"a", `%(Zone)s`, `a \`, `a # b`, "a ; b", "a=b", "a:b", "é", "a  b", "[a]", "1,5", `a"b"`} {
 		t.Run(value, func(t *testing.T) {
 			is := is.New(t)
-			f, err := Read([]byte("# first\r\n[Instance]\r\n Zone = z \r\nID = "+value+"\t\r\n"), testSchema, 1000)
+			f, err := Parse([]byte("# first\r\n[Instance]\r\n Zone = z \r\nID = "+value+"\t\r\n"), testSchema, 1000)
 			is.NoErr(err)
 			v, ok := f.Value("Instance", "ID")
 			is.True(ok)
@@ -59,7 +59,7 @@
 	} {
 		t.Run(text[:min(len(text), 30)], func(t *testing.T) {
 			is := is.New(t)
-			_, err := Read([]byte(text), testSchema, 1000)
+			_, err := Parse([]byte(text), testSchema, 1000)
 			is.True(errors.Is(err, ErrInvalid))
 			var problems Problems
 			is.True(errors.As(err, &problems))
@@ -81,7 +81,7 @@
 	f.Add("[Instance]\nID = \u00a0a\v")
 	f.Add("[Instance]\nID = a ; b\n[Stop]\nNotice=%(ID)s")
 	f.Fuzz(func(t *testing.T, text string) {
-		file, err := Read([]byte(text), testSchema, 1000)
+		file, err := Parse([]byte(text), testSchema, 1000)
 		if err != nil {
 			if !errors.Is(err, ErrInvalid) {
 				t.Fatal(err)
--- a/lease/campaign.go
+++ b/lease/campaign.go
@@ -42,7 +42,7 @@
 )
 
 // WithLinkMbps sets the bandwidth of this instance's link in Mbit/s; 0 means unknown.
-func WithLink(mbps float64) Option { return func(e *Elector) { e.linkMbps = mbps } }
+func WithLinkMbps(mbps float64) Option { return func(e *Elector) { e.linkMbps = mbps } }
 
 // linkDelay returns how long this instance leaves the lease to others, so that the exchanges of a
 // large fleet do not fill a slow link.
@@ -86,7 +86,7 @@
 // ReportUnreachable records that the leader did not answer. It may have renewed the lease after
 // its last answer, and the TTL counts from when that renewal is seen. So a few instances read the
 // lease at once.
-func (e *Elector) Suspect() {
+func (e *Elector) ReportUnreachable() {
 	e.mu.Lock()
 	firstReport := !e.leaderUnreachable
 	e.leaderUnreachable, e.checkLease = true, e.checkLease || firstReport
--- a/lease/elector.go
+++ b/lease/elector.go
@@ -51,7 +51,7 @@
 	member       string
 	clock        boottime.Clock
 	logger       log.Logger
-	checkpointer Note
+	checkpointer Checkpointer
 	fleet        func() int
 	// onElected is called at the start of each term of this instance.
 	onElected func()
@@ -96,10 +96,10 @@
 func WithClock(c boottime.Clock) Option { return func(e *Elector) { e.clock = c } }
 
 // WithFleetSize sets the function that returns the number of instances; 0 means unknown.
-func WithFleet(fleet func() int) Option { return func(e *Elector) { e.fleet = fleet } }
+func WithFleetSize(fleet func() int) Option { return func(e *Elector) { e.fleet = fleet } }
 
 // WithOnElected sets a callback for the start of each term of this instance.
-func WithElected(f func()) Option { return func(e *Elector) { e.onElected = f } }
+func WithOnElected(f func()) Option { return func(e *Elector) { e.onElected = f } }
 
 // NewElector returns an elector for a member. The member is named by its peer address, so that any
 // reader of the leader's name can call it. The topic is used for the lease alone.
@@ -111,7 +111,7 @@
 		member:       member,
 		clock:        boottime.Now,
 		logger:       log.NewNopLogger(),
-		checkpointer: Note{Write: func() []byte { return nil }, Written: func([]byte) {}, Read: func([]byte, bool) {}},
+		checkpointer: Checkpointer{Checkpoint: func() []byte { return nil }, Stored: func([]byte) {}, Restore: func([]byte, bool) {}},
 		fleet:        func() int { return 1 },
 		onElected:    func() {},
 		started:      make(chan struct{}),
@@ -128,7 +128,7 @@
 func (e *Elector) Run(ctx context.Context) error {
 	timer.Wait(ctx, e.linkDelay()+rand.N(startJitter))
 	e.loadRecord(ctx)
-	if known := e.Known(); known.Fleet > 0 && known.Fleet <= MaxRestoreFleet {
+	if known := e.LatestRecord(); known.Fleet > 0 && known.Fleet <= MaxRestoreFleet {
 		e.restoreCheckpoint(ctx, true)
 	}
 	close(e.started)
@@ -172,14 +172,14 @@
 }
 
 // LatestRecord returns the newest record known here, to be passed to other instances.
-func (e *Elector) Known() Record {
+func (e *Elector) LatestRecord() Record {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.record
 }
 
 // Observe applies a record that another instance knows of.
-func (e *Elector) Learn(r Record) {
+func (e *Elector) Observe(r Record) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if r.Offset > e.record.Offset && e.loaded {
@@ -190,7 +190,7 @@
 }
 
 // ReportAnswer records that the leader has just answered, and the renewal named in its answer.
-func (e *Elector) Answered(r Renewal) {
+func (e *Elector) ReportAnswer(r Renewal) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.clock()
@@ -202,7 +202,7 @@
 }
 
 // ReportNotLeader records that the supposed leader has answered that it is not the leader.
-func (e *Elector) Denied() {
+func (e *Elector) ReportNotLeader() {
 	e.mu.Lock()
 	firstReport := !e.leaderSteppedDown && e.clock().Sub(e.loadedAt) > renewPeriod
 	e.leaderSteppedDown = e.leaderSteppedDown || firstReport
--- a/lease/elector_test.go
+++ b/lease/elector_test.go
@@ -43,7 +43,7 @@
 // fleet.
 func startInstance(t *testing.T, address, member string, fleet map[string]*instance, opts ...lease.Option) {
 	t.Helper()
-	x := &instance{lease: lease.New(lease.DefaultBounds(minOrderInterval, true)), ended: make(chan error, 1)}
+	x := &instance{lease: lease.New(lease.DefaultTiming(minOrderInterval, true)), ended: make(chan error, 1)}
 	store := &partitionableStore{Store: platform.NewStore(address)}
 	x.partition = func() { store.partitioned.Store(true) }
 	x.elector = lease.NewElector(store, platform.LeaseTopic, x.lease, member, opts...)
@@ -61,9 +61,9 @@
 		switch {
 		case leader == nil:
 		case leader.isLeader():
-			x.elector.Answered(leader.elector.Renewal())
+			x.elector.ReportAnswer(leader.elector.Renewal())
 		default:
-			x.elector.Denied()
+			x.elector.ReportNotLeader()
 		}
 	}
 }
@@ -155,8 +155,8 @@
 	is := is.New(t)
 	_, address := startStore(t)
 	fleet := map[string]*instance{}
-	startInstance(t, address, "small", fleet, lease.WithLink(10))
-	startInstance(t, address, "large", fleet, lease.WithLink(200))
+	startInstance(t, address, "small", fleet, lease.WithLinkMbps(10))
+	startInstance(t, address, "large", fleet, lease.WithLinkMbps(200))
 	is.Equal(waitForLeader(t, fleet), "large")
 }
 
@@ -168,7 +168,7 @@
 	store, address := startStore(t)
 	fleet := map[string]*instance{}
 	for i := range instances {
-		startInstance(t, address, fmt.Sprint("i", i), fleet, lease.WithLink(200))
+		startInstance(t, address, fmt.Sprint("i", i), fleet, lease.WithLinkMbps(200))
 	}
 	first := waitForLeader(t, fleet)
 	for range 30 {
@@ -186,7 +186,7 @@
 	_, address := startStore(t)
 	fleet := map[string]*instance{}
 	for i := range 8 {
-		startInstance(t, address, fmt.Sprint("i", i), fleet, lease.WithLink(200))
+		startInstance(t, address, fmt.Sprint("i", i), fleet, lease.WithLinkMbps(200))
 	}
 	first := waitForLeader(t, fleet)
 	runExchanges(fleet, 20)
@@ -205,7 +205,7 @@
 	_, address := startStore(t)
 	fleet := map[string]*instance{}
 	for i := range 4 {
-		startInstance(t, address, fmt.Sprint("i", i), fleet, lease.WithLink(200))
+		startInstance(t, address, fmt.Sprint("i", i), fleet, lease.WithLinkMbps(200))
 	}
 	first := waitForLeader(t, fleet)
 	runExchanges(fleet, 20)
@@ -218,7 +218,7 @@
 	silent := time.Now()
 	time.Sleep(400 * time.Millisecond)
 	for _, x := range fleet {
-		x.elector.Suspect()
+		x.elector.ReportUnreachable()
 	}
 	next := waitForLeader(t, fleet)
 	is.True(next != first)
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -9,9 +9,9 @@
 )
 
 // Timing holds the time limits of a term.
-type Bounds struct {
+type Timing struct {
 	// LeaseDuration is how long after sending a renewal its answer allows the leader to act.
-	Lease time.Duration
+	LeaseDuration time.Duration
 	// TakeoverDelay is how long a new leader waits before its first order if its predecessor may
 	// not know yet that it was replaced.
 	TakeoverDelay time.Duration
@@ -33,8 +33,8 @@
 // check fencing tokens, only a leader that reaches the store counts: it learns that it was
 // replaced at its next renewal, and one whose lease expired has had no contact for most of the
 // TTL. If they do not, a leader may act until the end of its lease.
-func DefaultBounds(minOrderInterval time.Duration, fencesChecked bool) Bounds {
-	t := Bounds{Lease: leaseDuration, TakeoverDelay: leaseDuration + minOrderInterval + orderTransit, TakeoverDelayLapsed: minOrderInterval + orderTransit}
+func DefaultTiming(minOrderInterval time.Duration, fencesChecked bool) Timing {
+	t := Timing{LeaseDuration: leaseDuration, TakeoverDelay: leaseDuration + minOrderInterval + orderTransit, TakeoverDelayLapsed: minOrderInterval + orderTransit}
 	if fencesChecked {
 		t.TakeoverDelay = renewPeriod + minOrderInterval + orderTransit
 		t.TakeoverDelayLapsed = max(0, minOrderInterval+orderTransit-(ttl-renewPeriod))
@@ -57,7 +57,7 @@
 
 // Lease is one instance's view of its own lease.
 type Lease struct {
-	timing Bounds
+	timing Timing
 
 	mu sync.Mutex
 	// held means that the last answered renewal was accepted.
@@ -72,14 +72,14 @@
 }
 
 // New returns a lease that is not held.
-func New(t Bounds) *Lease { return &Lease{timing: t} }
+func New(t Timing) *Lease { return &Lease{timing: t} }
 
 // HandleRenewal applies the answer to a renewal, or to the write that takes the lease; accepted is
 // its result. It reports whether the term needs a fencing token.
 func (l *Lease) HandleRenewal(sent, now boottime.Time, accepted bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	lapsed := l.held && now.Sub(l.lastConfirmed) >= l.timing.Lease
+	lapsed := l.held && now.Sub(l.lastConfirmed) >= l.timing.LeaseDuration
 	if !accepted {
 		l.endTerm()
 		return false
@@ -131,7 +131,7 @@
 }
 
 // FenceRejected ends the term, because an engine has seen a higher fencing token.
-func (l *Lease) Refused(f galenastair.Fence) {
+func (l *Lease) FenceRejected(f galenastair.Fence) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.fenceSet && l.fence == f {
@@ -140,7 +140,7 @@
 }
 
 // OrderFence returns the fencing token for an order sent now; false if none may be sent.
-func (l *Lease) Order(now boottime.Time) (galenastair.Fence, bool) {
+func (l *Lease) OrderFence(now boottime.Time) (galenastair.Fence, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.valid(now) || l.ordersStopped || now < l.ordersFrom {
@@ -167,7 +167,7 @@
 // ServesPeers reports whether others may exchange with this instance and borrow from it. This
 // outlasts the lease until the store reports that it has ended: in a store outage nobody can
 // renew, and lending and exchanges do not require that only one instance serves them.
-func (l *Lease) Hosts(now boottime.Time) bool {
+func (l *Lease) ServesPeers(now boottime.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.held && l.fenceSet && now.Sub(l.lastConfirmed) < peerServiceDuration
@@ -183,5 +183,5 @@
 // valid reports whether the lease is held and has not expired. It is false until the fencing token
 // is set, because the predecessor's checkpoint has been read by then.
 func (l *Lease) valid(now boottime.Time) bool {
-	return l.held && l.fenceSet && now.Sub(l.lastConfirmed) < l.timing.Lease
+	return l.held && l.fenceSet && now.Sub(l.lastConfirmed) < l.timing.LeaseDuration
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -58,7 +58,7 @@
 		g := &fakeStore{renewedAt: map[int]boottime.Time{}}
 		members := make([]*member, 2+rng.IntN(3))
 		for i := range members {
-			members[i] = &member{lease: New(DefaultBounds(minOrderInterval, false))}
+			members[i] = &member{lease: New(DefaultTiming(minOrderInterval, false))}
 		}
 		var fences galenastair.Fence
 		var orders []order
@@ -77,7 +77,7 @@
 					continue
 				}
 				// after a pause, an order may be planned before the renewal's answer is handled
-				if f, ok := m.lease.Order(now); ok {
+				if f, ok := m.lease.OrderFence(now); ok {
 					orders = append(orders, order{now, i, f})
 				}
 				m.step(rng, g, now, i, &fences)
@@ -133,7 +133,7 @@
 const startTime = boottime.Time(time.Hour)
 
 func heldLease() *Lease {
-	t := New(DefaultBounds(minOrderInterval, true))
+	t := New(DefaultTiming(minOrderInterval, true))
 	t.HandleRenewal(startTime, startTime, true)
 	t.SetFence(t.Term(), 5, NoPredecessor)
 	return t
@@ -146,13 +146,13 @@
 	is := is.New(t)
 	now := startTime
 	h := heldLease()
-	_, ok := h.Order(now)
+	_, ok := h.OrderFence(now)
 	is.True(ok)
 	later := now.Add(10 * time.Second)
-	_, ok = h.Order(later)
+	_, ok = h.OrderFence(later)
 	is.True(!ok)
 	is.True(h.HandleRenewal(later, later, true))
-	_, ok = h.Order(later)
+	_, ok = h.OrderFence(later)
 	is.True(!ok)
 }
 
@@ -172,10 +172,10 @@
 	is := is.New(t)
 	now := startTime
 	h := heldLease()
-	h.Refused(4)
+	h.FenceRejected(4)
 	is.True(h.Holds(now))
-	h.Refused(5)
-	_, ok := h.Order(now)
+	h.FenceRejected(5)
+	_, ok := h.OrderFence(now)
 	is.True(!ok)
 }
 
@@ -185,7 +185,7 @@
 	now := startTime
 	h := heldLease()
 	h.StopOrders()
-	_, ok := h.Order(now)
+	_, ok := h.OrderFence(now)
 	is.True(!ok)
 	is.True(h.Holds(now))
 }
@@ -194,13 +194,13 @@
 func TestFenceOfAnEarlierTermIsIgnored(t *testing.T) {
 	is := is.New(t)
 	now := boottime.Time(time.Hour)
-	h := New(DefaultBounds(minOrderInterval, true))
+	h := New(DefaultTiming(minOrderInterval, true))
 	h.HandleRenewal(now, now, true)
 	term := h.Term()
 	h.HandleRenewal(now, now, false)
 	h.HandleRenewal(now, now, true)
 	h.SetFence(term, 7, NoPredecessor)
-	_, ok := h.Order(now.Add(time.Millisecond))
+	_, ok := h.OrderFence(now.Add(time.Millisecond))
 	is.True(!ok)
 }
 
@@ -208,10 +208,10 @@
 // a leader whose lease lapsed has had no contact to the store.
 func TestBounds(t *testing.T) {
 	is := is.New(t)
-	b := DefaultBounds(minOrderInterval, true)
+	b := DefaultTiming(minOrderInterval, true)
 	is.True(b.TakeoverDelay >= minOrderInterval+renewPeriod)
 	is.True(b.TakeoverDelayLapsed+ttl-renewPeriod >= minOrderInterval)
-	strict := DefaultBounds(minOrderInterval, false)
+	strict := DefaultTiming(minOrderInterval, false)
 	is.True(strict.TakeoverDelay >= minOrderInterval+leaseDuration)
 	is.True(slices.Max([]time.Duration{b.TakeoverDelayLapsed, b.TakeoverDelay, strict.TakeoverDelayLapsed}) <= strict.TakeoverDelay)
 }
--- a/lease/note.go
+++ b/lease/note.go
@@ -24,21 +24,21 @@
 
 // Checkpointer reads and writes the state that a leader stores on the platform. This package does
 // not interpret the state.
-type Note struct {
+type Checkpointer struct {
 	// Topic is the keyed topic that holds the checkpoint.
 	Topic galenastair.Topic
 	// Checkpoint returns the state to store; nil if there is nothing to store yet.
-	Write func() []byte
+	Checkpoint func() []byte
 	// Stored is called once the state is certainly stored.
-	Written func([]byte)
+	Stored func([]byte)
 	// Restore is called with the state of an earlier leader when the process starts and at the
 	// start of a term. first means that this process has just started, and that no process of this
 	// member has been given the same checkpoint: what a checkpoint allows once is done then.
-	Read func(checkpoint []byte, first bool)
+	Restore func(checkpoint []byte, first bool)
 }
 
 // WithCheckpointer sets what is stored on the platform and who reads it.
-func WithNote(c Note) Option { return func(e *Elector) { e.checkpointer = c } }
+func WithCheckpointer(c Checkpointer) Option { return func(e *Elector) { e.checkpointer = c } }
 
 // checkpointWriter is the state of one term's writes.
 //
@@ -73,7 +73,7 @@
 		}
 	}
 	if checkpoint.Key != "" {
-		e.checkpointer.Read(checkpoint.Value, starts && e.markUsed(ctx, checkpoint.Offset, used))
+		e.checkpointer.Restore(checkpoint.Value, starts && e.markUsed(ctx, checkpoint.Offset, used))
 	}
 	return true
 }
@@ -105,7 +105,7 @@
 	}
 	w := &e.writer
 	if w.pending == nil {
-		next := e.checkpointer.Write()
+		next := e.checkpointer.Checkpoint()
 		if next == nil || bytes.Equal(next, w.stored) {
 			return
 		}
@@ -118,5 +118,5 @@
 	}
 	w.producer.Sequence++
 	w.stored, w.pending = w.pending, nil
-	e.checkpointer.Written(w.stored)
+	e.checkpointer.Stored(w.stored)
 }
--- a/lease/note_test.go
+++ b/lease/note_test.go
@@ -39,9 +39,9 @@
 }
 
 func (n *fakeCheckpointer) option() lease.Option {
-	return lease.WithNote(lease.Note{
-		Topic: platform.NoteTopic,
-		Write: func() []byte {
+	return lease.WithCheckpointer(lease.Checkpointer{
+		Topic: platform.CheckpointTopic,
+		Checkpoint: func() []byte {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			if n.next == "" {
@@ -49,12 +49,12 @@
 			}
 			return []byte(n.next)
 		},
-		Written: func(b []byte) {
+		Stored: func(b []byte) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			n.written = append(n.written, string(b))
 		},
-		Read: func(b []byte, first bool) {
+		Restore: func(b []byte, first bool) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			n.read, n.first = append(n.read, string(b)), append(n.first, first)
@@ -65,7 +65,7 @@
 // startElector runs an elector until the returned function is called.
 func startElector(t *testing.T, address, member string, n *fakeCheckpointer) func() {
 	t.Helper()
-	k := lease.NewElector(platform.NewStore(address), platform.LeaseTopic, lease.New(lease.DefaultBounds(minOrderInterval, true)), member, n.option())
+	k := lease.NewElector(platform.NewStore(address), platform.LeaseTopic, lease.New(lease.DefaultTiming(minOrderInterval, true)), member, n.option())
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- k.Run(ctx) }()
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -110,7 +110,7 @@
 	var mu sync.Mutex
 	seen := map[galenastair.RequestID]platform.CallerRequest{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		c := platform.DecodeCaller(r.Header)
+		c := platform.DecodeCallerRequest(r.Header)
 		mu.Lock()
 		seen[c.ID] = c
 		n := len(seen)
@@ -147,6 +147,6 @@
 		is.Equal(c.Key, "secret")
 		is.Equal(c.Hints.Model, galenastair.ModelName("m1/a1"))
 		is.Equal(c.Hints.Output, galenastair.Tokens(7))
-		is.True(c.Left > time.Second)
+		is.True(c.Timeout > time.Second)
 	}
 }
--- a/load/opaque.go
+++ b/load/opaque.go
@@ -38,7 +38,7 @@
 	req.Host = a.source.Route.Host
 	c := platform.CallerRequest{ID: galenastair.RequestID(uuid.NewString()), Key: a.source.Key}
 	if deadline, ok := ctx.Deadline(); ok {
-		c.Left = time.Until(deadline)
+		c.Timeout = time.Until(deadline)
 	}
 	if a.question.Model != "" {
 		c.Hints = galenastair.Hints{
@@ -48,7 +48,7 @@
 			Counted: true,
 		}
 	}
-	platform.EncodeCaller(req.Header, c)
+	platform.EncodeCallerRequest(req.Header, c)
 	return req, nil
 }
 
--- a/logservice/log.go
+++ b/logservice/log.go
@@ -22,7 +22,7 @@
 func (c *Client) Append(ctx context.Context, s galenastair.Stream, data []byte) (galenastair.Offset, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	ctx, sending := httpclient.Track(ctx)
+	ctx, sending := httpclient.WithRequestTrace(ctx)
 	status, body, err := c.do(ctx, http.MethodPost, recordsPath(s), data)
 	if err != nil && status == 0 && sending.NotSent() {
 		return 0, eris.Wrapf(galenastair.ErrAppendRefused, "not sent: %v", err)
--- a/measure/fleet.go
+++ b/measure/fleet.go
@@ -107,7 +107,7 @@
 		Model:        c.model,
 		PromptTokens: galenastair.Tokens(c.prompt),
 		OutputTokens: galenastair.Tokens(c.permitted),
-		Prefix:       c.prefix,
+		PrefixHashes: c.prefix,
 		Deadline:     c.arrived.Add(patience),
 		Exclude:      exclude,
 	}
@@ -215,7 +215,7 @@
 		r := en.report()
 		f.after(reportLag, func() {
 			for _, e := range f.entries {
-				e.Report(f.now, r)
+				e.ApplyReport(f.now, r)
 				f.poll(e)
 			}
 		})
--- a/measure/placing.go
+++ b/measure/placing.go
@@ -24,7 +24,7 @@
 func newPlacing(f *fleet) *placing {
 	s := f.site.settings()
 	if f.policy.eager {
-		s.Busy, s.Gain, s.Calm, s.Stay = 0, 0.01, 0, 0
+		s.RebalanceThreshold, s.MinGain, s.MoveCooldown, s.MinCopyLifetime = 0, 0.01, 0, 0
 	}
 	p := &placing{f: f, planner: place.NewPlanner(s), forecast: forecast.New()}
 	for m := range f.site.models {
@@ -43,22 +43,22 @@
 			e.counted[d.Model] = d.Work
 		}
 	}
-	p.forecast.Step(p.f.now)
+	p.forecast.EndPeriod(p.f.now)
 }
 
 func (p *placing) plan() {
 	if p.f.policy.static && !p.f.now.Before(p.f.begin) {
 		return
 	}
-	in := place.Input{Now: p.f.now, Catalogue: p.catalogue, Work: p.forecast.Work}
+	in := place.Input{Now: p.f.now, Catalogue: p.catalogue, Work: p.forecast.Predict}
 	for _, s := range p.f.listed {
 		en := p.f.engine(s.ID)
 		if en.dead {
 			continue
 		}
-		sv := place.Server{ID: s.ID, AvailabilityZone: s.AvailabilityZone, Free: p.f.site.memory, Slow: p.slow(s.ID)}
+		sv := place.Server{ID: s.ID, AvailabilityZone: s.AvailabilityZone, FreeMemory: p.f.site.memory, Unhealthy: p.slow(s.ID)}
 		for _, l := range en.loaded {
-			sv.Free -= l.Weight.Memory
+			sv.FreeMemory -= l.Weight.Memory
 			sv.Copies = append(sv.Copies, place.Copy{Weight: l.Weight, State: copyState(l.State)})
 		}
 		in.Servers = append(in.Servers, sv)
@@ -70,8 +70,8 @@
 
 // slow asks the leader's own router, as the assembly does.
 func (p *placing) slow(id galenastair.BackendServerID) bool {
-	c, ok := p.f.entries[0].decider.(*dispatch.Core)
-	return ok && slices.Contains(c.Slow(p.f.now), id)
+	c, ok := p.f.entries[0].decider.(*dispatch.Scheduler)
+	return ok && slices.Contains(c.Unhealthy(p.f.now), id)
 }
 
 func copyState(s galenastair.LoadState) place.CopyState {
@@ -79,9 +79,9 @@
 	case galenastair.Ready:
 		return place.Ready
 	case galenastair.Unloading:
-		return place.Going
+		return place.Unloading
 	}
-	return place.Coming
+	return place.Loading
 }
 
 func (p *placing) carryOut(s place.Step) {
--- a/measure/policy.go
+++ b/measure/policy.go
@@ -48,7 +48,7 @@
 	FirstToken(now time.Time, t *dispatch.Ticket)
 	Done(now time.Time, t *dispatch.Ticket, res dispatch.Result)
 	SetServers(now time.Time, list []dispatch.Server)
-	Report(now time.Time, r galenastair.EngineReport)
+	ApplyReport(now time.Time, r galenastair.EngineReport)
 	CacheEvents(id galenastair.BackendServerID, events []galenastair.CacheEvent)
 	Poll() []dispatch.Decision
 	Demand() []dispatch.Demand
@@ -59,7 +59,7 @@
 	if p.plain != nil {
 		return newPlain(p)
 	}
-	return dispatch.NewCore(rng)
+	return dispatch.NewScheduler(rng)
 }
 
 // plain is a router without queue, health or affinity.
@@ -166,7 +166,7 @@
 
 func (r *plain) FirstToken(time.Time, *dispatch.Ticket)                            {}
 func (r *plain) SetServers(_ time.Time, l []dispatch.Server)                       { r.list = l }
-func (r *plain) Report(_ time.Time, e galenastair.EngineReport)                    { r.ready[e.BackendServer] = e }
+func (r *plain) ApplyReport(_ time.Time, e galenastair.EngineReport)               { r.ready[e.BackendServer] = e }
 func (r *plain) CacheEvents(galenastair.BackendServerID, []galenastair.CacheEvent) {}
 
 func (r *plain) Done(_ time.Time, t *dispatch.Ticket, _ dispatch.Result) {
--- a/measure/site.go
+++ b/measure/site.go
@@ -75,7 +75,7 @@
 	p := place.DefaultSettings()
 	p.LoadsInFlight = s.loadsInFlight
 	p.AdaptersInFlight = s.adaptersInFlight
-	p.ServerWork = s.capacity / float64(s.engines) * s.work()
+	p.ServerCapacity = s.capacity / float64(s.engines) * s.work()
 	return p
 }
 
--- a/member/measure_test.go
+++ b/member/measure_test.go
@@ -102,7 +102,7 @@
 
 	bytes = f.bytes.Load()
 	now := time.Now()
-	if err := f.instances[0].Announce(t.Context(), "digest", time.Minute); err != nil {
+	if err := f.instances[0].RefuseDigest(t.Context(), "digest", time.Minute); err != nil {
 		t.Fatal(err)
 	}
 	spread := waitFor(t, "all members refuse the digest", func() bool {
--- a/member/model_test.go
+++ b/member/model_test.go
@@ -272,7 +272,7 @@
 }
 
 // modelOwners are the roles that check verifies.
-var modelOwners = []Duty{LeaderOf, SlotDuty("k1", 0), SlotDuty("k1", 1), SlotDuty("k2", 0)}
+var modelOwners = []OwnerFunc{LeaderOf, SlotOwner("k1", 0), SlotOwner("k1", 1), SlotOwner("k2", 0)}
 
 // check runs after every event. It verifies that no member that has been removed holds a lease, and
 // that no role has two owners.
@@ -293,7 +293,7 @@
 			m.failure = fmt.Sprintf("at %v incarnation %d holds a lease after its removal", m.now, p.self.Incarnation)
 		}
 		for i, d := range modelOwners {
-			if s.ServesDuty(d, now) {
+			if s.ActsAs(d, now) {
 				owners[i]++
 			}
 		}
--- a/member/option.go
+++ b/member/option.go
@@ -68,7 +68,7 @@
 }
 
 // WithStateMachine adds a state machine that is driven by the control stream.
-func WithFold(f StateMachine) Option {
+func WithStateMachine(f StateMachine) Option {
 	return func(r *Runtime) { r.stateMachines = append(r.stateMachines, f) }
 }
 
--- a/member/reach.go
+++ b/member/reach.go
@@ -8,7 +8,7 @@
 // The values of LogReachability.
 const (
 	// LogReachable means that this instance reads the log.
-	Reached LogReachability = "Reached"
+	LogReachable LogReachability = "Reached"
 	// LogUnreachable means that other members read the log and this instance does not. It should
 	// take records from its peers.
 	LogUnreachable LogReachability = "OutOfReach"
@@ -25,10 +25,10 @@
 // outside the group and loses its lease. A member without a lease grants none, so the leases of the
 // group end one after the other, each within one lease duration of the next. If neighbours are in
 // different zones, all members of a zone that is cut off lose their leases within one duration.
-func (s *Status) LogReach(now time.Time) LogReachability {
+func (s *Status) LogReachability(now time.Time) LogReachability {
 	switch {
 	case !s.LogContact.IsZero() && now.Sub(s.LogContact) <= s.logContactMaxAge:
-		return Reached
+		return LogReachable
 	case s.Fleet.LogContact.Sub(s.LogContact) > s.logContactMaxAge:
 		return LogUnreachable
 	default:
--- a/member/reach_test.go
+++ b/member/reach_test.go
@@ -13,13 +13,13 @@
 		own, others time.Time
 		want        LogReachability
 	}{
-		{ago(time.Second), ago(time.Hour), Reached},
+		{ago(time.Second), ago(time.Hour), LogReachable},
 		{ago(time.Minute), ago(time.Second), LogUnreachable},
 		{time.Time{}, ago(time.Second), LogUnreachable},
 		{ago(time.Minute), ago(time.Minute), LogDown},
 		{time.Time{}, time.Time{}, LogDown},
 	} {
 		s := Status{LogContact: c.own, Fleet: Fleet{LogContact: c.others}, logContactMaxAge: DefaultTiming().LogContactMaxAge}
-		is.New(t).Equal(s.LogReach(modelStart), c.want)
+		is.New(t).Equal(s.LogReachability(modelStart), c.want)
 	}
 }
--- a/member/runtime.go
+++ b/member/runtime.go
@@ -89,7 +89,7 @@
 }
 
 // RefuseDigest makes all members refuse a digest for a while.
-func (r *Runtime) Announce(ctx context.Context, digest string, period time.Duration) error {
+func (r *Runtime) RefuseDigest(ctx context.Context, digest string, period time.Duration) error {
 	return r.loop.Post(ctx, func() {
 		r.node.RefuseDigest(r.clock.Now(), digest, period)
 		r.publish()
--- a/member/settling.go
+++ b/member/settling.go
@@ -10,20 +10,20 @@
 
 // OwnerFunc returns the member of a ring that owns a role, such as leader or a slot of a key. It
 // must depend on nothing but the view.
-type Duty func(View) (Member, bool)
+type OwnerFunc func(View) (Member, bool)
 
 // LeaderOf is the OwnerFunc of the leader role: the member that joined first.
 func LeaderOf(v View) (Member, bool) { return v.Leader() }
 
 // SlotOwner returns the OwnerFunc of a slot of a key: the member at that rank for the key.
-func SlotDuty(key string, slot int) Duty {
+func SlotOwner(key string, slot int) OwnerFunc {
 	return func(v View) (Member, bool) {
 		return memberAtRank(v.Ring, key, slot)
 	}
 }
 
 // watcherOf returns the OwnerFunc of the watch over an incarnation.
-func watcherOf(inc Incarnation) Duty {
+func watcherOf(inc Incarnation) OwnerFunc {
 	return func(v View) (Member, bool) {
 		if len(v.Ring) == 1 {
 			return Member{}, false
@@ -73,14 +73,14 @@
 }
 
 // servableSince returns since when this member may act in a role that its current ring gives it.
-func (s *ownerHistory) servableSince(ownerOf Duty) (time.Time, bool) {
+func (s *ownerHistory) servableSince(ownerOf OwnerFunc) (time.Time, bool) {
 	return s.releasedSince(ownerOf, s.delay, nil)
 }
 
 // releasedSince returns since when all previous owners of a role have released it, with a given
 // delay after each release. It does not wait for the acks of the members in dead, which maps them
 // to the time at which they were found dead.
-func (s *ownerHistory) releasedSince(ownerOf Duty, delay time.Duration, dead map[Incarnation]time.Time) (time.Time, bool) {
+func (s *ownerHistory) releasedSince(ownerOf OwnerFunc, delay time.Duration, dead map[Incarnation]time.Time) (time.Time, bool) {
 	ready, ok := s.floorReleasedAt()
 	if !ok {
 		return ready, false
