--- a/member/status.go
+++ b/member/status.go
@@ -57,7 +57,7 @@
 
 // Owner returns the member that owns a slot of a key in the current ring.
 func (s *Status) Owner(key string, slot int) (Member, bool) {
-	return SlotDuty(key, slot)(s.View)
+	return SlotOwner(key, slot)(s.View)
 }
 
 // Owners returns the owners of the first slots of a key. There are fewer than slots in a smaller ring.
@@ -69,12 +69,12 @@
 // Serves reports whether this instance may serve a slot of a key at now: the current ring gives it
 // the slot, its lease runs, and every previous owner has released the slot.
 func (s *Status) Serves(key string, slot int, now time.Time) bool {
-	return s.ServesDuty(SlotDuty(key, slot), now)
+	return s.ActsAs(SlotOwner(key, slot), now)
 }
 
 // ServesSince returns since when this instance may serve a slot of a key, regardless of its lease.
 func (s *Status) ServesSince(key string, slot int) (time.Time, bool) {
-	return s.actsSince(SlotDuty(key, slot))
+	return s.actsSince(SlotOwner(key, slot))
 }
 
 // Leads reports whether this instance may act as leader at now.
@@ -96,7 +96,7 @@
 }
 
 // ActsAs reports whether this instance may act as the owner of a role at now.
-func (s *Status) ServesDuty(ownerOf Duty, now time.Time) bool {
+func (s *Status) ActsAs(ownerOf OwnerFunc, now time.Time) bool {
 	if !s.Holds(now) {
 		return false
 	}
@@ -104,7 +104,7 @@
 	return ok && !now.Before(since)
 }
 
-func (s *Status) actsSince(ownerOf Duty) (time.Time, bool) {
+func (s *Status) actsSince(ownerOf OwnerFunc) (time.Time, bool) {
 	owner, ok := ownerOf(s.View)
 	if !ok || s.Self.Incarnation == 0 || owner.Incarnation != s.Self.Incarnation {
 		return time.Time{}, false
--- a/node/exchange.go
+++ b/node/exchange.go
@@ -34,22 +34,22 @@
 )
 
 // leaderClient sends this instance's reports and requests to the leader and applies its replies.
-type exchange struct {
+type leaderClient struct {
 	self         galenastair.InstanceID
 	elector      *lease.Elector
 	client       *planning.Client
 	localPlanner *planner.Planner
 	pool         *pool.Pool
-	borrower     *quota.Share
+	borrower     *quota.Borrower
 	accounts     *account.Accounts
 	stopping     func() bool
-	poisonTable  *claim.Poison
+	poisonTable  *claim.PoisonTracker
 	logger       log.Logger
 	address      string
 	zone         galenastair.AvailabilityZone
 	topics       func() []topicState
 
-	limitFallback *ratelimit.Shares
+	limitFallback *ratelimit.FallbackLimiter
 	// index is the position of this instance among all instances, from 0.
 	index atomic.Int64
 
@@ -64,7 +64,7 @@
 }
 
 // RecordDemand adds the engine time of a request to the input of the planner's demand forecast.
-func (c *exchange) Asked(name galenastair.ModelName, work time.Duration) {
+func (c *leaderClient) RecordDemand(name galenastair.ModelName, work time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.demands[name] += work
@@ -72,7 +72,7 @@
 
 // recordPoisonRequest adds a request that stopped a backend server to the next report, from which
 // all instances learn of it.
-func (c *exchange) recordPoisonRequest(d claim.Digest) {
+func (c *leaderClient) recordPoisonRequest(d claim.Digest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.poisonRequests = append(c.poisonRequests, d)
@@ -81,7 +81,7 @@
 // run exchanges reports with the leader until the context is done. It starts once the elector
 // has read the previous leader's checkpoint, or after electorStartTimeout if the store does not
 // answer.
-func (c *exchange) run(ctx context.Context) error {
+func (c *leaderClient) run(ctx context.Context) error {
 	select {
 	case <-c.elector.Started():
 	case <-time.After(electorStartTimeout):
@@ -100,13 +100,13 @@
 
 // exchangeOnce sends one report and applies the reply. It returns whether the next report is due
 // after reportInterval rather than idleReportInterval.
-func (c *exchange) exchangeOnce(ctx context.Context) bool {
+func (c *leaderClient) exchangeOnce(ctx context.Context) bool {
 	r := c.buildReport()
 	sent := boottime.Now()
-	busy := len(r.Loads)+len(r.Demands)+len(r.Asks)+len(r.Poisons) > 0
+	busy := len(r.Loads)+len(r.Demands)+len(r.LoanRequests)+len(r.PoisonRequests) > 0
 	leader, _ := c.leader()
 	if leader == c.lastChangeLeader {
-		r.Seen = c.lastChange
+		r.LastChange = c.lastChange
 	}
 	update, err := c.sendReport(ctx, r)
 	if err != nil {
@@ -114,7 +114,7 @@
 		c.requeue(r)
 		return true
 	}
-	c.lastChange, c.lastChangeLeader = update.Newest, leader
+	c.lastChange, c.lastChangeLeader = update.LastChange, leader
 	c.applyUpdate(update)
 	c.applyOwners(update, sent)
 	forwardTails(c.topics(), update.Tails, sent, func(peer string, t galenastair.Topic, from galenastair.Offset) (galenastair.KeyedBatch, error) {
@@ -123,115 +123,115 @@
 	return busy
 }
 
-func (c *exchange) buildReport() planner.Report {
+func (c *leaderClient) buildReport() planner.Report {
 	c.mu.Lock()
-	r := planner.Report{Instance: c.self, Demands: c.demands, Poisons: c.poisonRequests}
+	r := planner.Report{Instance: c.self, Demands: c.demands, PoisonRequests: c.poisonRequests}
 	c.demands, c.poisonRequests = map[galenastair.ModelName]time.Duration{}, nil
 	c.mu.Unlock()
-	r.Loads, r.Absent = c.pool.Loads(), c.pool.Absent(time.Now())
+	r.Loads, r.Down = c.pool.Loads(), c.pool.Down(time.Now())
 	r.Positions = readOffsets(c.topics())
 	r.Zone, r.Limits = c.zone, c.pool.Limits(time.Now())
 	r.Address, r.TableVersion, r.Stopping = c.address, c.accounts.Table().Version, c.stopping()
 	now := time.Now()
-	r.Asks, r.Passed = c.borrower.Asks(now), c.borrower.Pass(now)
+	r.LoanRequests, r.QuotaContribution = c.borrower.LoanRequests(now), c.borrower.TakeContribution(now)
 	return r
 }
 
 // requeue keeps the undelivered poison requests for the next report. Undelivered demand is
 // dropped: a planner that has just started would take the sum for the demand of one interval.
-func (c *exchange) requeue(r planner.Report) {
+func (c *leaderClient) requeue(r planner.Report) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.poisonRequests = append(c.poisonRequests, r.Poisons...)
+	c.poisonRequests = append(c.poisonRequests, r.PoisonRequests...)
 }
 
 // leader returns the leader's address, and whether this instance is the leader.
-func (c *exchange) leader() (string, bool) {
+func (c *leaderClient) leader() (string, bool) {
 	leader := c.elector.Leader()
 	return leader, leader == c.address
 }
 
 var errNoLeader = errors.New("no leader is known")
 
-func (c *exchange) sendReport(ctx context.Context, r planner.Report) (planner.News, error) {
+func (c *leaderClient) sendReport(ctx context.Context, r planner.Report) (planner.Update, error) {
 	leader, isSelf := c.leader()
 	switch {
 	case isSelf:
 		return c.localPlanner.Exchange(ctx, r)
 	case leader == "":
-		return planner.News{}, errNoLeader
+		return planner.Update{}, errNoLeader
 	}
 	return c.client.Exchange(ctx, leader, r)
 }
 
 // handleFailure switches to operation without the leader, and logs only the first failure.
-func (c *exchange) handleFailure(err error) {
-	if errors.Is(err, planner.ErrNotPlanner) {
-		c.elector.Denied()
+func (c *leaderClient) handleFailure(err error) {
+	if errors.Is(err, planner.ErrNotLeader) {
+		c.elector.ReportNotLeader()
 	} else {
-		c.elector.Suspect()
+		c.elector.ReportUnreachable()
 	}
-	c.borrower.MissLender(time.Now())
-	c.limitFallback.Lost(time.Now())
+	c.borrower.ReportLenderUnavailable(time.Now())
+	c.limitFallback.ReportUnreachable(time.Now())
 	if !c.leaderLost {
 		c.leaderLost = true
 		c.logger.Log("event", "dependency lost", "peer", c.elector.Leader(), "err", err)
 	}
 }
 
-func (c *exchange) applyUpdate(u planner.News) {
+func (c *leaderClient) applyUpdate(u planner.Update) {
 	now := time.Now()
-	if u.Lapsed {
-		c.elector.Denied()
-		c.limitFallback.Lost(now)
+	if u.LeaseExpired {
+		c.elector.ReportNotLeader()
+		c.limitFallback.ReportUnreachable(now)
 	} else {
-		c.elector.Answered(u.Renewal)
-		c.limitFallback.Answered()
+		c.elector.ReportAnswer(u.Renewal)
+		c.limitFallback.ReportAnswer()
 	}
 	if c.leaderLost {
 		c.leaderLost = false
 		c.logger.Log("event", "dependency regained", "peer", c.elector.Leader())
 	}
-	c.borrower.SetStanding(now, u.Standing)
+	c.borrower.SetAllocation(now, u.QuotaAllocation)
 	for _, l := range u.Loans {
-		c.borrower.Lent(now, l.Organisation, l.Amount)
+		c.borrower.AddLoan(now, l.Organisation, l.Amount)
 	}
 	c.index.Store(int64(u.Index))
-	c.pool.SetOthersLimits(now, u.Limits)
-	c.pool.SetOthers(now, u.Loads)
-	for _, p := range u.Dropped {
+	c.pool.SetPeerLimits(now, u.Limits)
+	c.pool.SetPeerLoads(now, u.Loads)
+	for _, p := range u.Removed {
 		c.pool.RemoveModel(now, p.Server, p.Name)
 	}
-	for _, p := range u.Placed {
+	for _, p := range u.Added {
 		c.pool.AddModel(now, p.Server, p.Name)
 	}
-	for _, d := range u.Poisons {
-		c.poisonTable.Heard(now, d)
+	for _, d := range u.PoisonRequests {
+		c.poisonTable.RecordRemoteCrash(now, d)
 	}
 }
 
 // applyOwners applies the table of organisation owners and this instance's grants. sent is the
 // time before the call that returned them. Only a leader whose lease is valid can confirm grants.
-func (c *exchange) applyOwners(u planner.News, sent boottime.Time) {
-	if u.Lapsed || u.TableVersion == 0 {
+func (c *leaderClient) applyOwners(u planner.Update, sent boottime.Time) {
+	if u.LeaseExpired || u.TableVersion == 0 {
 		return
 	}
 	if u.Table.Version == u.TableVersion {
 		c.accounts.SetTable(u.Table)
 	}
 	if c.accounts.Table().Version == u.TableVersion {
-		c.accounts.Confirm(sent, boottime.Now(), u.Grants)
+		c.accounts.ConfirmGrants(sent, boottime.Now(), u.Grants)
 	}
 }
 
 // EnsureLoaded asks the leader to load a model or adapter, or for a server that already has it.
-func (c *exchange) Need(ctx context.Context, name galenastair.ModelName) (planner.Promise, error) {
+func (c *leaderClient) EnsureLoaded(ctx context.Context, name galenastair.ModelName) (planner.Availability, error) {
 	leader, isSelf := c.leader()
 	switch {
 	case isSelf:
-		return c.localPlanner.Need(ctx, name)
+		return c.localPlanner.EnsureLoaded(ctx, name)
 	case leader == "":
-		return planner.Promise{}, errNoLeader
+		return planner.Availability{}, errNoLeader
 	}
-	return c.client.Need(ctx, leader, name)
+	return c.client.EnsureLoaded(ctx, leader, name)
 }
--- a/node/lease.go
+++ b/node/lease.go
@@ -7,16 +7,18 @@
 )
 
 // leaseAdapter implements planner.Lease with the time of the boot clock.
-type heldLease struct{ lease *lease.Lease }
+type leaseAdapter struct{ lease *lease.Lease }
 
 // OrderFence returns the fence for an order that is sent now.
-func (h heldLease) Order() (galenastair.Fence, bool) { return h.lease.Order(boottime.Now()) }
+func (h leaseAdapter) OrderFence() (galenastair.Fence, bool) {
+	return h.lease.OrderFence(boottime.Now())
+}
 
 // Holds reports whether this instance holds the lease.
-func (h heldLease) Holds() bool { return h.lease.Holds(boottime.Now()) }
+func (h leaseAdapter) Holds() bool { return h.lease.Holds(boottime.Now()) }
 
 // ServesPeers reports whether this instance may answer the reports of other instances and lend to them.
-func (h heldLease) Hosts() bool { return h.lease.Hosts(boottime.Now()) }
+func (h leaseAdapter) ServesPeers() bool { return h.lease.ServesPeers(boottime.Now()) }
 
 // FenceRefused ends the term of a fence that an engine has refused.
-func (h heldLease) Refused(f galenastair.Fence) { h.lease.Refused(f) }
+func (h leaseAdapter) FenceRejected(f galenastair.Fence) { h.lease.FenceRejected(f) }
--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -113,5 +113,5 @@
 	if err := json.NewDecoder(resp.Body).Decode(&s); err != nil {
 		c.t.Fatal(err)
 	}
-	return s.Plans
+	return s.IsLeader
 }
--- a/node/limits_test.go
+++ b/node/limits_test.go
@@ -15,17 +15,17 @@
 func TestOnlyOneRequestWaitsForSilentLeader(t *testing.T) {
 	is := is.New(t)
 	calls := 0
-	silent := func(context.Context, ratelimit.Limit, time.Duration) (ratelimit.Verdict, error) {
+	silent := func(context.Context, ratelimit.Limit, time.Duration) (ratelimit.Decision, error) {
 		calls++
-		return ratelimit.Verdict{}, context.DeadlineExceeded
+		return ratelimit.Decision{}, context.DeadlineExceeded
 	}
-	noPosition := func() ratelimit.Place { return ratelimit.Place{} }
-	l := limits{askLeader: silent, position: noPosition, fallback: ratelimit.NewShares(nil), metrics: newMetrics(), logger: log.NewNopLogger()}
+	noPosition := func() ratelimit.Position { return ratelimit.Position{} }
+	l := limiter{askLeader: silent, position: noPosition, fallback: ratelimit.NewFallbackLimiter(nil), metrics: newMetrics(), logger: log.NewNopLogger()}
 	for range 10 {
 		is.True(!l.Admit(t.Context(), ratelimit.Limit{Server: "s", PerSecond: 1}, 0).Granted)
 	}
 	is.Equal(calls, 1)
-	l.fallback.Answered()
+	l.fallback.ReportAnswer()
 	l.Admit(t.Context(), ratelimit.Limit{Server: "s", PerSecond: 1}, 0)
 	is.Equal(calls, 2)
 }
--- a/node/listen.go
+++ b/node/listen.go
@@ -45,7 +45,7 @@
 	metrics.Handle("/metrics", promhttp.HandlerFor(n.metrics.registry, promhttp.HandlerOpts{}))
 	metrics.HandleFunc(StatusPath, n.serveStatus)
 	callers := newServer(platform.NewHandler(n.gateway, n.catalogSource, n.stopping.Load))
-	n.callerConns.Watch(callers)
+	n.callerConns.Track(callers)
 	for _, p := range []struct {
 		name    string
 		address string
@@ -87,8 +87,8 @@
 
 // ready returns nil if the instance accepts new connections, and the reason otherwise.
 func (n *Node) ready() error {
-	current, _ := n.catalogSource.View()
-	silence, ok := n.catalogSource.follower.Silence()
+	current, _ := n.catalogSource.Current()
+	silence, ok := n.catalogSource.follower.SinceAnswer()
 	switch {
 	case n.stopping.Load():
 		return galenastair.ErrStopping
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -81,16 +81,16 @@
 }
 
 // RequestEnded records one finished request.
-func (m *metrics) RequestEnded(e gateway.Ending) {
+func (m *metrics) RequestEnded(e gateway.RequestSummary) {
 	kind := kindNames[e.Kind]
 	m.requests.WithLabelValues(kind, string(e.Code), strconv.Itoa(e.Status)).Inc()
 	if e.Organisation != "" {
 		m.organisations.WithLabelValues(m.organisationLabel(e.Organisation), string(e.Code)).Inc()
 	}
-	if e.First > 0 {
-		m.timeToFirstByte.WithLabelValues(kind).Observe(e.First.Seconds())
+	if e.TimeToFirstByte > 0 {
+		m.timeToFirstByte.WithLabelValues(kind).Observe(e.TimeToFirstByte.Seconds())
 	}
-	m.duration.WithLabelValues(kind).Observe(e.Total.Seconds())
+	m.duration.WithLabelValues(kind).Observe(e.Duration.Seconds())
 }
 
 // maxOrganisationLabels bounds the values of the organisation label. Only the first organisations
@@ -112,7 +112,7 @@
 
 func (m *metrics) observeStoreCall(c platform.StoreCall) {
 	m.storeCalls.WithLabelValues(c.Call, string(c.Topic), storeOutcome(c.Err)).Inc()
-	m.storeDuration.WithLabelValues(c.Call).Observe(c.Took.Seconds())
+	m.storeDuration.WithLabelValues(c.Call).Observe(c.Duration.Seconds())
 }
 
 // Retried counts one retry.
@@ -135,14 +135,14 @@
 		m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, f))
 	}
 	gauge("galenastair_view_age_seconds", "Age of the store's word on the configuration; -1 before the first.", func() float64 {
-		current, age := n.catalogSource.View()
+		current, age := n.catalogSource.Current()
 		if current == nil {
 			return -1
 		}
 		return age.Seconds()
 	})
 	gauge("galenastair_view_version", "Version of the configuration in force.", func() float64 {
-		current, _ := n.catalogSource.View()
+		current, _ := n.catalogSource.Current()
 		if current == nil {
 			return 0
 		}
@@ -157,7 +157,7 @@
 		return 0
 	})
 	gauge("galenastair_alone", "1 while no lender answers.", func() float64 {
-		if n.borrower.Alone() {
+		if n.borrower.InFallback() {
 			return 1
 		}
 		return 0
--- a/node/metrics_test.go
+++ b/node/metrics_test.go
@@ -16,7 +16,7 @@
 	is := is.New(t)
 	m := newMetrics()
 	for i := range 10 * maxOrganisationLabels {
-		m.RequestEnded(gateway.Ending{Organisation: galenastair.Organisation(fmt.Sprint("org-", i))})
+		m.RequestEnded(gateway.RequestSummary{Organisation: galenastair.Organisation(fmt.Sprint("org-", i))})
 	}
 	families, err := m.registry.Gather()
 	is.NoErr(err)
--- a/node/node.go
+++ b/node/node.go
@@ -73,18 +73,18 @@
 	logger        log.Logger
 	store         galenastair.Store
 	loop          *control.Loop
-	catalogSource *views
+	catalogSource *catalogSource
 	serverWatcher *serverWatcher
 	// configTail holds the configuration records that are passed on to other instances.
 	configTail    follow.Tail
 	pool          *pool.Pool
-	borrower      *quota.Share
+	borrower      *quota.Borrower
 	accounts      *account.Accounts
 	backendClient *httpconn.Client
 	elector       *lease.Elector
-	lease         heldLease
+	lease         leaseAdapter
 	planner       *planner.Planner
-	leaderClient  *exchange
+	leaderClient  *leaderClient
 	gateway       *gateway.Gateway
 	metrics       *metrics
 	storeCalls    storeCalls
@@ -94,7 +94,7 @@
 	callerListener net.Listener
 	// callerServerDone is closed once the server of the callers' port has stopped accepting.
 	callerServerDone <-chan struct{}
-	callerConns      *httpserve.Conns
+	callerConns      *httpserve.ConnTracker
 }
 
 // Option configures a Node.
@@ -104,29 +104,31 @@
 func WithLogger(l log.Logger) Option { return func(n *Node) { n.logger = l } }
 
 // WithDroppedLogLines exports the number of dropped log lines as a metric.
-func WithDropped(f func() int64) Option { return func(n *Node) { n.metrics.registerDroppedLines(f) } }
+func WithDroppedLogLines(f func() int64) Option {
+	return func(n *Node) { n.metrics.registerDroppedLines(f) }
+}
 
 // New returns a node that is inactive until Run is called.
 func New(s settings.Gateway, opts ...Option) *Node {
-	n := &Node{settings: s, logger: log.NewNopLogger(), loop: control.NewLoop(), metrics: newMetrics(), callerConns: httpserve.NewConns()}
+	n := &Node{settings: s, logger: log.NewNopLogger(), loop: control.NewLoop(), metrics: newMetrics(), callerConns: httpserve.NewConnTracker()}
 	for _, o := range opts {
 		o(n)
 	}
 	n.store = platform.NewStore(s.StoreAddress, platform.WithObserver(n.observeStoreCall))
-	tolerance := quota.Terms{Window: s.Bounds.QuotaWindow, Over: s.Bounds.QuotaOver, Slack: s.Bounds.QuotaSlack}
-	n.borrower = quota.NewShare(tolerance)
+	tolerance := quota.Tolerance{Window: s.Bounds.QuotaWindow, Ratio: s.Bounds.QuotaOver, Slack: s.Bounds.QuotaSlack}
+	n.borrower = quota.NewBorrower(tolerance)
 	// until a leader or its checkpoint gives a fleet size, other instances may hold the whole quota
 	n.borrower.SetFleet(0)
-	n.pool = pool.New(s.AvailabilityZone, pool.WithLeaveGrace(max(0, s.Bounds.LeaveTimeout-requestTransitTime)), pool.WithFleet(n.borrower.Told))
+	n.pool = pool.New(s.AvailabilityZone, pool.WithLeaveGrace(max(0, s.Bounds.LeaveTimeout-requestTransitTime)), pool.WithFleetSize(n.borrower.ReportedFleet))
 	n.accounts = account.New(s.PeerAddress, tolerance)
 	n.backendClient = httpconn.NewClient()
-	backend := platform.NewReplicas(n.backendClient)
-	l := lease.New(lease.DefaultBounds(s.Bounds.BetweenHolders, s.Bounds.FencesChecked))
-	n.lease = heldLease{l}
+	backend := platform.NewBackendClient(n.backendClient)
+	l := lease.New(lease.DefaultTiming(s.Bounds.BetweenHolders, s.Bounds.FencesChecked))
+	n.lease = leaseAdapter{l}
 	n.elector = lease.NewElector(n.store, platform.LeaseTopic, l, s.PeerAddress, lease.WithLogger(n.logger),
-		lease.WithNote(n.checkpointer(context.Background())), lease.WithFleet(n.borrower.Told), lease.WithLink(s.LinkMbps), lease.WithElected(n.onElected))
+		lease.WithCheckpointer(n.checkpointer(context.Background())), lease.WithFleetSize(n.borrower.ReportedFleet), lease.WithLinkMbps(s.LinkMbps), lease.WithOnElected(n.onElected))
 	n.planner = planner.New(string(s.ID), tolerance, backend, n.lease, n.loop,
-		planner.WithLogger(n.logger), planner.WithOrdered(n.metrics.countOrder))
+		planner.WithLogger(n.logger), planner.WithOrderObserver(n.metrics.countOrder))
 	n.catalogSource = newCatalogSource(n.logger)
 	n.serverWatcher = newServerWatcher(n.logger)
 	n.leaderClient = n.newLeaderClient()
@@ -141,8 +143,8 @@
 	n.storeCalls.observe(c)
 }
 
-func (n *Node) newLeaderClient() *exchange {
-	c := &exchange{
+func (n *Node) newLeaderClient() *leaderClient {
+	c := &leaderClient{
 		self:          n.settings.ID,
 		elector:       n.elector,
 		client:        planning.NewClient(&http.Client{Transport: httpclient.NewTransport()}),
@@ -150,7 +152,7 @@
 		pool:          n.pool,
 		borrower:      n.borrower,
 		accounts:      n.accounts,
-		limitFallback: ratelimit.NewShares(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		limitFallback: ratelimit.NewFallbackLimiter(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
 		stopping:      n.stopping.Load,
 		logger:        n.logger,
 		address:       n.settings.PeerAddress,
@@ -158,26 +160,26 @@
 		demands:       map[galenastair.ModelName]time.Duration{},
 		topics:        n.topics,
 	}
-	c.poisonTable = claim.NewPoison(c.recordPoisonRequest, claim.WithTrials(poisonThreshold, poisonRefusalTime))
+	c.poisonTable = claim.NewPoisonTracker(c.recordPoisonRequest, claim.WithCrashLimit(poisonThreshold, poisonRefusalTime))
 	return c
 }
 
 func (n *Node) newGateway(backend galenastair.Backend) *gateway.Gateway {
 	b := n.settings.Bounds
 	return gateway.New(gateway.Settings{
-		ViewLife:   b.KeyLife - authorizationMargin,
-		RetryRatio: b.RetryRatio,
-		RetrySlack: b.RetrySlack,
-		Fleet:      n.borrower.Fleet,
-		Closing:    n.draining.Load,
-	}, gateway.Ports{
-		Views:     n.catalogSource,
-		Pool:      n.pool,
-		Backend:   backend,
-		Quota:     quotas{n.borrower, n.accounts, n.leaderClient},
-		Placement: n.leaderClient,
-		Limits:    newLimiter(n.leaderClient, n.metrics),
-		Poison:    n.leaderClient.poisonTable,
+		MaxCatalogAge: b.KeyLife - authorizationMargin,
+		RetryRatio:    b.RetryRatio,
+		RetrySlack:    b.RetrySlack,
+		FleetSize:     n.borrower.Fleet,
+		Draining:      n.draining.Load,
+	}, gateway.Dependencies{
+		CatalogSource: n.catalogSource,
+		Pool:          n.pool,
+		Backend:       backend,
+		Quota:         quotas{n.borrower, n.accounts, n.leaderClient},
+		Placement:     n.leaderClient,
+		Limiter:       newLimiter(n.leaderClient, n.metrics),
+		Poison:        n.leaderClient.poisonTable,
 	}, gateway.WithLogger(n.logger), gateway.WithRecorder(n.metrics))
 }
 
@@ -256,24 +258,24 @@
 		n.logPostError(n.planner.RemoveServer(ctx, id))
 	}
 	n.catalogSource.follower = follow.New(n.store, platform.ConfigurationTopic, recordingTail(&n.configTail, n.catalogSource.apply),
-		follow.WithWaits(func() time.Duration { return n.pollTimeout(configPollTimeout) }),
-		follow.WithPace(func() time.Duration { return configReadInterval }),
-		follow.WithHintLife(n.maxHintAge()),
-		follow.WithLeads(n.lease.Holds),
+		follow.WithPollTimeoutFunc(func() time.Duration { return n.pollTimeout(configPollTimeout) }),
+		follow.WithMinInterval(func() time.Duration { return configReadInterval }),
+		follow.WithMaxHintAge(n.maxHintAge()),
+		follow.WithIsLeader(n.lease.Holds),
 		follow.WithLogger(n.logger))
 	n.serverWatcher.follower = follow.New(n.store, platform.RegistrationTopic, n.serverWatcher.apply,
-		follow.WithWaits(func() time.Duration { return n.pollTimeout(registrationPollTimeout) }),
-		follow.WithPace(n.registrationReadInterval),
-		follow.WithHintLife(n.maxHintAge()),
-		follow.WithLeads(n.lease.Holds),
+		follow.WithPollTimeoutFunc(func() time.Duration { return n.pollTimeout(registrationPollTimeout) }),
+		follow.WithMinInterval(n.registrationReadInterval),
+		follow.WithMaxHintAge(n.maxHintAge()),
+		follow.WithIsLeader(n.lease.Holds),
 		follow.WithLogger(n.logger))
 }
 
 // onElected rereads the topics from the store: changes received from other instances lack the
 // fields that only the planner needs.
 func (n *Node) onElected() {
-	n.catalogSource.follower.Refresh()
-	n.serverWatcher.follower.Refresh()
+	n.catalogSource.follower.Resync()
+	n.serverWatcher.follower.Resync()
 }
 
 // runElector campaigns for the lease until the signal to stop, and returns once work is done.
--- a/node/note.go
+++ b/node/note.go
@@ -12,11 +12,11 @@
 
 // checkpointer returns the callbacks with which the elector stores the leader's state on the
 // platform and restores it.
-func (n *Node) checkpointer(ctx context.Context) lease.Note {
-	return lease.Note{
-		Topic: platform.NoteTopic,
-		Write: func() []byte {
-			state, ok := n.planner.Note(ctx)
+func (n *Node) checkpointer(ctx context.Context) lease.Checkpointer {
+	return lease.Checkpointer{
+		Topic: platform.CheckpointTopic,
+		Checkpoint: func() []byte {
+			state, ok := n.planner.Checkpoint(ctx)
 			if !ok {
 				return nil
 			}
@@ -26,24 +26,24 @@
 			}
 			return data
 		},
-		Written: func(data []byte) {
+		Stored: func(data []byte) {
 			if state, ok := n.decodeLeaderState(data); ok {
-				n.logPostError(n.planner.Noted(ctx, state))
+				n.logPostError(n.planner.CheckpointStored(ctx, state))
 			}
 		},
-		Read: func(data []byte, first bool) {
+		Restore: func(data []byte, first bool) {
 			state, ok := n.decodeLeaderState(data)
 			if !ok {
 				return
 			}
-			n.logPostError(n.planner.SetNote(ctx, state))
-			n.borrower.Presume(time.Now(), n.settings.ID, state.Note, first)
+			n.logPostError(n.planner.Restore(ctx, state))
+			n.borrower.Restore(time.Now(), n.settings.ID, state.Checkpoint, first)
 		},
 	}
 }
 
-func (n *Node) decodeLeaderState(data []byte) (planner.Note, bool) {
-	var state planner.Note
+func (n *Node) decodeLeaderState(data []byte) (planner.Checkpoint, bool) {
+	var state planner.Checkpoint
 	err := json.Unmarshal(data, &state)
 	if err != nil {
 		n.logger.Log("event", "note", "note", string(data), "err", err)
--- a/node/quotas.go
+++ b/node/quotas.go
@@ -17,17 +17,17 @@
 // quotas charges requests to organisations. In a large fleet the organisation's owner is charged;
 // otherwise this instance spends its own quota and borrows what is missing from the lender.
 type quotas struct {
-	*quota.Share
+	*quota.Borrower
 	accounts     *account.Accounts
-	leaderClient *exchange
+	leaderClient *leaderClient
 }
 
 // Take charges an organisation locally. It returns false if another instance has to be asked.
 func (q quotas) Take(now time.Time, o galenastair.Organisation, cost float64) bool {
 	if q.accounts.Table().Version != 0 {
-		return !q.accounts.Limited(o)
+		return !q.accounts.HasQuota(o)
 	}
-	return q.Share.Take(now, o, cost)
+	return q.Borrower.Take(now, o, cost)
 }
 
 // Borrow charges an organisation with a call to its owner or to the lender.
@@ -36,63 +36,63 @@
 		return q.charge(ctx, t.Owner(o), o, cost)
 	}
 	now := time.Now()
-	shortfall, ok := q.Lacks(now, o, cost)
-	if !ok || q.Alone() {
+	shortfall, ok := q.Shortfall(now, o, cost)
+	if !ok || q.InFallback() {
 		return false
 	}
-	amount, err := q.leaderClient.borrow(ctx, quota.Ask{Organisation: o, Amount: shortfall})
+	amount, err := q.leaderClient.borrow(ctx, quota.LoanRequest{Organisation: o, Amount: shortfall})
 	if err != nil {
 		q.leaderClient.logger.Log("event", "borrow", "organisation", o, "err", err)
-		q.MissLender(time.Now())
-		return q.Retake(time.Now(), o, cost)
+		q.ReportLenderUnavailable(time.Now())
+		return q.RetryTake(time.Now(), o, cost)
 	}
-	q.Lent(time.Now(), o, amount)
-	return amount > 0 && q.Retake(time.Now(), o, cost)
+	q.AddLoan(time.Now(), o, amount)
+	return amount > 0 && q.RetryTake(time.Now(), o, cost)
 }
 
 // charge charges an organisation at its owner, and records a denial or failure so that the
 // following requests are refused without a call.
 func (q quotas) charge(ctx context.Context, owner string, o galenastair.Organisation, cost float64) bool {
 	now := boottime.Now()
-	if q.accounts.Denied(now, o) {
+	if q.accounts.RecentlyDenied(now, o) {
 		return false
 	}
 	if owner == "" {
-		q.accounts.Deny(now, o, ownerDiscoveryTime)
+		q.accounts.RecordDenial(now, o, ownerDiscoveryTime)
 		return false
 	}
 	v, err := q.leaderClient.charge(ctx, owner, o, cost)
 	if err != nil || !v.Owned {
 		q.leaderClient.logger.Log("event", "charge", "organisation", o, "owner", owner, "owned", v.Owned, "err", err)
-		q.accounts.Deny(now, o, ownerDiscoveryTime)
+		q.accounts.RecordDenial(now, o, ownerDiscoveryTime)
 		return false
 	}
 	if !v.Granted {
-		q.accounts.Deny(now, o, v.Wait)
+		q.accounts.RecordDenial(now, o, v.RetryAfter)
 	}
 	return v.Granted
 }
 
-// Wait estimates the time until an organisation over its quota can send a request again.
-func (q quotas) Wait(o galenastair.Organisation, cost float64) time.Duration {
-	if q.Told() == 0 {
+// RetryAfter estimates the time until an organisation over its quota can send a request again.
+func (q quotas) RetryAfter(o galenastair.Organisation, cost float64) time.Duration {
+	if q.ReportedFleet() == 0 {
 		return ownerDiscoveryTime
 	}
-	return max(q.accounts.Wait(boottime.Now(), o), q.Share.Wait(o, cost))
+	return max(q.accounts.RetryAfter(boottime.Now(), o), q.Borrower.RetryAfter(o, cost))
 }
 
-func (c *exchange) charge(ctx context.Context, owner string, o galenastair.Organisation, cost float64) (account.Verdict, error) {
+func (c *leaderClient) charge(ctx context.Context, owner string, o galenastair.Organisation, cost float64) (account.ChargeResult, error) {
 	if owner == c.address {
 		return c.accounts.Charge(boottime.Now(), o, cost), nil
 	}
-	v, known, err := c.client.Charge(ctx, owner, o, cost, c.elector.Known())
+	v, known, err := c.client.Charge(ctx, owner, o, cost, c.elector.LatestRecord())
 	if err == nil {
-		c.elector.Learn(known)
+		c.elector.Observe(known)
 	}
 	return v, err
 }
 
-func (c *exchange) borrow(ctx context.Context, a quota.Ask) (float64, error) {
+func (c *leaderClient) borrow(ctx context.Context, a quota.LoanRequest) (float64, error) {
 	leader, isSelf := c.leader()
 	switch {
 	case isSelf:
--- a/node/quotas_test.go
+++ b/node/quotas_test.go
@@ -16,9 +16,9 @@
 func TestNewInstanceGrantsNothingWithoutLeader(t *testing.T) {
 	is := is.New(t)
 	n := New(settings.Gateway{PeerAddress: "127.0.0.1:1", Bounds: settings.Bounds{QuotaWindow: 8 * time.Second, QuotaOver: 0.1, QuotaSlack: 17000}})
-	n.borrower.SetContracts(time.Now(), catalog.New(1, catalog.Limits{}, nil, nil, []*catalog.Organisation{{Name: "org", Rate: 400000, Burst: 400000, InTokens: true}}))
+	n.borrower.SetContracts(time.Now(), catalog.New(1, catalog.Limits{}, nil, nil, []*catalog.Organisation{{Name: "org", Rate: 400000, Burst: 400000, CountsTokens: true}}))
 	now := time.Now()
-	n.borrower.MissLender(now)
+	n.borrower.ReportLenderUnavailable(now)
 	for i := range 100 {
 		is.True(!n.borrower.Take(now.Add(time.Duration(i)*20*time.Millisecond), "org", 1000))
 	}
--- a/node/servers.go
+++ b/node/servers.go
@@ -167,7 +167,7 @@
 
 // applyChange applies a change that another instance has sent for the records before end.
 func (s *serverWatcher) applyChange(now time.Time, c registry.Change, end galenastair.Offset) {
-	if c.Gone {
+	if c.Deleted {
 		if _, known := s.offsets[c.ID]; known {
 			s.handleRemoval(c.ID, end)
 		}
@@ -198,7 +198,7 @@
 		s.handleRemoval(id, r.Offset)
 		return
 	}
-	srv, err := platform.DecodeServer(r.Key, r.Value)
+	srv, err := platform.DecodeRegistration(r.Key, r.Value)
 	if err != nil {
 		if !s.undecodable[id] {
 			s.undecodable[id] = true
@@ -239,7 +239,7 @@
 
 // mayReregister reports whether registrations may have expired because of a recent store outage.
 func (s *serverWatcher) mayReregister() bool {
-	since, failed := s.follower.SinceUnanswered()
+	since, failed := s.follower.SinceFailure()
 	return failed && since < reregisterTimeout
 }
 
--- a/node/servers_test.go
+++ b/node/servers_test.go
@@ -128,7 +128,7 @@
 		s := newServerWatcher(log.NewNopLogger())
 		s.onUpdate = func(pool.Server) { updated <- true }
 		s.onRemove = func(galenastair.BackendServerID) { removed <- time.Now() }
-		s.follower = follow.New(platform.NewStore(h.Listener.Addr().String()), platform.RegistrationTopic, s.apply, follow.WithWait(leaderPollTimeout))
+		s.follower = follow.New(platform.NewStore(h.Listener.Addr().String()), platform.RegistrationTopic, s.apply, follow.WithPollTimeout(leaderPollTimeout))
 		running.Go(func() { _ = s.run(ctx) })
 		running.Go(func() { _ = s.follower.Run(ctx) })
 		time.Sleep(30 * time.Millisecond)
--- a/node/status.go
+++ b/node/status.go
@@ -25,12 +25,12 @@
 	Age     time.Duration
 	// Leader is the peer address of the last known leader, which plans placement and lends
 	// quota; IsLeader reports whether it is this instance.
-	Planner string `json:"Planner"`
-	Plans   bool   `json:"Plans"`
+	Leader   string `json:"Planner"`
+	IsLeader bool   `json:"Plans"`
 	// FleetSize is the number of instances among which the quotas are divided; InFallback
 	// reports whether no lender answers, so that the instance spends only its own fraction.
-	Fleet          int  `json:"Fleet"`
-	Alone          bool `json:"Alone"`
+	FleetSize      int  `json:"Fleet"`
+	InFallback     bool `json:"Alone"`
 	BackendServers []pool.State
 }
 
@@ -40,16 +40,16 @@
 		Instance:         n.settings.ID,
 		AvailabilityZone: n.settings.AvailabilityZone,
 		Ready:            true,
-		Planner:          n.elector.Leader(),
-		Plans:            n.lease.Holds(),
-		Fleet:            n.borrower.Fleet(),
-		Alone:            n.borrower.Alone(),
+		Leader:           n.elector.Leader(),
+		IsLeader:         n.lease.Holds(),
+		FleetSize:        n.borrower.Fleet(),
+		InFallback:       n.borrower.InFallback(),
 		BackendServers:   n.pool.States(time.Now()),
 	}
 	if err := n.ready(); err != nil {
 		s.Ready, s.NotReady = false, err.Error()
 	}
-	if current, age := n.catalogSource.View(); current != nil {
+	if current, age := n.catalogSource.Current(); current != nil {
 		s.Version, s.Age = current.Version, age
 	}
 	return s
--- a/node/tails.go
+++ b/node/tails.go
@@ -37,13 +37,13 @@
 }
 
 // Charge charges a request to an organisation that this instance may own.
-func (t peerServer) Charge(o galenastair.Organisation, cost float64, known lease.Record) (account.Verdict, lease.Record) {
-	t.elector.Learn(known)
-	return t.accounts.Charge(boottime.Now(), o, cost), t.elector.Known()
+func (t peerServer) Charge(o galenastair.Organisation, cost float64, known lease.Record) (account.ChargeResult, lease.Record) {
+	t.elector.Observe(known)
+	return t.accounts.Charge(boottime.Now(), o, cost), t.elector.LatestRecord()
 }
 
 // Exchange answers the report of an instance.
-func (t peerServer) Exchange(ctx context.Context, r planner.Report) (planner.News, error) {
+func (t peerServer) Exchange(ctx context.Context, r planner.Report) (planner.Update, error) {
 	update, err := t.Planner.Exchange(ctx, r)
 	if err != nil {
 		return update, err
@@ -53,7 +53,7 @@
 		from, reported := r.Positions[f.topic]
 		age, known := f.follower.Age()
 		if reported && known {
-			update.Tails = append(update.Tails, t.assignSource(r, update.Standing.Fleet, f.tailFrom(from, age)))
+			update.Tails = append(update.Tails, t.assignSource(r, update.QuotaAllocation.Fleet, f.tailFrom(from, age)))
 		}
 	}
 	return update, nil
@@ -76,7 +76,7 @@
 func (t peerServer) Fetch(topic galenastair.Topic, from galenastair.Offset) galenastair.KeyedBatch {
 	for _, f := range t.topics() {
 		if f.topic == topic && f.tail != nil {
-			return f.tail.All(from)
+			return f.tail.AllSince(from)
 		}
 	}
 	return galenastair.KeyedBatch{Next: from}
@@ -121,23 +121,23 @@
 			if f.topic != t.Topic {
 				continue
 			}
-			h := follow.Hint{KeyedBatch: t.KeyedBatch, AsOf: sent.Add(-t.Age), Wait: t.Wait}
+			h := follow.Hint{KeyedBatch: t.KeyedBatch, ConfirmedAt: sent.Add(-t.Age), Wait: t.Wait}
 			if t.FromAge > 0 {
-				h.FromAsOf = sent.Add(-t.FromAge)
+				h.StartConfirmedAt = sent.Add(-t.FromAge)
 			}
 			if t.Peer != "" {
 				h.Fetch = func(from galenastair.Offset) (galenastair.KeyedBatch, error) { return fetch(t.Peer, t.Topic, from) }
 			}
 			if t.Changed {
-				h.Changes = func() { f.applyChanges(t.Changes, t.End) }
+				h.ApplyChanges = func() { f.applyChanges(t.Changes, t.End) }
 			}
-			f.follower.Tell(h)
+			f.follower.Notify(h)
 		}
 	}
 }
 
 // recordingTail returns an apply function that also adds the batches to a tail.
-func recordingTail(t *follow.Tail, apply follow.Apply) follow.Apply {
+func recordingTail(t *follow.Tail, apply follow.ApplyFunc) follow.ApplyFunc {
 	return func(b galenastair.KeyedBatch, snapshot bool) {
 		apply(b, snapshot)
 		t.Add(b, snapshot)
--- a/node/tails_test.go
+++ b/node/tails_test.go
@@ -19,12 +19,12 @@
 )
 
 // fakeLease is a lease that this instance has just acquired.
-type holding struct{}
+type fakeLease struct{}
 
-func (holding) Order() (galenastair.Fence, bool) { return 0, false }
-func (holding) Holds() bool                      { return true }
-func (holding) Hosts() bool                      { return true }
-func (holding) Refused(galenastair.Fence)        {}
+func (fakeLease) OrderFence() (galenastair.Fence, bool) { return 0, false }
+func (fakeLease) Holds() bool                           { return true }
+func (fakeLease) ServesPeers() bool                     { return true }
+func (fakeLease) FenceRejected(galenastair.Fence)       {}
 
 // A new leader must send tails before it knows the fleet size, which takes it some seconds.
 // Without the tails every instance of a large fleet reads the store itself.
@@ -36,7 +36,7 @@
 	defer server.Close()
 	loop := control.NewLoop()
 	go func() { _ = loop.Run(ctx) }()
-	p := planner.New("me", quota.Terms{Window: time.Second}, nil, holding{}, loop)
+	p := planner.New("me", quota.Tolerance{Window: time.Second}, nil, fakeLease{}, loop)
 	plannerDone := make(chan error, 1)
 	go func() { plannerDone <- p.Run(ctx) }()
 	var tail follow.Tail
@@ -51,10 +51,10 @@
 	time.Sleep(300 * time.Millisecond)
 	peers := peerServer{p, func() []topicState {
 		return []topicState{{topic: platform.ConfigurationTopic, follower: f, tail: &tail}}
-	}, lease.NewElector(nil, platform.LeaseTopic, lease.New(lease.Bounds{}), "me"), nil, nil}
+	}, lease.NewElector(nil, platform.LeaseTopic, lease.New(lease.Timing{}), "me"), nil, nil}
 	update, err := peers.Exchange(ctx, planner.Report{Instance: "i", Positions: map[galenastair.Topic]galenastair.Offset{platform.ConfigurationTopic: 0}})
 	is.NoErr(err)
-	is.Equal(update.Standing.Fleet, 0)
+	is.Equal(update.QuotaAllocation.Fleet, 0)
 	is.Equal(len(update.Tails), 1)
 	cancel()
 	<-followerDone
--- a/node/views.go
+++ b/node/views.go
@@ -14,7 +14,7 @@
 )
 
 // catalogSource holds the operator's current configuration.
-type views struct {
+type catalogSource struct {
 	current  atomic.Pointer[catalog.Catalog]
 	follower *follow.Follower
 	logger   log.Logger
@@ -28,12 +28,12 @@
 // first configuration.
 const firstLoadTimeout = time.Second
 
-func newCatalogSource(logger log.Logger) *views {
-	return &views{logger: logger, loaded: make(chan struct{}), startTime: time.Now()}
+func newCatalogSource(logger log.Logger) *catalogSource {
+	return &catalogSource{logger: logger, loaded: make(chan struct{}), startTime: time.Now()}
 }
 
 // WaitReady waits for the first configuration, at most until firstLoadTimeout after the start.
-func (s *views) Await(ctx context.Context) {
+func (s *catalogSource) WaitReady(ctx context.Context) {
 	select {
 	case <-s.loaded:
 		return
@@ -54,7 +54,7 @@
 
 // Current returns the current configuration, and how long ago the store confirmed it. It returns
 // nil before the first configuration.
-func (s *views) View() (*catalog.Catalog, time.Duration) {
+func (s *catalogSource) Current() (*catalog.Catalog, time.Duration) {
 	c := s.current.Load()
 	age, ok := s.follower.Age()
 	if c == nil || !ok {
@@ -65,17 +65,17 @@
 
 // MaxBodyBytes returns the maximum size of a caller's request body. Before the first configuration
 // it returns a default.
-func (s *views) BodyBytes() int64 {
+func (s *catalogSource) MaxBodyBytes() int64 {
 	const defaultBodyBytes = 1 << 20
-	if c := s.current.Load(); c != nil && c.Limits.BodyBytes > 0 {
-		return c.Limits.BodyBytes
+	if c := s.current.Load(); c != nil && c.Limits.MaxBodyBytes > 0 {
+		return c.Limits.MaxBodyBytes
 	}
 	return defaultBodyBytes
 }
 
 // apply loads the newest version in a batch. It ignores versions older than the current one, as
 // the store may return an older one after it has dropped its history.
-func (s *views) apply(b galenastair.KeyedBatch, _ bool) {
+func (s *catalogSource) apply(b galenastair.KeyedBatch, _ bool) {
 	var newest []byte
 	for _, r := range b.Records {
 		if r.Key == platform.ConfigurationKey && len(r.Value) > 0 {
@@ -105,8 +105,8 @@
 
 // logQuotas logs the quotas that a version changes, so that a refused request can be checked
 // against the quota at that time.
-func (s *views) logQuotas(old, current *catalog.Catalog) {
-	current.Organisations(func(o *catalog.Organisation) {
+func (s *catalogSource) logQuotas(old, current *catalog.Catalog) {
+	current.ForEachOrganisation(func(o *catalog.Organisation) {
 		var before *catalog.Organisation
 		if old != nil {
 			before = old.Organisation(o.Name)
@@ -117,4 +117,4 @@
 	})
 }
 
-func (s *views) run(ctx context.Context) error { return s.follower.Run(ctx) }
+func (s *catalogSource) run(ctx context.Context) error { return s.follower.Run(ctx) }
--- a/operator/handler_test.go
+++ b/operator/handler_test.go
@@ -77,9 +77,9 @@
 	is := is.New(t)
 	m := NewMetrics()
 	end := func(first, between time.Duration, code galenastair.Code, attempts int) {
-		m.RequestEnded(request.Ending{
+		m.RequestEnded(request.Summary{
 			Organisation: "Furnir", Code: code, Outcome: galenastair.Ran, Used: 10,
-			FirstToken: first, BetweenToken: between, Attempts: attempts,
+			TimeToFirstToken: first, InterTokenLatency: between, Attempts: attempts,
 		})
 	}
 	end(aimFirstToken, aimBetweenToken, "", 1)
--- a/operator/metrics.go
+++ b/operator/metrics.go
@@ -86,7 +86,7 @@
 }
 
 // RequestEnded counts one request.
-func (m *Metrics) RequestEnded(e request.Ending) {
+func (m *Metrics) RequestEnded(e request.Summary) {
 	organisation := string(e.Organisation)
 	m.requests.WithLabelValues(organisation, string(e.Code), string(e.Outcome)).Inc()
 	if withinRate(e.Code) {
@@ -96,13 +96,13 @@
 	if e.Attempts > 1 {
 		m.retries.Add(float64(e.Attempts - 1))
 	}
-	if e.FirstToken == 0 {
+	if e.TimeToFirstToken == 0 {
 		return
 	}
-	m.queued.Observe(e.Queued.Seconds())
-	m.firstToken.Observe(e.FirstToken.Seconds())
-	m.betweenToken.Observe(e.BetweenToken.Seconds())
-	if e.Code == "" && e.FirstToken <= aimFirstToken && e.BetweenToken <= aimBetweenToken {
+	m.queued.Observe(e.QueueTime.Seconds())
+	m.firstToken.Observe(e.TimeToFirstToken.Seconds())
+	m.betweenToken.Observe(e.InterTokenLatency.Seconds())
+	if e.Code == "" && e.TimeToFirstToken <= aimFirstToken && e.InterTokenLatency <= aimBetweenToken {
 		m.attained.WithLabelValues(organisation).Inc()
 	}
 }
--- a/peer/planning/changes.go
+++ b/peer/planning/changes.go
@@ -12,12 +12,12 @@
 	for _, c := range cs {
 		out = append(out, &planningpb.Change{
 			Server:   string(c.ID),
-			Gone:     c.Gone,
-			Fresh:    c.Fresh,
-			Identity: encodeIdentity(c.Identity),
-			Beat:     c.Beat,
+			Gone:     c.Deleted,
+			Fresh:    c.Created,
+			Identity: encodeIdentity(c.Attributes),
+			Beat:     c.Heartbeat,
 			Added:    encodeNames(c.Added),
-			Dropped:  encodeNames(c.Dropped),
+			Dropped:  encodeNames(c.Removed),
 		})
 	}
 	return out
@@ -33,7 +33,7 @@
 		Zone:    string(s.AvailabilityZone),
 		Slots:   uint32(s.Slots),
 		Leaving: s.Leaving,
-		Born:    s.Born,
+		Born:    s.Incarnation,
 	}
 }
 
@@ -50,13 +50,13 @@
 	for _, c := range cs {
 		id := galenastair.BackendServerID(c.Server)
 		out = append(out, registry.Change{
-			ID:       id,
-			Gone:     c.Gone,
-			Fresh:    c.Fresh,
-			Identity: decodeIdentity(id, c),
-			Beat:     c.Beat,
-			Added:    decodeNames(c.Added),
-			Dropped:  decodeNames(c.Dropped),
+			ID:         id,
+			Deleted:    c.Gone,
+			Created:    c.Fresh,
+			Attributes: decodeIdentity(id, c),
+			Heartbeat:  c.Beat,
+			Added:      decodeNames(c.Added),
+			Removed:    decodeNames(c.Dropped),
 		})
 	}
 	return out
@@ -74,8 +74,8 @@
 		AvailabilityZone: galenastair.AvailabilityZone(i.Zone),
 		Slots:            int(i.Slots),
 		Leaving:          i.Leaving,
-		Born:             i.Born,
-		Beat:             c.Beat,
+		Incarnation:      i.Born,
+		Heartbeat:        c.Beat,
 	}
 }
 
--- a/peer/planning/client.go
+++ b/peer/planning/client.go
@@ -36,38 +36,38 @@
 }
 
 // Exchange tells a report and returns the planner's update.
-func (c *Client) Exchange(ctx context.Context, address string, r planner.Report) (planner.News, error) {
+func (c *Client) Exchange(ctx context.Context, address string, r planner.Report) (planner.Update, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	reply, err := c.at(address).Exchange(ctx, encodeReport(r))
 	if err != nil {
-		return planner.News{}, err
+		return planner.Update{}, err
 	}
 	if !reply.Holds {
-		return planner.News{}, planner.ErrNotPlanner
+		return planner.Update{}, planner.ErrNotLeader
 	}
 	return decodeUpdate(reply), nil
 }
 
 // EnsureLoaded asks for a place for a model or adapter.
-func (c *Client) Need(ctx context.Context, address string, name galenastair.ModelName) (planner.Promise, error) {
+func (c *Client) EnsureLoaded(ctx context.Context, address string, name galenastair.ModelName) (planner.Availability, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	reply, err := c.at(address).Need(ctx, &planningpb.NeedRequest{Name: string(name)})
 	if err != nil {
-		return planner.Promise{}, err
+		return planner.Availability{}, err
 	}
 	if !reply.Holds {
-		return planner.Promise{}, planner.ErrNotPlanner
+		return planner.Availability{}, planner.ErrNotLeader
 	}
-	return planner.Promise{
-		Server: galenastair.BackendServerID(reply.Server),
-		Ready:  time.Duration(reply.ReadyMs) * time.Millisecond,
+	return planner.Availability{
+		Server:  galenastair.BackendServerID(reply.Server),
+		ReadyIn: time.Duration(reply.ReadyMs) * time.Millisecond,
 	}, nil
 }
 
 // Borrow asks for what one request lacks.
-func (c *Client) Borrow(ctx context.Context, address string, a quota.Ask) (float64, error) {
+func (c *Client) Borrow(ctx context.Context, address string, a quota.LoanRequest) (float64, error) {
 	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
 	defer cancel()
 	reply, err := c.at(address).Borrow(ctx, &planningpb.Loan{Organisation: string(a.Organisation), Amount: a.Amount})
@@ -75,7 +75,7 @@
 		return 0, err
 	}
 	if !reply.Holds {
-		return 0, planner.ErrNotPlanner
+		return 0, planner.ErrNotLeader
 	}
 	return reply.Amount, nil
 }
@@ -87,21 +87,21 @@
 		Zone:         string(r.Zone),
 		TableVersion: r.TableVersion,
 		Stopping:     r.Stopping,
-		Seen:         r.Seen,
+		Seen:         r.LastChange,
 		Loads:        encodeLoads(r.Loads),
 		Limits:       encodeLimits(r.Limits),
 	}
-	encodeContribution(out, r.Passed)
-	for _, id := range r.Absent {
+	encodeContribution(out, r.QuotaContribution)
+	for _, id := range r.Down {
 		out.Absent = append(out.Absent, string(id))
 	}
 	for name, work := range r.Demands {
 		out.Demands = append(out.Demands, &planningpb.Demand{Name: string(name), WorkUs: uint32(work.Microseconds())})
 	}
-	for _, a := range r.Asks {
+	for _, a := range r.LoanRequests {
 		out.Asks = append(out.Asks, &planningpb.Loan{Organisation: string(a.Organisation), Amount: a.Amount})
 	}
-	for _, d := range r.Poisons {
+	for _, d := range r.PoisonRequests {
 		out.Poisons = append(out.Poisons, string(d))
 	}
 	for topic, from := range r.Positions {
@@ -127,7 +127,7 @@
 func encodeLoads(loads map[galenastair.BackendServerID]pool.Load) []*planningpb.Load {
 	var out []*planningpb.Load
 	for id, l := range loads {
-		out = append(out, &planningpb.Load{Server: string(id), Flights: uint32(l.Flights), Unread: uint32(l.Unread)})
+		out = append(out, &planningpb.Load{Server: string(id), Flights: uint32(l.InFlight), Unread: uint32(l.PendingTokens)})
 	}
 	return out
 }
@@ -135,7 +135,7 @@
 func decodeLoads(loads []*planningpb.Load) map[galenastair.BackendServerID]pool.Load {
 	out := make(map[galenastair.BackendServerID]pool.Load, len(loads))
 	for _, l := range loads {
-		out[galenastair.BackendServerID(l.Server)] = pool.Load{Flights: float64(l.Flights), Unread: float64(l.Unread)}
+		out[galenastair.BackendServerID(l.Server)] = pool.Load{InFlight: float64(l.Flights), PendingTokens: float64(l.Unread)}
 	}
 	return out
 }
@@ -148,18 +148,18 @@
 	return out
 }
 
-func decodeUpdate(r *planningpb.ExchangeReply) planner.News {
-	out := planner.News{Lapsed: r.Lapsed, Standing: decodeAllocation(r), Loads: decodeKeyedLoads(r), Newest: r.Newest}
+func decodeUpdate(r *planningpb.ExchangeReply) planner.Update {
+	out := planner.Update{LeaseExpired: r.Lapsed, QuotaAllocation: decodeAllocation(r), Loads: decodeKeyedLoads(r), LastChange: r.Newest}
 	out.Limits, out.Index = decodeLimits(r.Limits), int(r.Index)
 	for _, l := range r.Loans {
-		out.Loans = append(out.Loans, quota.Ask{Organisation: galenastair.Organisation(l.Organisation), Amount: l.Amount})
+		out.Loans = append(out.Loans, quota.LoanRequest{Organisation: galenastair.Organisation(l.Organisation), Amount: l.Amount})
 	}
 	out.Renewal = lease.Renewal{Offset: galenastair.Offset(r.Renewal), Age: time.Duration(r.RenewalAgeMs) * time.Millisecond}
 	out.Tails = decodeTails(r.Tails)
 	decodeOwners(r, &out)
-	out.Placed, out.Dropped = decodePlacements(r.Placed), decodePlacements(r.Dropped)
+	out.Added, out.Removed = decodePlacements(r.Placed), decodePlacements(r.Dropped)
 	for _, d := range r.Poisons {
-		out.Poisons = append(out.Poisons, claim.Digest(d))
+		out.PoisonRequests = append(out.PoisonRequests, claim.Digest(d))
 	}
 	return out
 }
--- a/peer/planning/limits.go
+++ b/peer/planning/limits.go
@@ -40,27 +40,27 @@
 }
 
 // Admit asks whether a request may go to a backend server that has named a limit.
-func (c *Client) Admit(ctx context.Context, address string, l ratelimit.Limit, patience time.Duration) (ratelimit.Verdict, error) {
+func (c *Client) Admit(ctx context.Context, address string, l ratelimit.Limit, patience time.Duration) (ratelimit.Decision, error) {
 	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
 	defer cancel()
 	reply, err := c.at(address).Admit(ctx, &planningpb.AdmitRequest{Limit: encodeLimit(l), PatienceMs: uint32(patience.Milliseconds())})
 	if err != nil {
-		return ratelimit.Verdict{}, err
+		return ratelimit.Decision{}, err
 	}
 	if !reply.Holds {
-		return ratelimit.Verdict{}, planner.ErrNotPlanner
+		return ratelimit.Decision{}, planner.ErrNotLeader
 	}
-	return ratelimit.Verdict{Granted: reply.Granted, Wait: time.Duration(reply.WaitMs) * time.Millisecond}, nil
+	return ratelimit.Decision{Granted: reply.Granted, Delay: time.Duration(reply.WaitMs) * time.Millisecond}, nil
 }
 
 // Admit answers for a request that is to go to a backend server with a limit.
 func (s *server) Admit(_ context.Context, req *planningpb.AdmitRequest) (*planningpb.AdmitReply, error) {
 	v, err := s.planner.Admit(decodeLimit(req.Limit), time.Duration(req.PatienceMs)*time.Millisecond)
-	if errors.Is(err, planner.ErrNotPlanner) {
+	if errors.Is(err, planner.ErrNotLeader) {
 		return &planningpb.AdmitReply{}, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	return &planningpb.AdmitReply{Holds: true, Granted: v.Granted, WaitMs: uint32(v.Wait.Milliseconds())}, nil
+	return &planningpb.AdmitReply{Holds: true, Granted: v.Granted, WaitMs: uint32(v.Delay.Milliseconds())}, nil
 }
--- a/peer/planning/loads.go
+++ b/peer/planning/loads.go
@@ -16,12 +16,12 @@
 
 func encodeKeyedLoads(out *planningpb.ExchangeReply, loads map[pool.ServerKey]pool.Load) {
 	for key, l := range loads {
-		if l.Unread < unreadUnit/2 && l.Flights < fewFlights {
+		if l.PendingTokens < unreadUnit/2 && l.InFlight < fewFlights {
 			continue
 		}
 		out.LoadKeys = append(out.LoadKeys, uint32(key))
-		out.LoadFlights = append(out.LoadFlights, uint32(l.Flights))
-		out.LoadUnread = append(out.LoadUnread, uint32(math.Round(l.Unread/unreadUnit)))
+		out.LoadFlights = append(out.LoadFlights, uint32(l.InFlight))
+		out.LoadUnread = append(out.LoadUnread, uint32(math.Round(l.PendingTokens/unreadUnit)))
 	}
 }
 
@@ -29,7 +29,7 @@
 	out := make(map[pool.ServerKey]pool.Load, len(r.LoadKeys))
 	for i, key := range r.LoadKeys {
 		if i < len(r.LoadFlights) && i < len(r.LoadUnread) {
-			out[pool.ServerKey(key)] = pool.Load{Flights: float64(r.LoadFlights[i]), Unread: unreadUnit * float64(r.LoadUnread[i])}
+			out[pool.ServerKey(key)] = pool.Load{InFlight: float64(r.LoadFlights[i]), PendingTokens: unreadUnit * float64(r.LoadUnread[i])}
 		}
 	}
 	return out
--- a/peer/planning/owners.go
+++ b/peer/planning/owners.go
@@ -13,21 +13,21 @@
 
 // Charge takes a request's cost from an organisation's account, at its owner; each side tells
 // the other who leads.
-func (c *Client) Charge(ctx context.Context, address string, o galenastair.Organisation, cost float64, known lease.Record) (account.Verdict, lease.Record, error) {
+func (c *Client) Charge(ctx context.Context, address string, o galenastair.Organisation, cost float64, known lease.Record) (account.ChargeResult, lease.Record, error) {
 	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
 	defer cancel()
 	reply, err := c.at(address).Charge(ctx, &planningpb.ChargeRequest{Organisation: string(o), Cost: cost, Leader: encodeLeader(known)})
 	if err != nil {
-		return account.Verdict{}, lease.Record{}, err
+		return account.ChargeResult{}, lease.Record{}, err
 	}
-	v := account.Verdict{Owned: reply.Owned, Granted: reply.Granted, Wait: time.Duration(reply.WaitMs) * time.Millisecond}
+	v := account.ChargeResult{Owned: reply.Owned, Granted: reply.Granted, RetryAfter: time.Duration(reply.WaitMs) * time.Millisecond}
 	return v, decodeLeader(reply.Leader), nil
 }
 
 // Charge answers for an organisation that this instance may own.
 func (s *server) Charge(_ context.Context, req *planningpb.ChargeRequest) (*planningpb.ChargeReply, error) {
 	v, known := s.planner.Charge(galenastair.Organisation(req.Organisation), req.Cost, decodeLeader(req.Leader))
-	return &planningpb.ChargeReply{Owned: v.Owned, Granted: v.Granted, WaitMs: uint32(v.Wait.Milliseconds()), Leader: encodeLeader(known)}, nil
+	return &planningpb.ChargeReply{Owned: v.Owned, Granted: v.Granted, WaitMs: uint32(v.RetryAfter.Milliseconds()), Leader: encodeLeader(known)}, nil
 }
 
 func encodeLeader(r lease.Record) *planningpb.Leader {
@@ -41,19 +41,19 @@
 	return lease.Record{Offset: galenastair.Offset(l.Renewal), Leader: l.Address}
 }
 
-func encodeOwners(out *planningpb.ExchangeReply, n planner.News) {
+func encodeOwners(out *planningpb.ExchangeReply, n planner.Update) {
 	out.TableVersion, out.Owners = n.TableVersion, n.Table.Owners
 	for _, g := range n.Grants {
-		out.Grants = append(out.Grants, &planningpb.Grant{Shard: uint32(g.Shard), HalfMs: uint32(g.Half.Milliseconds())})
+		out.Grants = append(out.Grants, &planningpb.Grant{Shard: uint32(g.Shard), HalfMs: uint32(g.HalfRateFor.Milliseconds())})
 	}
 }
 
-func decodeOwners(r *planningpb.ExchangeReply, n *planner.News) {
+func decodeOwners(r *planningpb.ExchangeReply, n *planner.Update) {
 	n.TableVersion = r.TableVersion
 	if len(r.Owners) > 0 {
 		n.Table = account.Table{Version: r.TableVersion, Owners: r.Owners}
 	}
 	for _, g := range r.Grants {
-		n.Grants = append(n.Grants, account.Grant{Shard: account.Shard(g.Shard), Half: time.Duration(g.HalfMs+1) * time.Millisecond})
+		n.Grants = append(n.Grants, account.Grant{Shard: account.Shard(g.Shard), HalfRateFor: time.Duration(g.HalfMs+1) * time.Millisecond})
 	}
 }
--- a/peer/planning/server.go
+++ b/peer/planning/server.go
@@ -18,13 +18,13 @@
 
 // Planner is what answers the calls.
 type Planner interface {
-	Exchange(ctx context.Context, r planner.Report) (planner.News, error)
-	Need(ctx context.Context, name galenastair.ModelName) (planner.Promise, error)
-	Borrow(ctx context.Context, a quota.Ask) (float64, error)
+	Exchange(ctx context.Context, r planner.Report) (planner.Update, error)
+	EnsureLoaded(ctx context.Context, name galenastair.ModelName) (planner.Availability, error)
+	Borrow(ctx context.Context, a quota.LoanRequest) (float64, error)
 	// Charge also takes in and returns who leads.
-	Charge(o galenastair.Organisation, cost float64, known lease.Record) (account.Verdict, lease.Record)
+	Charge(o galenastair.Organisation, cost float64, known lease.Record) (account.ChargeResult, lease.Record)
 	// Admit says whether a request may go to a server with a limit.
-	Admit(l ratelimit.Limit, patience time.Duration) (ratelimit.Verdict, error)
+	Admit(l ratelimit.Limit, patience time.Duration) (ratelimit.Decision, error)
 	// Fetch returns what this instance has read of a topic from an offset on.
 	Fetch(t galenastair.Topic, from galenastair.Offset) galenastair.KeyedBatch
 }
@@ -37,35 +37,35 @@
 // Exchange takes in a report.
 func (s *server) Exchange(ctx context.Context, req *planningpb.ExchangeRequest) (*planningpb.ExchangeReply, error) {
 	r := planner.Report{
-		Instance:     galenastair.InstanceID(req.Instance),
-		Address:      req.Address,
-		Zone:         galenastair.AvailabilityZone(req.Zone),
-		TableVersion: req.TableVersion,
-		Stopping:     req.Stopping,
-		Seen:         req.Seen,
-		Passed:       decodeContribution(req),
-		Limits:       decodeLimits(req.Limits),
-		Loads:        decodeLoads(req.Loads),
-		Positions:    make(map[galenastair.Topic]galenastair.Offset, len(req.Positions)),
-		Demands:      make(map[galenastair.ModelName]time.Duration, len(req.Demands)),
+		Instance:          galenastair.InstanceID(req.Instance),
+		Address:           req.Address,
+		Zone:              galenastair.AvailabilityZone(req.Zone),
+		TableVersion:      req.TableVersion,
+		Stopping:          req.Stopping,
+		LastChange:        req.Seen,
+		QuotaContribution: decodeContribution(req),
+		Limits:            decodeLimits(req.Limits),
+		Loads:             decodeLoads(req.Loads),
+		Positions:         make(map[galenastair.Topic]galenastair.Offset, len(req.Positions)),
+		Demands:           make(map[galenastair.ModelName]time.Duration, len(req.Demands)),
 	}
 	for _, d := range req.Demands {
 		r.Demands[galenastair.ModelName(d.Name)] = time.Duration(d.WorkUs) * time.Microsecond
 	}
 	for _, a := range req.Asks {
-		r.Asks = append(r.Asks, quota.Ask{Organisation: galenastair.Organisation(a.Organisation), Amount: a.Amount})
+		r.LoanRequests = append(r.LoanRequests, quota.LoanRequest{Organisation: galenastair.Organisation(a.Organisation), Amount: a.Amount})
 	}
 	for _, id := range req.Absent {
-		r.Absent = append(r.Absent, galenastair.BackendServerID(id))
+		r.Down = append(r.Down, galenastair.BackendServerID(id))
 	}
 	for _, d := range req.Poisons {
-		r.Poisons = append(r.Poisons, claim.Digest(d))
+		r.PoisonRequests = append(r.PoisonRequests, claim.Digest(d))
 	}
 	for _, p := range req.Positions {
 		r.Positions[galenastair.Topic(p.Topic)] = galenastair.Offset(p.From)
 	}
 	news, err := s.planner.Exchange(ctx, r)
-	if errors.Is(err, planner.ErrNotPlanner) {
+	if errors.Is(err, planner.ErrNotLeader) {
 		return &planningpb.ExchangeReply{}, nil
 	}
 	if err != nil {
@@ -74,19 +74,19 @@
 	return encodeUpdate(news), nil
 }
 
-func encodeUpdate(n planner.News) *planningpb.ExchangeReply {
-	out := &planningpb.ExchangeReply{Holds: true, Lapsed: n.Lapsed, Newest: n.Newest}
+func encodeUpdate(n planner.Update) *planningpb.ExchangeReply {
+	out := &planningpb.ExchangeReply{Holds: true, Lapsed: n.LeaseExpired, Newest: n.LastChange}
 	encodeKeyedLoads(out, n.Loads)
 	out.Limits, out.Index = encodeLimits(n.Limits), uint32(n.Index)
 	out.Renewal, out.RenewalAgeMs = int64(n.Renewal.Offset), uint32(n.Renewal.Age.Milliseconds())
-	encodeAllocation(out, n.Standing)
+	encodeAllocation(out, n.QuotaAllocation)
 	encodeOwners(out, n)
 	for _, l := range n.Loans {
 		out.Loans = append(out.Loans, &planningpb.Loan{Organisation: string(l.Organisation), Amount: l.Amount})
 	}
 	out.Tails = encodeTails(n.Tails)
-	out.Placed, out.Dropped = encodePlacements(n.Placed), encodePlacements(n.Dropped)
-	for _, d := range n.Poisons {
+	out.Placed, out.Dropped = encodePlacements(n.Added), encodePlacements(n.Removed)
+	for _, d := range n.PoisonRequests {
 		out.Poisons = append(out.Poisons, string(d))
 	}
 	return out
@@ -123,20 +123,20 @@
 
 // Need answers for a model or adapter.
 func (s *server) Need(ctx context.Context, req *planningpb.NeedRequest) (*planningpb.NeedReply, error) {
-	p, err := s.planner.Need(ctx, galenastair.ModelName(req.Name))
-	if errors.Is(err, planner.ErrNotPlanner) {
+	p, err := s.planner.EnsureLoaded(ctx, galenastair.ModelName(req.Name))
+	if errors.Is(err, planner.ErrNotLeader) {
 		return &planningpb.NeedReply{}, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	return &planningpb.NeedReply{Holds: true, Server: string(p.Server), ReadyMs: uint32(p.Ready.Milliseconds())}, nil
+	return &planningpb.NeedReply{Holds: true, Server: string(p.Server), ReadyMs: uint32(p.ReadyIn.Milliseconds())}, nil
 }
 
 // Borrow lends what one request lacks.
 func (s *server) Borrow(ctx context.Context, req *planningpb.Loan) (*planningpb.BorrowReply, error) {
-	n, err := s.planner.Borrow(ctx, quota.Ask{Organisation: galenastair.Organisation(req.Organisation), Amount: req.Amount})
-	if errors.Is(err, planner.ErrNotPlanner) {
+	n, err := s.planner.Borrow(ctx, quota.LoanRequest{Organisation: galenastair.Organisation(req.Organisation), Amount: req.Amount})
+	if errors.Is(err, planner.ErrNotLeader) {
 		return &planningpb.BorrowReply{}, nil
 	}
 	if err != nil {
--- a/peer/planning/standing.go
+++ b/peer/planning/standing.go
@@ -8,21 +8,21 @@
 	"galenastair/quota"
 )
 
-func encodeContribution(out *planningpb.ExchangeRequest, p quota.Passed) {
+func encodeContribution(out *planningpb.ExchangeRequest, p quota.Contribution) {
 	out.Fleet = uint32(p.Fleet)
-	out.Part = float64(p.Part)
-	out.PassedUs = uint64(p.Time.Microseconds())
+	out.Part = float64(p.Fraction)
+	out.PassedUs = uint64(p.Elapsed.Microseconds())
 	out.Version = p.Version
 	for o, d := range p.Advanced {
 		out.Advanced = append(out.Advanced, &planningpb.Advance{Organisation: string(o), TimeUs: uint64(d.Microseconds())})
 	}
 }
 
-func decodeContribution(r *planningpb.ExchangeRequest) quota.Passed {
-	p := quota.Passed{
+func decodeContribution(r *planningpb.ExchangeRequest) quota.Contribution {
+	p := quota.Contribution{
 		Fleet:    int(r.Fleet),
-		Part:     quota.Part(r.Part),
-		Time:     time.Duration(r.PassedUs) * time.Microsecond,
+		Fraction: quota.Fraction(r.Part),
+		Elapsed:  time.Duration(r.PassedUs) * time.Microsecond,
 		Version:  r.Version,
 		Advanced: make(map[galenastair.Organisation]time.Duration, len(r.Advanced)),
 	}
@@ -32,19 +32,19 @@
 	return p
 }
 
-func encodeAllocation(out *planningpb.ExchangeReply, s quota.Standing) {
+func encodeAllocation(out *planningpb.ExchangeReply, s quota.Allocation) {
 	out.Fleet = uint32(s.Fleet)
-	out.Part = float64(s.Part)
+	out.Part = float64(s.Fraction)
 	out.Version = s.Version
-	for _, o := range s.Moderate {
+	for _, o := range s.LowUsage {
 		out.Moderate = append(out.Moderate, string(o))
 	}
 }
 
-func decodeAllocation(r *planningpb.ExchangeReply) quota.Standing {
-	s := quota.Standing{Fleet: int(r.Fleet), Part: quota.Part(r.Part), Version: r.Version}
+func decodeAllocation(r *planningpb.ExchangeReply) quota.Allocation {
+	s := quota.Allocation{Fleet: int(r.Fleet), Fraction: quota.Fraction(r.Part), Version: r.Version}
 	for _, o := range r.Moderate {
-		s.Moderate = append(s.Moderate, galenastair.Organisation(o))
+		s.LowUsage = append(s.LowUsage, galenastair.Organisation(o))
 	}
 	return s
 }
--- a/peer/record/client.go
+++ b/peer/record/client.go
@@ -38,7 +38,7 @@
 func NewClient(members func() []config.Peer) *Client {
 	// a fresh connection for each question: outages are rare, and one that went
 	// silent since the last would cost a whole timeout
-	c := &Client{members: members, http: &http.Client{Transport: httpclient.NewFreshTransport()}}
+	c := &Client{members: members, http: &http.Client{Transport: httpclient.NewUnpooledTransport()}}
 	// 370 instances begin at different members
 	c.round.Store(rand.Uint64N(1 << 20))
 	return c
@@ -48,15 +48,15 @@
 func (c *Client) Members() []config.Peer { return c.members() }
 
 // ReadRecords asks members of each availability zone at once and returns the answers that came in time.
-func (c *Client) ReadRecords(ctx context.Context, s galenastair.Stream, from galenastair.Offset) []config.Answer {
+func (c *Client) ReadRecords(ctx context.Context, s galenastair.Stream, from galenastair.Offset) []config.PeerResponse {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	asked := choose(c.members(), int(c.round.Add(1)))
-	replies := make(chan *config.Answer, len(asked))
+	replies := make(chan *config.PeerResponse, len(asked))
 	for _, p := range asked {
 		go func() { replies <- c.ask(ctx, s, from, p) }()
 	}
-	var answers []config.Answer
+	var answers []config.PeerResponse
 	for range asked {
 		if a := <-replies; a != nil {
 			answers = append(answers, *a)
@@ -66,12 +66,12 @@
 }
 
 // ask returns nil for a member that did not answer.
-func (c *Client) ask(ctx context.Context, s galenastair.Stream, from galenastair.Offset, p config.Peer) *config.Answer {
+func (c *Client) ask(ctx context.Context, s galenastair.Stream, from galenastair.Offset, p config.Peer) *config.PeerResponse {
 	reply, err := c.client(p).ReadRecords(ctx, &recordpb.ReadRecordsRequest{Stream: string(s), From: int64(from)})
 	if err != nil {
 		return nil
 	}
-	a := &config.Answer{Peer: p, LogAge: decodeAge(reply.LogAgeMs)}
+	a := &config.PeerResponse{Peer: p, LogAge: decodeAge(reply.LogAgeMs)}
 	a.Batch.First, a.Batch.Next = galenastair.Offset(reply.First), galenastair.Offset(reply.Next)
 	for _, rec := range reply.Records {
 		a.Batch.Records = append(a.Batch.Records, galenastair.LogRecord{Offset: galenastair.Offset(rec.Offset), Data: rec.Data})
@@ -79,8 +79,8 @@
 	return a
 }
 
-// FetchFold asks one member for the snapshot of its fold.
-func (c *Client) FetchFold(ctx context.Context, s galenastair.Stream, p config.Peer) ([]byte, error) {
+// FetchSnapshot asks one member for the snapshot of its fold.
+func (c *Client) FetchSnapshot(ctx context.Context, s galenastair.Stream, p config.Peer) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, foldTimeout)
 	defer cancel()
 	reply, err := c.client(p).FetchFold(ctx, &recordpb.FetchFoldRequest{Stream: string(s)})
--- a/peer/record/record_test.go
+++ b/peer/record/record_test.go
@@ -17,13 +17,13 @@
 
 func (s fakeSource) ReadRecords(from galenastair.Offset) (galenastair.Batch, error) {
 	if !s.view {
-		return galenastair.Batch{}, config.ErrNoView
+		return galenastair.Batch{}, config.ErrNotCaughtUp
 	}
 	rec := galenastair.LogRecord{Offset: from, Data: []byte("data")}
 	return galenastair.Batch{Records: []galenastair.LogRecord{rec}, First: 3, Next: from + 1}, nil
 }
 
-func (s fakeSource) FetchFold() ([]byte, error) { return []byte("fold"), nil }
+func (s fakeSource) FetchSnapshot() ([]byte, error) { return []byte("fold"), nil }
 
 func (s fakeSource) LogAge() time.Duration { return 5 * time.Second }
 
@@ -53,7 +53,7 @@
 	is.Equal(answers[0].Batch, galenastair.Batch{
 		Records: []galenastair.LogRecord{{Offset: 7, Data: []byte("data")}}, First: 3, Next: 8,
 	})
-	fold, err := c.FetchFold(context.Background(), galenastair.ConfigurationStream, members[0])
+	fold, err := c.FetchSnapshot(context.Background(), galenastair.ConfigurationStream, members[0])
 	is.NoErr(err)
 	is.Equal(string(fold), "fold")
 	is.Equal(len(c.ReadRecords(context.Background(), "other", 1)), 0)
--- a/peer/record/server.go
+++ b/peer/record/server.go
@@ -17,7 +17,7 @@
 // Source is one stream as this instance has folded it.
 type Source interface {
 	ReadRecords(from galenastair.Offset) (galenastair.Batch, error)
-	FetchFold() ([]byte, error)
+	FetchSnapshot() ([]byte, error)
 	// LogAge is negative if the log has never answered.
 	LogAge() time.Duration
 }
@@ -52,7 +52,7 @@
 	if !found {
 		return nil, twirp.NotFoundError("stream")
 	}
-	data, err := source.FetchFold()
+	data, err := source.FetchSnapshot()
 	if err != nil {
 		return nil, twirp.NewError(twirp.Unavailable, err.Error())
 	}
--- a/place/board.go
+++ b/place/board.go
@@ -36,10 +36,10 @@
 
 // inService reports whether the planner counts on the copies there: the backend server is
 // neither leaving nor slow.
-func (s *planServer) inService() bool { return !s.Leaving && !s.Slow }
+func (s *planServer) inService() bool { return !s.Leaving && !s.Unhealthy }
 
 // acceptsOrders reports whether the planner may load or unload models there.
-func (s *planServer) acceptsOrders() bool { return s.inService() && !s.Unschedulable && !s.Limited }
+func (s *planServer) acceptsOrders() bool { return s.inService() && !s.Unschedulable && !s.RateLimited }
 
 // rateLimitedLoadFactor is the load that a unit of work causes on a rate-limited backend server,
 // relative to others.
@@ -47,7 +47,7 @@
 
 // loadFor returns the load that work causes on the backend server.
 func (s *planServer) loadFor(work float64) float64 {
-	if s.Limited {
+	if s.RateLimited {
 		return rateLimitedLoadFactor * work
 	}
 	return work
@@ -55,8 +55,8 @@
 
 // preferredTo reports whether routers choose this backend server before o.
 func (s *planServer) preferredTo(o *planServer) bool {
-	if s.Limited != o.Limited {
-		return !s.Limited
+	if s.RateLimited != o.RateLimited {
+		return !s.RateLimited
 	}
 	return s.load < o.load
 }
@@ -144,7 +144,7 @@
 }
 
 // active reports whether a copy is ready or loading on a backend server in service.
-func (c *planCopy) active() bool { return c.state != Going && c.server.inService() }
+func (c *planCopy) active() bool { return c.state != Unloading && c.server.inService() }
 
 func (m *planModel) activeCopies() int {
 	n := 0
@@ -231,7 +231,7 @@
 	n := 0
 	for _, m := range st.models {
 		for _, c := range m.copies {
-			if c.state == Coming && (m.weight.Base != "") == adapters {
+			if c.state == Loading && (m.weight.Base != "") == adapters {
 				n++
 			}
 		}
@@ -259,7 +259,7 @@
 
 // memoryCapacity returns the memory for models, used or free.
 func (s *planServer) memoryCapacity() galenastair.Bytes {
-	sum := s.Free
+	sum := s.FreeMemory
 	for _, c := range s.Copies {
 		sum += c.Weight.Memory
 	}
--- a/place/input.go
+++ b/place/input.go
@@ -12,11 +12,11 @@
 // States of a copy.
 const (
 	// Loading is a copy that is ordered or being loaded.
-	Coming CopyState = iota
+	Loading CopyState = iota
 	// Ready is a copy that can answer requests.
 	Ready
 	// Unloading is a copy that is ordered to unload or being unloaded; it still takes memory.
-	Going
+	Unloading
 )
 
 // Copy is a copy of a model or adapter on a backend server.
@@ -31,21 +31,21 @@
 	AvailabilityZone galenastair.AvailabilityZone
 	Leaving          bool
 	// Unhealthy is set when routers avoid the backend server because it does not answer in time.
-	Slow bool
+	Unhealthy bool
 	// RateLimited is set while the backend server accepts few requests, so that routers choose
 	// it last. Its copies keep models reachable and do little work.
-	Limited bool
+	RateLimited bool
 	// Unschedulable is set when no order can be sent now; loaded copies keep answering.
 	Unschedulable bool
 	// SchedulableSoon is set when the backend server is unschedulable, but probably for less
 	// time than it takes to free memory elsewhere.
 	SchedulableSoon bool
 	// FreeMemory is the memory that is neither taken nor reserved for an order.
-	Free   galenastair.Bytes
-	Copies []Copy
+	FreeMemory galenastair.Bytes
+	Copies     []Copy
 	// CachedModels are the models whose weights the backend server holds locally. Loading one
 	// takes less time and no bandwidth of the weight store.
-	AtHand map[galenastair.ModelName]bool
+	CachedModels map[galenastair.ModelName]bool
 	// Reserved lists the weights whose memory is reserved for orders that were probably
 	// lost. Another order for the same weight needs no more memory.
 	Reserved []galenastair.Weight
--- a/place/large_test.go
+++ b/place/large_test.go
@@ -24,17 +24,17 @@
 	in.Work = func(m galenastair.ModelName) float64 { return work[m] }
 	order := rng.Perm(models)
 	for i := range servers {
-		s := Server{ID: galenastair.BackendServerID(fmt.Sprint("s", i)), Free: 30, AtHand: map[galenastair.ModelName]bool{}}
+		s := Server{ID: galenastair.BackendServerID(fmt.Sprint("s", i)), FreeMemory: 30, CachedModels: map[galenastair.ModelName]bool{}}
 		for p := range 3 {
 			w := in.Catalogue[order[(3*i+p)%models]]
 			s.Copies = append(s.Copies, Copy{w, Ready})
-			s.Free -= w.Memory
-			s.AtHand[w.Name] = true
+			s.FreeMemory -= w.Memory
+			s.CachedModels[w.Name] = true
 		}
 		in.Servers = append(in.Servers, s)
 	}
-	settings := Settings{LoadsPerSecond: 34, LoadsInFlight: 80, ServerWork: 1, Busy: 0.3, Uneven: 0.8, Gain: 0.12, Calm: time.Second,
-		Stay: 5 * time.Second, ReliefsARound: 3, AskedWork: 0.01, DropUnasked: 1.2}
+	settings := Settings{LoadsPerSecond: 34, LoadsInFlight: 80, ServerCapacity: 1, RebalanceThreshold: 0.3, ImbalanceThreshold: 0.8, MinGain: 0.12, MoveCooldown: time.Second,
+		MinCopyLifetime: 5 * time.Second, MovesPerRound: 3, MinDemand: 0.01, IdleEvictionThreshold: 1.2}
 	p := NewPlanner(settings)
 	for b.Loop() {
 		in.Now = in.Now.Add(200 * time.Millisecond)
--- a/place/leader.go
+++ b/place/leader.go
@@ -39,7 +39,7 @@
 
 // Leadership reports whether this instance is the leader with a valid lease at now, and its
 // fencing token.
-type Duty func(now time.Time) (galenastair.Fence, bool)
+type Leadership func(now time.Time) (galenastair.Fence, bool)
 
 // Leader carries out the planner's steps while this instance is the leader.
 //
@@ -56,7 +56,7 @@
 	engine        galenastair.Engine
 	log           galenastair.Log
 	store         galenastair.WeightStore
-	leadership    Duty
+	leadership    Leadership
 	loop          *control.Loop
 	clock         galenastair.Clock
 	logger        log.Logger
@@ -102,35 +102,35 @@
 func WithSettings(s Settings) Option { return func(l *Leader) { l.settings = s } }
 
 // WithOrderObserver sets a function that is called for each order that an engine accepted.
-func WithOrdered(f func(galenastair.OrderKind, Reason)) Option {
+func WithOrderObserver(f func(galenastair.OrderKind, Reason)) Option {
 	return func(l *Leader) { l.onOrder = f }
 }
 
 // WithLogReachable sets the function that reports whether the log is reachable, so that an order
 // to an engine that ignores fences could be read back.
-func WithRecords(f func(time.Time) bool) Option { return func(l *Leader) { l.logReachable = f } }
+func WithLogReachable(f func(time.Time) bool) Option { return func(l *Leader) { l.logReachable = f } }
 
 // WithOrderLifetime sets how long an order may still arrive at an engine; see package ledger.
 func WithOrderLifetime(d time.Duration) Option { return func(l *Leader) { l.orderLifetime = d } }
 
 // Dependencies are the services that a Leader uses.
-type Ports struct {
-	Engine galenastair.Engine
-	Log    galenastair.Log
-	Store  galenastair.WeightStore
-	Duty   Duty
-	Loop   *control.Loop
+type Dependencies struct {
+	Engine     galenastair.Engine
+	Log        galenastair.Log
+	Store      galenastair.WeightStore
+	Leadership Leadership
+	Loop       *control.Loop
 }
 
 // NewLeader returns a Leader. It sends orders only during Run and while Leadership holds.
-func NewLeader(self galenastair.InstanceID, r galenastair.Region, d Ports, opts ...Option) *Leader {
+func NewLeader(self galenastair.InstanceID, r galenastair.Region, d Dependencies, opts ...Option) *Leader {
 	l := &Leader{
 		self:          self,
 		stream:        galenastair.ControlStream(r),
 		engine:        d.Engine,
 		log:           d.Log,
 		store:         d.Store,
-		leadership:    d.Duty,
+		leadership:    d.Leadership,
 		loop:          d.Loop,
 		clock:         galenastair.SystemClock{},
 		logger:        log.NewNopLogger(),
@@ -184,18 +184,18 @@
 }
 
 // SetUnhealthy replaces the list of backend servers that this instance's router finds unhealthy.
-func (l *Leader) SetSlow(ctx context.Context, ids []galenastair.BackendServerID) error {
+func (l *Leader) SetUnhealthy(ctx context.Context, ids []galenastair.BackendServerID) error {
 	return l.loop.Post(ctx, func() { l.unhealthyServers = ids })
 }
 
 // ApplyReport sets an engine's report for planning, whichever way it was received. It may be
 // old, since the engine is asked again before an order.
-func (l *Leader) Report(ctx context.Context, r galenastair.EngineReport) error {
+func (l *Leader) ApplyReport(ctx context.Context, r galenastair.EngineReport) error {
 	return l.loop.Post(ctx, func() { l.reports[r.BackendServer] = r })
 }
 
 // RecordDemand adds the work per model that an entry has received since it started.
-func (l *Leader) Demand(ctx context.Context, from galenastair.InstanceID, ds []dispatch.Demand) error {
+func (l *Leader) RecordDemand(ctx context.Context, from galenastair.InstanceID, ds []dispatch.Demand) error {
 	return l.loop.Post(ctx, func() { l.recordDemand(from, ds) })
 }
 
--- a/place/leader_test.go
+++ b/place/leader_test.go
@@ -61,7 +61,7 @@
 	s := DefaultSettings()
 	s.LoadsPerSecond, s.LoadsInFlight = 100, 100
 	loop := control.NewLoop()
-	e.leader = NewLeader("i0", "r", Ports{Engine: e, Log: e, Store: e, Duty: e.leadership, Loop: loop},
+	e.leader = NewLeader("i0", "r", Dependencies{Engine: e, Log: e, Store: e, Leadership: e.leadership, Loop: loop},
 		append([]Option{WithSettings(s)}, opts...)...)
 	ctx, cancel := context.WithCancel(context.Background())
 	e.ctx = ctx
@@ -97,7 +97,7 @@
 		case <-tick.C:
 			for address := range e.engines {
 				r, _ := e.Report(ctx, address)
-				_ = e.leader.Report(ctx, r)
+				_ = e.leader.ApplyReport(ctx, r)
 			}
 		case <-ctx.Done():
 			return nil
@@ -302,7 +302,7 @@
 // orders. The planner kept choosing it and the model had no copy until the log was back, although
 // an engine that checks fences had room.
 func TestOutageLoadsWhereOrdersCanGo(t *testing.T) {
-	e := newTestEnv(t, 2, 1, WithRecords(func(time.Time) bool { return false }))
+	e := newTestEnv(t, 2, 1, WithLogReachable(func(time.Time) bool { return false }))
 	e.mu.Lock()
 	e.engines["a0"].MemoryTotal = 50
 	e.engines["a1"].ChecksFence = true
--- a/place/limited_test.go
+++ b/place/limited_test.go
@@ -15,7 +15,7 @@
 	n := 0
 	for _, s := range f.servers {
 		for _, c := range s.Copies {
-			if !s.Limited && c.Weight.Name == name && c.State != Going {
+			if !s.RateLimited && c.Weight.Name == name && c.State != Unloading {
 				n++
 			}
 		}
@@ -33,10 +33,10 @@
 		f.catalogue[i].Memory, w.Memory = 1, 1
 		s := &f.servers[i%4]
 		s.Copies = append(s.Copies, Copy{w, Ready})
-		s.Free -= w.Memory
+		s.FreeMemory -= w.Memory
 		f.work[w.Name] = 5
 	}
-	f.servers[0].Limited, f.servers[1].Limited = true, true
+	f.servers[0].RateLimited, f.servers[1].RateLimited = true, true
 	f.work["m0"] = 200
 	p := NewPlanner(hotSettings)
 	for range 30 {
--- a/place/order.go
+++ b/place/order.go
@@ -129,7 +129,7 @@
 	now := l.clock.Now()
 	for _, id := range l.reportingServers() {
 		v := l.plannerServer(now, id)
-		if id == s.Server || v.Leaving || v.Slow {
+		if id == s.Server || v.Leaving || v.Unhealthy {
 			continue
 		}
 		for _, c := range v.Copies {
--- a/place/planner.go
+++ b/place/planner.go
@@ -61,7 +61,7 @@
 	p.refillTokens()
 	p.loadSlots = p.settings.LoadsInFlight - p.plan.countLoading(false)
 	p.adapterSlots = p.settings.AdaptersInFlight - p.plan.countLoading(true)
-	p.evictIdle = p.settings.DropUnasked > 0 && p.plan.maxLoad() >= p.settings.DropUnasked*p.settings.ServerWork && p.plan.memoryScarce()
+	p.evictIdle = p.settings.IdleEvictionThreshold > 0 && p.plan.maxLoad() >= p.settings.IdleEvictionThreshold*p.settings.ServerCapacity && p.plan.memoryScarce()
 	p.continueSwaps()
 	p.placeMissingModels(true)
 	p.placeAdapters()
@@ -91,31 +91,31 @@
 // canLoadOn is canLoad for one backend server. A model that is cached there may always be
 // loaded, since that does not use the weight store.
 func (p *Planner) canLoadOn(m *planModel, s *planServer) bool {
-	return s.AtHand[m.weight.Name] || p.canLoad()
+	return s.CachedModels[m.weight.Name] || p.canLoad()
 }
 
 func (p *Planner) load(m *planModel, s *planServer, why Reason) {
 	switch {
 	case m.weight.Base != "":
 		p.adapterSlots--
-	case !s.AtHand[m.weight.Name]:
+	case !s.CachedModels[m.weight.Name]:
 		p.loadSlots--
 		p.loadTokens--
 	}
-	s.Free -= m.weight.Memory
-	m.addCopy(&planCopy{server: s, state: Coming})
+	s.FreeMemory -= m.weight.Memory
+	m.addCopy(&planCopy{server: s, state: Loading})
 	p.addedAt[copyKey{s.ID, m.weight.Name}] = p.now
 	p.steps = append(p.steps, Step{galenastair.LoadModel, s.ID, m.weight, why})
 }
 
 func (p *Planner) unload(m *planModel, c *planCopy, why Reason) {
-	c.state = Going
+	c.state = Unloading
 	p.steps = append(p.steps, Step{galenastair.UnloadModel, c.server.ID, m.weight, why})
 }
 
 // inDemand reports whether a model's demand reaches Settings.MinDemand.
 func (p *Planner) inDemand(m *planModel) bool {
-	return m.demand() > 0 && m.demand() >= p.settings.AskedWork
+	return m.demand() > 0 && m.demand() >= p.settings.MinDemand
 }
 
 // placeMissingModels loads a copy of each model that has no active one, or none beside which its
@@ -138,7 +138,7 @@
 			p.plan.distributeLoad()
 			continue
 		}
-		if (inDemand || p.settings.DropUnasked == 0) && !p.roomExpected(m) {
+		if (inDemand || p.settings.IdleEvictionThreshold == 0) && !p.roomExpected(m) {
 			p.startCheapestSwap(m, Unreachable)
 		}
 	}
@@ -147,7 +147,7 @@
 // roomExpected reports whether a backend server with room for a model will soon accept orders.
 func (p *Planner) roomExpected(m *planModel) bool {
 	return slices.ContainsFunc(p.plan.servers, func(s *planServer) bool {
-		return s.SchedulableSoon && s.inService() && s.Free >= m.missingMemory(s)
+		return s.SchedulableSoon && s.inService() && s.FreeMemory >= m.missingMemory(s)
 	})
 }
 
@@ -156,10 +156,10 @@
 func (p *Planner) serverWithRoom(m *planModel) *planServer {
 	var best *planServer
 	for _, s := range p.plan.servers {
-		if !s.acceptsOrders() || s.swapping || s.Free < m.missingMemory(s) || m.copyOn(s) != nil || !p.canLoadOn(m, s) {
+		if !s.acceptsOrders() || s.swapping || s.FreeMemory < m.missingMemory(s) || m.copyOn(s) != nil || !p.canLoadOn(m, s) {
 			continue
 		}
-		if best == nil || cmp.Or(compareCached(m, best, s), cmp.Compare(s.load, best.load), cmp.Compare(best.Free, s.Free)) < 0 {
+		if best == nil || cmp.Or(compareCached(m, best, s), cmp.Compare(s.load, best.load), cmp.Compare(best.FreeMemory, s.FreeMemory)) < 0 {
 			best = s
 		}
 	}
@@ -169,7 +169,7 @@
 // compareCached compares s with other and orders a backend server that has the model cached first.
 func compareCached(m *planModel, other, s *planServer) int {
 	rank := map[bool]int{true: 0, false: 1}
-	return cmp.Compare(rank[s.AtHand[m.weight.Name]], rank[other.AtHand[m.weight.Name]])
+	return cmp.Compare(rank[s.CachedModels[m.weight.Name]], rank[other.CachedModels[m.weight.Name]])
 }
 
 // placeAdapters loads adapters beside every ready copy of their base, so that routers can use
@@ -187,7 +187,7 @@
 func (p *Planner) placeAdapter(a *planModel, first bool) {
 	for _, c := range a.base.copies {
 		s := c.server
-		if c.state != Ready || !s.acceptsOrders() || s.swapping || a.copyOn(s) != nil || s.Free < a.weight.Memory {
+		if c.state != Ready || !s.acceptsOrders() || s.swapping || a.copyOn(s) != nil || s.FreeMemory < a.weight.Memory {
 			continue
 		}
 		if p.adapterSlots <= 0 {
@@ -227,7 +227,7 @@
 func (p *Planner) spareServer(m *planModel) *planServer {
 	var best *planServer
 	for _, s := range p.plan.servers {
-		if !s.acceptsOrders() || s.swapping || s.Free < m.missingMemory(s) || m.copyOn(s) != nil {
+		if !s.acceptsOrders() || s.swapping || s.FreeMemory < m.missingMemory(s) || m.copyOn(s) != nil {
 			continue
 		}
 		if best == nil || p.copiesInZone(m, s) < p.copiesInZone(m, best) ||
@@ -268,12 +268,12 @@
 // pruneHistory drops added copies and moves that are too old to affect a decision.
 func (p *Planner) pruneHistory() {
 	for k, at := range p.addedAt {
-		if p.now.Sub(at) > p.settings.Stay {
+		if p.now.Sub(at) > p.settings.MinCopyLifetime {
 			delete(p.addedAt, k)
 		}
 	}
 	for m, moves := range p.recentMoves {
-		if p.now.Sub(moves.since) > p.settings.Calm {
+		if p.now.Sub(moves.since) > p.settings.MoveCooldown {
 			delete(p.recentMoves, m)
 		}
 	}
--- a/place/planner_test.go
+++ b/place/planner_test.go
@@ -31,7 +31,7 @@
 	f := &fleet{now: time.Unix(1000, 0), total: total, work: map[galenastair.ModelName]float64{}}
 	for i := range servers {
 		f.servers = append(f.servers, Server{
-			ID: galenastair.BackendServerID(fmt.Sprintf("e%02d", i)), AvailabilityZone: galenastair.AvailabilityZone(fmt.Sprint(i % 3)), Free: total,
+			ID: galenastair.BackendServerID(fmt.Sprintf("e%02d", i)), AvailabilityZone: galenastair.AvailabilityZone(fmt.Sprint(i % 3)), FreeMemory: total,
 		})
 	}
 	for i := range models {
@@ -80,13 +80,13 @@
 	f.inProgress = append(f.inProgress, stepInProgress{f.now.Add(duration), s})
 	sv := f.server(s.Server)
 	if s.Kind == galenastair.LoadModel {
-		sv.Free -= s.Weight.Memory
-		sv.Copies = append(sv.Copies, Copy{s.Weight, Coming})
+		sv.FreeMemory -= s.Weight.Memory
+		sv.Copies = append(sv.Copies, Copy{s.Weight, Loading})
 		return
 	}
 	for i := range sv.Copies {
 		if sv.Copies[i].Weight == s.Weight {
-			sv.Copies[i].State = Going
+			sv.Copies[i].State = Unloading
 		}
 	}
 }
@@ -99,7 +99,7 @@
 	kept := sv.Copies[:0]
 	for _, c := range sv.Copies {
 		if c.Weight == s.Weight && s.Kind == galenastair.UnloadModel {
-			sv.Free += c.Weight.Memory
+			sv.FreeMemory += c.Weight.Memory
 			continue
 		}
 		if c.Weight == s.Weight {
@@ -194,7 +194,7 @@
 	}
 	with := moves(DefaultSettings())
 	eager := DefaultSettings()
-	eager.Stay, eager.Calm, eager.Gain, eager.Busy = 0, 0, 0.01, 0
+	eager.MinCopyLifetime, eager.MoveCooldown, eager.MinGain, eager.RebalanceThreshold = 0, 0, 0.01, 0
 	without := moves(eager)
 	t.Logf("%d steps with hysteresis, %d without", with, without)
 	is.True(2*with <= without)
@@ -224,11 +224,11 @@
 			}
 			models := 0
 			for _, s := range f.servers {
-				if s.Free < 0 {
-					t.Fatalf("%s: memory overcommitted: %d free", s.ID, s.Free)
+				if s.FreeMemory < 0 {
+					t.Fatalf("%s: memory overcommitted: %d free", s.ID, s.FreeMemory)
 				}
 				for _, c := range s.Copies {
-					if c.State == Coming && c.Weight.Base == "" {
+					if c.State == Loading && c.Weight.Base == "" {
 						models++
 					}
 				}
@@ -246,7 +246,7 @@
 	is := is.New(t)
 	f := newFleet(1, 1, 40, 60)
 	f.servers[0].Copies = []Copy{{f.catalogue[0], Ready}}
-	f.servers[0].Free -= f.catalogue[0].Memory
+	f.servers[0].FreeMemory -= f.catalogue[0].Memory
 	p := NewPlanner(DefaultSettings())
 	f.runRound(p, time.Millisecond)
 	is.Equal(len(f.steps), DefaultSettings().AdaptersInFlight)
@@ -261,7 +261,7 @@
 	for _, s := range []int{0, 1} {
 		for _, w := range f.catalogue[:4] { // m0, m1 and their adapters, twice
 			f.servers[s].Copies = append(f.servers[s].Copies, Copy{w, Ready})
-			f.servers[s].Free -= w.Memory
+			f.servers[s].FreeMemory -= w.Memory
 		}
 	}
 	f.servers[2].Leaving = true // so that m2 needs a swap
@@ -288,7 +288,7 @@
 	f := newFleet(2, 1, 1, 30)
 	f.servers[0].Unschedulable = true
 	f.servers[0].Copies = []Copy{{f.catalogue[0], Ready}}
-	f.servers[0].Free -= f.catalogue[0].Memory
+	f.servers[0].FreeMemory -= f.catalogue[0].Memory
 	settings := DefaultSettings()
 	settings.SpareCopies = false
 	p := NewPlanner(settings)
--- a/place/relief.go
+++ b/place/relief.go
@@ -14,7 +14,7 @@
 // and demand may shift back before it has paid off. It gains nothing if all backend servers
 // are equally busy.
 func (p *Planner) rebalance() {
-	for range max(1, p.settings.ReliefsARound, len(p.plan.servers)/serversPerMove) {
+	for range max(1, p.settings.MovesPerRound, len(p.plan.servers)/serversPerMove) {
 		if !p.rebalanceOnce() {
 			return
 		}
@@ -24,7 +24,7 @@
 func (p *Planner) rebalanceOnce() bool {
 	order := slices.Clone(p.plan.servers)
 	slices.SortStableFunc(order, func(x, y *planServer) int { return cmp.Compare(y.load, x.load) })
-	threshold := max(p.settings.Busy*p.settings.ServerWork, p.settings.Uneven*p.plan.meanLoad())
+	threshold := max(p.settings.RebalanceThreshold*p.settings.ServerCapacity, p.settings.ImbalanceThreshold*p.plan.meanLoad())
 	for _, hot := range order {
 		if hot.load < threshold {
 			return false
@@ -42,7 +42,7 @@
 	var models []*planModel
 	for _, m := range hot.models {
 		c := m.copyOn(hot)
-		if c == nil || c.share < p.settings.Gain*hot.load || !p.canAddCopy(m) {
+		if c == nil || c.share < p.settings.MinGain*hot.load || !p.canAddCopy(m) {
 			continue
 		}
 		models = append(models, m)
@@ -74,16 +74,16 @@
 	limit := min(p.missingCopies(m)/missingPerMove, len(p.plan.servers)/serversPerMove)
 	if limit <= 1 {
 		moves, ok := p.recentMoves[m.weight.Name]
-		return !p.hasSwap(m) && (!ok || p.now.Sub(moves.since) >= p.settings.Calm)
+		return !p.hasSwap(m) && (!ok || p.now.Sub(moves.since) >= p.settings.MoveCooldown)
 	}
 	moves := p.recentMoves[m.weight.Name]
-	return moves.count < limit || p.now.Sub(moves.since) >= p.settings.Calm
+	return moves.count < limit || p.now.Sub(moves.since) >= p.settings.MoveCooldown
 }
 
 // missingCopies returns how many copies a model lacks for the load of each to stay at the fleet's
 // mean or RebalanceThreshold, whichever is higher. Swaps in progress count as copies.
 func (p *Planner) missingCopies(m *planModel) int {
-	target := max(p.settings.Busy*p.settings.ServerWork, p.plan.meanLoad())
+	target := max(p.settings.RebalanceThreshold*p.settings.ServerCapacity, p.plan.meanLoad())
 	if target <= 0 {
 		return 0
 	}
@@ -98,7 +98,7 @@
 
 func (p *Planner) recordMove(m *planModel) {
 	moves := p.recentMoves[m.weight.Name]
-	if p.now.Sub(moves.since) >= p.settings.Calm {
+	if p.now.Sub(moves.since) >= p.settings.MoveCooldown {
 		moves = moveCount{since: p.now}
 	}
 	moves.count++
@@ -115,18 +115,18 @@
 func (p *Planner) replicateAmong(m *planModel, hot *planServer, order []*planServer, cached bool) bool {
 	for i := len(order) - 1; i >= 0; i-- {
 		s := order[i]
-		if s.AtHand[m.weight.Name] != cached || !p.canLoadOn(m, s) {
+		if s.CachedModels[m.weight.Name] != cached || !p.canLoadOn(m, s) {
 			continue
 		}
 		// the load that equalises the two servers, at most the model's whole share
 		taken := min(m.copyOn(hot).share, (hot.load-s.load)/2)
-		if taken < p.settings.Gain*hot.load {
+		if taken < p.settings.MinGain*hot.load {
 			return false
 		}
 		if !s.acceptsOrders() || s.swapping || m.copyOn(s) != nil {
 			continue
 		}
-		if s.Free >= m.missingMemory(s) {
+		if s.FreeMemory >= m.missingMemory(s) {
 			p.load(m, s, Relief)
 			return true
 		}
--- a/place/relief_test.go
+++ b/place/relief_test.go
@@ -19,12 +19,12 @@
 		w.Memory = 10
 		s := &f.servers[i%servers]
 		s.Copies = append(s.Copies, Copy{w, Ready})
-		s.Free -= w.Memory
+		s.FreeMemory -= w.Memory
 	}
 	for i := range f.servers {
-		f.servers[i].AtHand = map[galenastair.ModelName]bool{}
+		f.servers[i].CachedModels = map[galenastair.ModelName]bool{}
 		for _, w := range f.catalogue {
-			f.servers[i].AtHand[w.Name] = true
+			f.servers[i].CachedModels[w.Name] = true
 		}
 	}
 	f.work["m0"] = 2000
@@ -32,7 +32,7 @@
 }
 
 var hotSettings = Settings{
-	LoadsPerSecond: 1, LoadsInFlight: 2, ServerWork: 1000, Busy: 0.3, Gain: 0.1, AskedWork: 1, DropUnasked: 1.2, ReliefsARound: 3,
+	LoadsPerSecond: 1, LoadsInFlight: 2, ServerCapacity: 1000, RebalanceThreshold: 0.3, MinGain: 0.1, MinDemand: 1, IdleEvictionThreshold: 1.2, MovesPerRound: 3,
 }
 
 func evictsOnlyCopy(f *fleet) bool {
@@ -52,10 +52,10 @@
 	f := hotFleet(6, 12, 28)
 	second := newFleet(2, 0, 0, 28)
 	for i, s := range second.servers {
-		s.ID, s.AtHand = galenastair.BackendServerID(fmt.Sprint("second", i)), f.servers[len(f.servers)-1].AtHand
+		s.ID, s.CachedModels = galenastair.BackendServerID(fmt.Sprint("second", i)), f.servers[len(f.servers)-1].CachedModels
 		for _, w := range f.catalogue[1:3] {
 			s.Copies = append(s.Copies, Copy{w, Ready})
-			s.Free -= w.Memory
+			s.FreeMemory -= w.Memory
 		}
 		f.servers = append([]Server{s}, f.servers...)
 	}
@@ -86,11 +86,11 @@
 	f := newFleet(6, 6, 0, 30)
 	for i, w := range f.catalogue {
 		f.servers[i].Copies = append(f.servers[i].Copies, Copy{w, Ready})
-		f.servers[i].Free -= w.Memory
+		f.servers[i].FreeMemory -= w.Memory
 		f.work[w.Name] = 800 + 100*float64(i)
 	}
 	settings := hotSettings
-	settings.Uneven = 2
+	settings.ImbalanceThreshold = 2
 	p := NewPlanner(settings)
 	for range 20 {
 		f.runRound(p, time.Second)
@@ -105,7 +105,7 @@
 	f := hotFleet(120, 120, 30)
 	f.work["m0"] = 20_000
 	settings := hotSettings
-	settings.LoadsPerSecond, settings.LoadsInFlight, settings.Calm = 30, 60, 1200*time.Millisecond
+	settings.LoadsPerSecond, settings.LoadsInFlight, settings.MoveCooldown = 30, 60, 1200*time.Millisecond
 	p := NewPlanner(settings)
 	for range 10 {
 		f.runRound(p, time.Second)
--- a/place/round.go
+++ b/place/round.go
@@ -19,7 +19,7 @@
 	now := l.clock.Now()
 	if now.Sub(l.forecastAt) >= forecastInterval {
 		l.forecastAt = now
-		l.forecast.Step(now)
+		l.forecast.EndPeriod(now)
 	}
 	fence, leads := l.leadership(now)
 	if !leads {
@@ -147,7 +147,7 @@
 }
 
 func (l *Leader) plannerInput(now time.Time) Input {
-	in := Input{Now: now, Catalogue: l.catalogue, Work: l.forecast.Work}
+	in := Input{Now: now, Catalogue: l.catalogue, Work: l.forecast.Predict}
 	for _, id := range l.reportingServers() {
 		in.Servers = append(in.Servers, l.plannerServer(now, id))
 	}
@@ -178,7 +178,7 @@
 		ID:               id,
 		AvailabilityZone: l.servers[id].AvailabilityZone,
 		Leaving:          l.servers[id].Leaving,
-		Slow:             slices.Contains(l.unhealthyServers, id),
+		Unhealthy:        slices.Contains(l.unhealthyServers, id),
 		Unschedulable:    !l.canSendOrder(now, id),
 		SchedulableSoon:  l.awaitingFence(now, id),
 	}
@@ -193,9 +193,9 @@
 	for _, s := range l.plannedSteps[id] {
 		v.applyOrder(s.Kind, s.Weight)
 	}
-	out.Free = r.MemoryTotal
+	out.FreeMemory = r.MemoryTotal
 	for _, m := range v.memory {
-		out.Free -= m
+		out.FreeMemory -= m
 	}
 	for _, c := range v.copies {
 		out.Copies = append(out.Copies, *c)
@@ -211,9 +211,9 @@
 	case galenastair.Ready:
 		return Ready
 	case galenastair.Unloading:
-		return Going
+		return Unloading
 	}
-	return Coming
+	return Loading
 }
 
 type weightKey struct {
@@ -242,9 +242,9 @@
 	c := v.copies[key(w)]
 	switch {
 	case k == galenastair.LoadModel && c == nil:
-		v.add(w, Coming)
+		v.add(w, Loading)
 	case k == galenastair.UnloadModel && c != nil:
-		c.State = Going
+		c.State = Unloading
 	}
 }
 
--- a/place/successor_test.go
+++ b/place/successor_test.go
@@ -86,9 +86,9 @@
 	weight := galenastair.Weight{Name: "m", Memory: 10}
 	engines := &fakeEngines{loaded: map[string][]galenastair.LoadedWeight{}}
 	log := &loopbackLog{recordLeader: ledger.Leader{ID: "entry-2", Fence: 9}, loop: control.NewLoop()}
-	l := NewLeader("entry-2", "r", Ports{
+	l := NewLeader("entry-2", "r", Dependencies{
 		Engine: engines, Log: log, Store: fakeStore{[]galenastair.Weight{weight}}, Loop: log.loop,
-		Duty: func(time.Time) (galenastair.Fence, bool) { return 9, true },
+		Leadership: func(time.Time) (galenastair.Fence, bool) { return 9, true },
 	})
 	log.leader = l
 	for _, rec := range settledOrder(t, weight, 5, "entry-1") {
@@ -98,7 +98,7 @@
 	ended := make(chan error, 2)
 	go func() { ended <- log.loop.Run(ctx) }()
 	is.NoErr(l.SetServers(ctx, []route.Server{{ID: "e1", Address: "e1"}}))
-	is.NoErr(l.Report(ctx, galenastair.EngineReport{BackendServer: "e1", MemoryTotal: 100}))
+	is.NoErr(l.ApplyReport(ctx, galenastair.EngineReport{BackendServer: "e1", MemoryTotal: 100}))
 	go func() { ended <- l.Run(ctx) }()
 	for start := time.Now(); engines.ordered() == 0; time.Sleep(10 * time.Millisecond) {
 		is.True(time.Since(start) < loadTimeout/2) // the lost model is ordered again
@@ -115,9 +115,9 @@
 	weight := galenastair.Weight{Name: "m", Memory: 10}
 	engines := &fakeEngines{loaded: map[string][]galenastair.LoadedWeight{}}
 	log := &loopbackLog{recordLeader: ledger.Leader{ID: "entry-2", Fence: 9}, loop: control.NewLoop()}
-	l := NewLeader("entry-2", "r", Ports{
+	l := NewLeader("entry-2", "r", Dependencies{
 		Engine: engines, Log: log, Store: fakeStore{[]galenastair.Weight{weight}}, Loop: log.loop,
-		Duty: func(time.Time) (galenastair.Fence, bool) { return 9, true },
+		Leadership: func(time.Time) (galenastair.Fence, bool) { return 9, true },
 	})
 	log.leader = l
 	issued := settledOrder(t, weight, 5, "entry-1")[0]
@@ -126,7 +126,7 @@
 	ended := make(chan error, 2)
 	go func() { ended <- log.loop.Run(ctx) }()
 	is.NoErr(l.SetServers(ctx, []route.Server{{ID: "e1", Address: "e1"}}))
-	is.NoErr(l.Report(ctx, galenastair.EngineReport{BackendServer: "e1", MemoryTotal: 100}))
+	is.NoErr(l.ApplyReport(ctx, galenastair.EngineReport{BackendServer: "e1", MemoryTotal: 100}))
 	go func() { ended <- l.Run(ctx) }()
 	for start := time.Now(); engines.ordered() == 0; time.Sleep(10 * time.Millisecond) {
 		is.True(time.Since(start) < loadTimeout/2)
--- a/place/swap.go
+++ b/place/swap.go
@@ -68,7 +68,7 @@
 	slices.SortStableFunc(candidates, func(x, y *planModel) int {
 		return cmp.Compare(x.copyOn(s).share, y.copyOn(s).share)
 	})
-	free, lost := s.Free, 0.0
+	free, lost := s.FreeMemory, 0.0
 	var victims []*planModel
 	for _, other := range candidates {
 		if free >= m.missingMemory(s) {
@@ -93,7 +93,7 @@
 	if c == nil || c.state != Ready || !m.readyElsewhere(s) && !p.canEvictOnlyCopy(m, why) {
 		return false
 	}
-	if why != Unreachable && p.now.Sub(p.addedAt[copyKey{s.ID, m.weight.Name}]) < p.settings.Stay {
+	if why != Unreachable && p.now.Sub(p.addedAt[copyKey{s.ID, m.weight.Name}]) < p.settings.MinCopyLifetime {
 		return false
 	}
 	for _, a := range m.adapters {
@@ -108,11 +108,11 @@
 // IdleEvictionThreshold is set, and the model is not in demand and is cached on a backend server
 // in service. To relieve a busy backend server, evictIdle must hold as well.
 func (p *Planner) canEvictOnlyCopy(m *planModel, why Reason) bool {
-	if p.settings.DropUnasked == 0 || p.inDemand(m) || why == Relief && !p.evictIdle {
+	if p.settings.IdleEvictionThreshold == 0 || p.inDemand(m) || why == Relief && !p.evictIdle {
 		return false
 	}
 	for _, s := range p.plan.servers {
-		if s.inService() && s.AtHand[m.weight.Name] {
+		if s.inService() && s.CachedModels[m.weight.Name] {
 			return true
 		}
 	}
@@ -173,7 +173,7 @@
 		}
 		remaining = true
 		c := v.copyOn(s)
-		if c.state == Going || v.base == nil && anyCopyOn(v.adapters, s) {
+		if c.state == Unloading || v.base == nil && anyCopyOn(v.adapters, s) {
 			continue
 		}
 		if !v.readyElsewhere(s) && !p.canEvictOnlyCopy(v, sw.reason) {
@@ -182,7 +182,7 @@
 		}
 		p.unload(v, c, MakeRoom)
 	}
-	if !remaining && s.Free >= m.weight.Memory && p.canLoadOn(m, s) {
+	if !remaining && s.FreeMemory >= m.weight.Memory && p.canLoadOn(m, s) {
 		p.load(m, s, sw.reason)
 		delete(p.swaps, s.ID)
 	}
--- a/place/swap_test.go
+++ b/place/swap_test.go
@@ -17,11 +17,11 @@
 	for i := range f.servers {
 		for _, w := range f.catalogue[:2] {
 			f.servers[i].Copies = append(f.servers[i].Copies, Copy{w, Ready})
-			f.servers[i].Free -= w.Memory
+			f.servers[i].FreeMemory -= w.Memory
 		}
 	}
 	f.work["m2"] = 100
-	p := NewPlanner(Settings{LoadsPerSecond: 1, LoadsInFlight: 2, ServerWork: 1000})
+	p := NewPlanner(Settings{LoadsPerSecond: 1, LoadsInFlight: 2, ServerCapacity: 1000})
 	f.runRound(p, time.Second)
 	is.Equal(f.steps[0].Kind, galenastair.UnloadModel)
 	crashed := f.steps[0].Server
@@ -46,12 +46,12 @@
 	for i := range f.servers[:2] {
 		for _, w := range f.catalogue[:2] {
 			f.servers[i].Copies = append(f.servers[i].Copies, Copy{w, Ready})
-			f.servers[i].Free -= w.Memory
+			f.servers[i].FreeMemory -= w.Memory
 		}
 	}
 	f.servers[2].Unschedulable, f.servers[2].SchedulableSoon = true, true
 	f.work["m2"] = 100
-	p := NewPlanner(Settings{LoadsPerSecond: 1, LoadsInFlight: 2, ServerWork: 1000})
+	p := NewPlanner(Settings{LoadsPerSecond: 1, LoadsInFlight: 2, ServerCapacity: 1000})
 	f.runRound(p, time.Second)
 	is.Equal(len(f.steps), 0)
 	f.servers[2].SchedulableSoon = false // the fence was not confirmed in time
--- a/place/wait.go
+++ b/place/wait.go
@@ -35,7 +35,7 @@
 
 func (p *Planner) waitFor(m *planModel) modelWait {
 	for _, c := range m.copies {
-		if c.state == Coming {
+		if c.state == Loading {
 			return modelWait{waitsForLoad, c.server.ID}
 		}
 	}
--- a/planner/adapters.go
+++ b/planner/adapters.go
@@ -62,7 +62,7 @@
 // all slots are used: the least recently used one, unless it is the last copy of an adapter in
 // demand.
 func (s *service) adapterSlot(now time.Time, e *engine) (galenastair.ModelName, bool) {
-	if len(e.adapters) < s.modelSet.engine.AdapterPlaces {
+	if len(e.adapters) < s.modelSet.engine.AdapterSlots {
 		return "", true
 	}
 	var victim galenastair.ModelName
@@ -71,7 +71,7 @@
 		if c.state != place.Ready || now.Sub(c.lastUsed) < adapterIdleTime {
 			continue
 		}
-		if s.forecast.Work(name) > 0 && s.adapterCopies(name) < 2 && now.Sub(c.lastUsed) < 2*adapterIdleTime {
+		if s.forecast.Predict(name) > 0 && s.adapterCopies(name) < 2 && now.Sub(c.lastUsed) < 2*adapterIdleTime {
 			continue
 		}
 		if victim == "" || c.lastUsed.Before(oldest) {
@@ -117,7 +117,7 @@
 // others with the same model are idle.
 func (s *service) replicateAdapters(now time.Time) {
 	for _, m := range s.modelSet.models {
-		if m.Adapters == 0 {
+		if m.AdapterCount == 0 {
 			continue
 		}
 		copies := s.modelCopies(m.Name)
@@ -164,7 +164,7 @@
 
 func (s *service) hasFreeSlot(m, name galenastair.ModelName) bool {
 	for _, e := range s.index.ready[m] {
-		if e.adapters[name] == nil && len(e.adapters) < s.modelSet.engine.AdapterPlaces && len(e.queue) < maxAdapterQueue {
+		if e.adapters[name] == nil && len(e.adapters) < s.modelSet.engine.AdapterSlots && len(e.queue) < maxAdapterQueue {
 			return true
 		}
 	}
--- a/planner/bed_test.go
+++ b/planner/bed_test.go
@@ -30,10 +30,10 @@
 	fence galenastair.Fence
 }
 
-func (l *fakeLease) Order() (galenastair.Fence, bool) { return l.fence, l.holds }
-func (l *fakeLease) Holds() bool                      { return l.holds }
-func (l *fakeLease) Hosts() bool                      { return l.holds }
-func (l *fakeLease) Refused(galenastair.Fence)        { l.holds = false }
+func (l *fakeLease) OrderFence() (galenastair.Fence, bool) { return l.fence, l.holds }
+func (l *fakeLease) Holds() bool                           { return l.holds }
+func (l *fakeLease) ServesPeers() bool                     { return l.holds }
+func (l *fakeLease) FenceRejected(galenastair.Fence)       { l.holds = false }
 
 // errLost is returned for an order without an answer.
 var errLost = errors.New("no answer")
@@ -115,7 +115,7 @@
 
 func (e *fakeEngine) registration() pool.Server {
 	e.beat++
-	return pool.Server{ID: e.id, Service: "writer", Address: string(e.id), Slots: 64, Born: e.born, Beat: e.beat, Models: e.listModels()}
+	return pool.Server{ID: e.id, Service: "writer", Address: string(e.id), Slots: 64, Incarnation: e.born, Heartbeat: e.beat, Models: e.listModels()}
 }
 
 // fakeFleet simulates engines whose answers are lost, whose unanswered orders take effect late and
@@ -190,7 +190,7 @@
 	c := &fakeClock{now: time.Unix(1000, 0)}
 	f := &fakeFleet{clock: c, rng: rand.New(rand.NewPCG(seed, 7)), fakes: map[string]*fakeEngine{}}
 	h := &harness{t: t, fleet: f, lease: &fakeLease{holds: true, fence: 1}, loop: control.NewLoop()}
-	h.planner = New("me", quota.Terms{Window: time.Second}, f, h.lease, h.loop, WithClock(c))
+	h.planner = New("me", quota.Tolerance{Window: time.Second}, f, h.lease, h.loop, WithClock(c))
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- h.loop.Run(ctx) }()
@@ -201,11 +201,11 @@
 	var models []catalog.Model
 	for i := range engines*maxModels - 2 {
 		models = append(models, catalog.Model{Name: galenastair.ModelName(fmt.Sprintf("m%d", i)), Memory: 70 * gigabyte,
-			Load: time.Second, Adapters: i % 4, AdapterMemory: gigabyte / 20})
+			LoadTime: time.Second, AdapterCount: i % 4, AdapterMemory: gigabyte / 20})
 	}
 	is := is.New(t)
 	is.NoErr(h.planner.SetCatalog(t.Context(), catalog.New(1, catalog.Limits{}, nil, []*catalog.Service{{Name: "writer", Engine: &catalog.Engine{
-		Slots: 64, Memory: 230 * gigabyte, AdapterPlaces: maxAdapters, LoadsPerSecond: 3, Models: models,
+		Slots: 64, Memory: 230 * gigabyte, AdapterSlots: maxAdapters, LoadsPerSecond: 3, Models: models,
 	}}}, nil)))
 	for i := range engines {
 		id := fmt.Sprintf("e%d", i)
@@ -269,7 +269,7 @@
 
 func (h *harness) reportDemand(demands map[galenastair.ModelName]time.Duration) {
 	h.t.Helper()
-	if _, err := h.planner.Exchange(h.t.Context(), Report{Instance: "i", Demands: demands}); err != nil && !errors.Is(err, ErrNotPlanner) {
+	if _, err := h.planner.Exchange(h.t.Context(), Report{Instance: "i", Demands: demands}); err != nil && !errors.Is(err, ErrNotLeader) {
 		h.t.Fatal(err)
 	}
 }
--- a/planner/contents.go
+++ b/planner/contents.go
@@ -24,11 +24,11 @@
 	for i := range s.Engine.Models {
 		m := &s.Engine.Models[i]
 		ms.models[m.Name] = m
-		for n := 1; n <= m.Adapters; n++ {
+		for n := 1; n <= m.AdapterCount; n++ {
 			ms.adapters[m.Name] = append(ms.adapters[m.Name], adapterName(m.Name, "a"+strconv.Itoa(n)))
 		}
 		ms.weights = append(ms.weights, galenastair.Weight{Name: m.Name, Memory: m.Memory})
-		if m.Adapters > 0 {
+		if m.AdapterCount > 0 {
 			ms.largestAdapter = max(ms.largestAdapter, m.AdapterMemory)
 		}
 	}
@@ -55,5 +55,5 @@
 	}
 	// adapters are named a1, a2 and so on, up to their count
 	n, err := strconv.Atoi(adapter[1:])
-	return adapter[0] == 'a' && err == nil && n >= 1 && n <= model.Adapters
+	return adapter[0] == 'a' && err == nil && n >= 1 && n <= model.AdapterCount
 }
--- a/planner/engine.go
+++ b/planner/engine.go
@@ -109,7 +109,7 @@
 // list are not removed; the engine's state is queried instead. A registration that was written
 // before an order but read after its effect would otherwise free the same memory twice.
 func (e *engine) applyRegistration(now time.Time, s pool.Server) {
-	if s.Beat < e.server.Beat {
+	if s.Heartbeat < e.server.Heartbeat {
 		return
 	}
 	e.server = s
@@ -154,13 +154,13 @@
 		overdue := now.Sub(c.stateSince) > late
 		switch {
 		case now.Before(c.inUseUntil):
-		case listed[name] && c.state == place.Going:
+		case listed[name] && c.state == place.Unloading:
 			if overdue && now.Sub(c.stateSince) > confirmTimeout {
 				c.state = place.Ready
 			}
 		case listed[name]:
 			c.state = place.Ready
-		case c.state == place.Going && c.accepted || overdue && drop:
+		case c.state == place.Unloading && c.accepted || overdue && drop:
 			delete(copies, name)
 		default:
 			missing = missing || overdue
@@ -185,7 +185,7 @@
 		return true
 	}
 	if q.adapter != "" {
-		return len(e.adapters) <= models.engine.AdapterPlaces && e.ready(q.model)
+		return len(e.adapters) <= models.engine.AdapterSlots && e.ready(q.model)
 	}
 	return e.freeMemory(models) >= 0
 }
@@ -196,7 +196,7 @@
 	var names []string
 	for _, copies := range []map[galenastair.ModelName]*modelCopy{e.models, e.adapters} {
 		for name, c := range copies {
-			mark := map[place.CopyState]string{place.Coming: "+", place.Going: "-"}[c.state]
+			mark := map[place.CopyState]string{place.Loading: "+", place.Unloading: "-"}[c.state]
 			names = append(names, mark+string(name))
 		}
 	}
@@ -238,9 +238,9 @@
 func (e *engine) reserve(now time.Time, q queuedOrder) {
 	copies := e.copiesOf(q)
 	if q.kind == galenastair.LoadModel {
-		copies[q.name()] = &modelCopy{state: place.Coming, stateSince: now, lastUsed: now}
+		copies[q.name()] = &modelCopy{state: place.Loading, stateSince: now, lastUsed: now}
 	} else if c := copies[q.name()]; c != nil {
-		c.state, c.stateSince, c.accepted = place.Going, now, false
+		c.state, c.stateSince, c.accepted = place.Unloading, now, false
 	}
 }
 
@@ -305,9 +305,9 @@
 	if c == nil {
 		return
 	}
-	if q.kind == galenastair.LoadModel && c.state == place.Coming {
+	if q.kind == galenastair.LoadModel && c.state == place.Loading {
 		delete(copies, q.name())
-	} else if c.state == place.Going {
+	} else if c.state == place.Unloading {
 		c.state = place.Ready
 	}
 }
@@ -319,7 +319,7 @@
 		free -= models.memory(name)
 	}
 	// all adapter slots count as used, so that adapters never wait for memory
-	return free - galenastair.Bytes(models.engine.AdapterPlaces)*models.largestAdapter
+	return free - galenastair.Bytes(models.engine.AdapterSlots)*models.largestAdapter
 }
 
 // ready reports whether a model is ready on an engine that is not leaving.
--- a/planner/engine_test.go
+++ b/planner/engine_test.go
@@ -20,19 +20,19 @@
 	return newModelSet(&catalog.Service{Name: "writer", Engine: &catalog.Engine{
 		Slots:          64,
 		Memory:         230 * gigabyte,
-		AdapterPlaces:  2,
+		AdapterSlots:   2,
 		LoadsPerSecond: 1,
 		Models: []catalog.Model{
-			{Name: "m1", Memory: 72 * gigabyte, Load: 2 * time.Second, Adapters: 5, AdapterMemory: gigabyte / 20},
-			{Name: "m2", Memory: 72 * gigabyte, Load: 2 * time.Second},
-			{Name: "m3", Memory: 72 * gigabyte, Load: 2 * time.Second},
-			{Name: "m4", Memory: 72 * gigabyte, Load: 2 * time.Second},
+			{Name: "m1", Memory: 72 * gigabyte, LoadTime: 2 * time.Second, AdapterCount: 5, AdapterMemory: gigabyte / 20},
+			{Name: "m2", Memory: 72 * gigabyte, LoadTime: 2 * time.Second},
+			{Name: "m3", Memory: 72 * gigabyte, LoadTime: 2 * time.Second},
+			{Name: "m4", Memory: 72 * gigabyte, LoadTime: 2 * time.Second},
 		},
 	}})
 }
 
 func testEngine(models ...galenastair.EngineModel) *engine {
-	return newEngine(pool.Server{ID: "e1", Service: "writer", Born: 1, Beat: 1, Models: models})
+	return newEngine(pool.Server{ID: "e1", Service: "writer", Incarnation: 1, Heartbeat: 1, Models: models})
 }
 
 // A model's load is queued, and the engine's state is queried before it is sent. The state does
@@ -44,7 +44,7 @@
 	e := testEngine(galenastair.EngineModel{Name: "m1"}, galenastair.EngineModel{Name: "m2"})
 	e.enqueue(now, queuedOrder{kind: galenastair.LoadModel, model: "m3"})
 	e.applyState(now, galenastair.EngineState{Sequence: 7, Models: []galenastair.EngineModel{{Name: "m1"}, {Name: "m2"}}})
-	is.Equal(e.models["m3"].state, place.Coming)
+	is.Equal(e.models["m3"].state, place.Loading)
 	is.True(e.freeMemory(models) < 72*gigabyte)
 	e.enqueue(now, queuedOrder{kind: galenastair.LoadModel, model: "m4"})
 	is.True(!e.hasRoom(models, e.queue[1]))
@@ -82,11 +82,11 @@
 	e.accepted(now, load)
 	e.queue = nil
 	e.leading = true
-	late := pool.Server{ID: "e1", Service: "writer", Born: 1, Beat: 2, Models: []galenastair.EngineModel{{Name: "m1"}, {Name: "m2"}}}
+	late := pool.Server{ID: "e1", Service: "writer", Incarnation: 1, Heartbeat: 2, Models: []galenastair.EngineModel{{Name: "m1"}, {Name: "m2"}}}
 	e.applyRegistration(now.Add(time.Second), late)
 	is.True(e.freeMemory(models) < 72*gigabyte)
 	is.True(!e.stateUnknown)
-	late.Beat = 3
+	late.Heartbeat = 3
 	e.applyRegistration(now.Add(confirmTimeout+time.Second), late)
 	// the load has been missing for longer than any load takes, so the state is queried
 	is.True(e.stateUnknown)
@@ -104,11 +104,11 @@
 	three := []galenastair.EngineModel{{Name: "m1", Adapters: []string{"a1"}}, {Name: "m2"}, {Name: "m3"}}
 	e.applyState(now, galenastair.EngineState{Sequence: 3, Models: three})
 	e.stateUnknown = false
-	old := pool.Server{ID: "e1", Service: "writer", Born: 1, Beat: 2, Models: []galenastair.EngineModel{{Name: "m1"}, {Name: "m2"}}}
+	old := pool.Server{ID: "e1", Service: "writer", Incarnation: 1, Heartbeat: 2, Models: []galenastair.EngineModel{{Name: "m1"}, {Name: "m2"}}}
 	e.applyRegistration(now.Add(maxRegistrationDelay/2), old)
 	is.True(e.freeMemory(models) < 72*gigabyte)
 	is.Equal(len(e.adapters), 1)
-	old.Beat = 3
+	old.Heartbeat = 3
 	e.applyRegistration(now.Add(confirmTimeout+maxRegistrationDelay), old)
 	is.True(e.freeMemory(models) < 72*gigabyte)
 	is.True(e.stateUnknown)
@@ -120,9 +120,9 @@
 	is := is.New(t)
 	s := newService(&catalog.Service{Name: "writer", Engine: testModels().engine})
 	now := time.Now()
-	s.setEngine(now, pool.Server{ID: "e1", Born: 1, Beat: 9, Models: []galenastair.EngineModel{{Name: "m1"}}})
+	s.setEngine(now, pool.Server{ID: "e1", Incarnation: 1, Heartbeat: 9, Models: []galenastair.EngineModel{{Name: "m1"}}})
 	s.engines["e1"].sequence = 4
-	s.setEngine(now, pool.Server{ID: "e1", Born: 2, Beat: 1})
+	s.setEngine(now, pool.Server{ID: "e1", Incarnation: 2, Heartbeat: 1})
 	is.Equal(s.engines["e1"].sequence, int64(0))
 	is.Equal(len(s.engines["e1"].models), 0)
 }
--- a/planner/large_test.go
+++ b/planner/large_test.go
@@ -14,14 +14,14 @@
 // and 1,048 adapters.
 func BenchmarkRound(b *testing.B) {
 	const engines, models = 240, 524
-	e := &catalog.Engine{LoadsPerSecond: 34, AdapterPlaces: 8, Memory: 230}
+	e := &catalog.Engine{LoadsPerSecond: 34, AdapterSlots: 8, Memory: 230}
 	for i := range models {
-		e.Models = append(e.Models, catalog.Model{Name: galenastair.ModelName(fmt.Sprint("m", i)), Memory: 70, Load: 2 * time.Second, Adapters: 2, AdapterMemory: 1})
+		e.Models = append(e.Models, catalog.Model{Name: galenastair.ModelName(fmt.Sprint("m", i)), Memory: 70, LoadTime: 2 * time.Second, AdapterCount: 2, AdapterMemory: 1})
 	}
 	s := newService(&catalog.Service{Name: "writer", Engine: e})
 	now := time.Unix(1000, 0)
 	for i := range engines {
-		srv := pool.Server{ID: galenastair.BackendServerID(fmt.Sprint("e", i)), Service: "writer", Slots: 64, Born: 1, Beat: 1}
+		srv := pool.Server{ID: galenastair.BackendServerID(fmt.Sprint("e", i)), Service: "writer", Slots: 64, Incarnation: 1, Heartbeat: 1}
 		for p := range 3 {
 			srv.Models = append(srv.Models, galenastair.EngineModel{Name: e.Models[(3*i+p)%models].Name, Adapters: []string{"a1", "a2"}})
 		}
@@ -33,7 +33,7 @@
 			s.recordDemand(now, e.Models[i].Name, time.Duration(4000/(i+1))*time.Millisecond)
 			s.recordDemand(now, e.Models[i].Name+"/a1", time.Millisecond)
 		}
-		s.forecast.Step(now)
+		s.forecast.EndPeriod(now)
 		s.planRound(now)
 	}
 }
--- a/planner/limits.go
+++ b/planner/limits.go
@@ -53,9 +53,9 @@
 func (s *service) preferred(e *engine) bool { return !e.server.Leaving && !s.isRateLimited(e) }
 
 // Admit decides when a request may be sent to a rate-limited server.
-func (p *Planner) Admit(limit ratelimit.Limit, maxWait time.Duration) (ratelimit.Verdict, error) {
+func (p *Planner) Admit(limit ratelimit.Limit, maxWait time.Duration) (ratelimit.Decision, error) {
 	if !p.lease.Holds() {
-		return ratelimit.Verdict{}, ErrNotPlanner
+		return ratelimit.Decision{}, ErrNotLeader
 	}
 	return p.limiter.Admit(p.clock.Now(), limit, maxWait), nil
 }
--- a/planner/loads.go
+++ b/planner/loads.go
@@ -11,7 +11,7 @@
 func (l loads) add(more map[galenastair.BackendServerID]pool.Load) {
 	for id, m := range more {
 		sum := l[id]
-		l[id] = pool.Load{Flights: sum.Flights + m.Flights, Unread: sum.Unread + m.Unread}
+		l[id] = pool.Load{InFlight: sum.InFlight + m.InFlight, PendingTokens: sum.PendingTokens + m.PendingTokens}
 	}
 }
 
@@ -19,9 +19,9 @@
 func (l loads) subtract(less map[galenastair.BackendServerID]pool.Load) {
 	for id, m := range less {
 		sum := l[id]
-		sum.Flights -= m.Flights
-		sum.Unread -= m.Unread
-		if sum.Flights <= 0 {
+		sum.InFlight -= m.InFlight
+		sum.PendingTokens -= m.PendingTokens
+		if sum.InFlight <= 0 {
 			delete(l, id)
 			continue
 		}
--- a/planner/loads_test.go
+++ b/planner/loads_test.go
@@ -13,11 +13,11 @@
 func TestSubtractedLoadsLeaveNothing(t *testing.T) {
 	is := is.New(t)
 	sum := loads{}
-	one := map[galenastair.BackendServerID]pool.Load{"a": {Flights: 2, Unread: 300}, "b": {Flights: 1, Unread: 7}}
-	two := map[galenastair.BackendServerID]pool.Load{"a": {Flights: 1, Unread: 100}}
+	one := map[galenastair.BackendServerID]pool.Load{"a": {InFlight: 2, PendingTokens: 300}, "b": {InFlight: 1, PendingTokens: 7}}
+	two := map[galenastair.BackendServerID]pool.Load{"a": {InFlight: 1, PendingTokens: 100}}
 	sum.add(one)
 	sum.add(two)
-	is.Equal(sum.byKey()[pool.KeyOf("a")], pool.Load{Flights: 3, Unread: 400})
+	is.Equal(sum.byKey()[pool.KeyOf("a")], pool.Load{InFlight: 3, PendingTokens: 400})
 	sum.subtract(one)
 	is.Equal(sum["a"], two["a"])
 	sum.subtract(two)
--- a/planner/message.go
+++ b/planner/message.go
@@ -25,35 +25,35 @@
 	// Loads is the load of the instance's requests on each backend server.
 	Loads map[galenastair.BackendServerID]pool.Load
 	// Demands is the engine time requested of each model and adapter since the last report.
-	Demands map[galenastair.ModelName]time.Duration
-	Asks    []quota.Ask
+	Demands      map[galenastair.ModelName]time.Duration
+	LoanRequests []quota.LoanRequest
 	// QuotaContribution is what the instance leaves to the lender of its fraction of the quotas.
-	Passed quota.Passed
+	QuotaContribution quota.Contribution
 	// Positions are the offsets up to which it has read the topics of the store.
 	Positions map[galenastair.Topic]galenastair.Offset
 	// PoisonRequests are requests that crashed a backend server since the last report.
-	Poisons []claim.Digest
+	PoisonRequests []claim.Digest
 	// Down lists backend servers that have just refused a connection.
-	Absent []galenastair.BackendServerID
+	Down []galenastair.BackendServerID
 	// LastChange is the number of the newest placement change received from this planner.
-	Seen int64
+	LastChange int64
 	// Limits are the rate limits that backend servers advertised in answers to this instance.
 	Limits []ratelimit.Limit
 }
 
 // Update is the planner's reply to a Report.
-type News struct {
+type Update struct {
 	// LeaseExpired is set if the answering instance may no longer hold the lease. It still lends
 	// quota and passes on what others report.
-	Lapsed bool
+	LeaseExpired bool
 	// Renewal is the latest renewal of the answering instance's lease.
 	Renewal lease.Renewal
 	// QuotaAllocation is the fleet size and the instance's fraction of the quotas, as the lender
 	// counts them.
-	Standing quota.Standing
+	QuotaAllocation quota.Allocation
 	// Loads is the load of all other instances' requests on each backend server.
 	Loads map[pool.ServerKey]pool.Load
-	Loans []quota.Ask
+	Loans []quota.LoanRequest
 	// TableVersion is the version of the owner table in force. Table is set if the instance uses
 	// another version. Grants are the shards that the instance owns.
 	TableVersion int64
@@ -61,11 +61,11 @@
 	Grants       []account.Grant
 	// Added lists models and adapters that have recently been loaded. Removed lists those that
 	// have been unloaded or are about to be.
-	Placed  []Placement
-	Dropped []Placement
+	Added   []Placement
+	Removed []Placement
 	// LastChange is the number of the newest of these changes.
-	Newest  int64
-	Poisons []claim.Digest
+	LastChange     int64
+	PoisonRequests []claim.Digest
 	// Tails are the records of the store's topics that the planner has read beyond the instance's
 	// positions.
 	Tails []Tail
@@ -99,9 +99,9 @@
 }
 
 // Availability says where and when a model or adapter will be ready.
-type Promise struct {
+type Availability struct {
 	Server galenastair.BackendServerID
 	// ReadyIn is the time until then. If Server is empty, it is not known where a copy will be,
 	// and ReadyIn is the time after which to ask again, or 0 if that is not known either.
-	Ready time.Duration
+	ReadyIn time.Duration
 }
--- a/planner/need.go
+++ b/planner/need.go
@@ -11,18 +11,18 @@
 // EnsureLoaded returns where a model or adapter that a request waits for will be available. For an
 // adapter, it waits until the engine has accepted the load; for a model, it estimates when the
 // load will be done. Copies that are ready are returned even while the lease cannot be renewed.
-func (p *Planner) Need(ctx context.Context, name galenastair.ModelName) (Promise, error) {
-	var where Promise
+func (p *Planner) EnsureLoaded(ctx context.Context, name galenastair.ModelName) (Availability, error) {
+	var where Availability
 	var wait <-chan bool
-	err := ErrNotPlanner
+	err := ErrNotLeader
 	doErr := p.loop.Do(ctx, func() {
-		if p.lease.Hosts() {
+		if p.lease.ServesPeers() {
 			where, wait = p.locate(name)
 			err = nil
 		}
 	})
 	if doErr != nil {
-		return Promise{}, doErr
+		return Availability{}, doErr
 	}
 	if err != nil || wait == nil {
 		return where, err
@@ -30,15 +30,15 @@
 	select {
 	case taken := <-wait:
 		if !taken {
-			return Promise{}, nil
+			return Availability{}, nil
 		}
 		return where, nil
 	case <-ctx.Done():
-		return Promise{}, ctx.Err()
+		return Availability{}, ctx.Err()
 	}
 }
 
-func (p *Planner) locate(name galenastair.ModelName) (Promise, <-chan bool) {
+func (p *Planner) locate(name galenastair.ModelName) (Availability, <-chan bool) {
 	now := p.clock.Now()
 	model, adapter := splitName(name)
 	for _, s := range p.services {
@@ -54,11 +54,11 @@
 		}
 		return p.awaitAdapter(now, s, name)
 	}
-	return Promise{}, nil
+	return Availability{}, nil
 }
 
 // readyCopy returns the least loaded engine that holds a model or adapter.
-func (s *service) readyCopy(now time.Time, name galenastair.ModelName, adapter bool) (Promise, bool) {
+func (s *service) readyCopy(now time.Time, name galenastair.ModelName, adapter bool) (Availability, bool) {
 	var best *engine
 	for _, e := range s.engines {
 		copies := e.models
@@ -74,27 +74,27 @@
 		}
 	}
 	if best == nil {
-		return Promise{}, false
+		return Availability{}, false
 	}
 	ready := time.Duration(0)
 	if c := best.adapters[name]; c != nil {
 		ready = max(0, c.stateSince.Add(adapterLoadTime).Sub(now))
 	}
-	return Promise{Server: best.server.ID, Ready: ready}, true
+	return Availability{Server: best.server.ID, ReadyIn: ready}, true
 }
 
 // predictModelLoad estimates when a model that is being loaded, or may be loaded, will be ready. A
 // caller that is told to retry sooner is refused again and gives up.
-func (s *service) predictModelLoad(now time.Time, m galenastair.ModelName) Promise {
+func (s *service) predictModelLoad(now time.Time, m galenastair.ModelName) Availability {
 	for _, e := range s.engines {
 		c := e.models[m]
-		if c == nil || c.state != place.Coming || e.server.Leaving {
+		if c == nil || c.state != place.Loading || e.server.Leaving {
 			continue
 		}
-		left := c.stateSince.Add(s.modelSet.models[m].Load).Sub(now)
-		return Promise{Server: e.server.ID, Ready: max(0, left)}
+		left := c.stateSince.Add(s.modelSet.models[m].LoadTime).Sub(now)
+		return Availability{Server: e.server.ID, ReadyIn: max(0, left)}
 	}
-	return Promise{Ready: evictionTime + s.modelSet.models[m].Load}
+	return Availability{ReadyIn: evictionTime + s.modelSet.models[m].LoadTime}
 }
 
 // evictionTime is how long it typically takes before a model without a copy can be loaded: a
@@ -104,12 +104,12 @@
 // awaitAdapter returns where an adapter will be, and a channel that receives the outcome of its
 // load: one that is already queued, or else a new one. An engine whose last order got no answer is
 // used only if there is no other, since it takes no order until its state is known.
-func (p *Planner) awaitAdapter(now time.Time, s *service, name galenastair.ModelName) (Promise, <-chan bool) {
+func (p *Planner) awaitAdapter(now time.Time, s *service, name galenastair.ModelName) (Availability, <-chan bool) {
 	stateUnknown, pending := p.findPendingLoad(s, name)
 	if pending != nil && !stateUnknown {
 		return pending.availability()
 	}
-	if _, ok := p.lease.Order(); !ok {
+	if _, ok := p.lease.OrderFence(); !ok {
 		return pending.availability()
 	}
 	e, done := s.loadAdapter(now, name, place.Unreachable)
@@ -127,11 +127,11 @@
 }
 
 // availability returns where and when the load will be ready, or nothing for a nil load.
-func (l *pendingLoad) availability() (Promise, <-chan bool) {
+func (l *pendingLoad) availability() (Availability, <-chan bool) {
 	if l == nil {
-		return Promise{}, nil
+		return Availability{}, nil
 	}
-	return Promise{Server: l.engine.server.ID, Ready: adapterLoadTime}, l.done.add()
+	return Availability{Server: l.engine.server.ID, ReadyIn: adapterLoadTime}, l.done.add()
 }
 
 // findPendingLoad returns a load of an adapter that is queued or in flight, preferably on an
--- a/planner/news.go
+++ b/planner/news.go
@@ -45,7 +45,7 @@
 	for _, s := range p.services {
 		for id, e := range s.engines {
 			for name, c := range e.models {
-				if c.state == place.Going {
+				if c.state == place.Unloading {
 					p.publishUnload(now, Placement{id, name})
 				}
 			}
--- a/planner/note.go
+++ b/planner/note.go
@@ -8,21 +8,21 @@
 )
 
 // Checkpoint is what a leader stores on the platform for its successors.
-type Note struct {
-	quota.Note
+type Checkpoint struct {
+	quota.Checkpoint
 	// Table assigns the organisations' accounts to owners, if they have any.
 	account.Table
 }
 
 // Restore sets the checkpoint that a previous leader stored.
-func (p *Planner) SetNote(ctx context.Context, c Note) error {
+func (p *Planner) Restore(ctx context.Context, c Checkpoint) error {
 	return p.loop.Post(ctx, func() { p.inherited = c })
 }
 
 // Checkpoint returns the checkpoint to store. It returns false if this instance does not lead or
 // has not counted the instances yet.
-func (p *Planner) Note(ctx context.Context) (Note, bool) {
-	var c Note
+func (p *Planner) Checkpoint(ctx context.Context) (Checkpoint, bool) {
+	var c Checkpoint
 	ok := false
 	err := p.loop.Do(ctx, func() {
 		switch {
@@ -30,21 +30,21 @@
 		case p.hasOwners:
 			c, ok = p.ownersCheckpoint()
 		default:
-			c.Note, ok = p.lender.Note(p.clock.Now())
+			c.Checkpoint, ok = p.lender.Checkpoint(p.clock.Now())
 		}
 	})
 	return c, ok && err == nil
 }
 
 // CheckpointStored records that the platform has stored a checkpoint of this term.
-func (p *Planner) Noted(ctx context.Context, c Note) error {
+func (p *Planner) CheckpointStored(ctx context.Context, c Checkpoint) error {
 	return p.loop.Post(ctx, func() {
 		switch {
 		case !p.leading:
 		case c.Version != 0:
 			p.ownersStored(c.Table)
 		default:
-			p.lender.Noted(c.Note)
+			p.lender.CheckpointStored(c.Checkpoint)
 		}
 	})
 }
--- a/planner/order.go
+++ b/planner/order.go
@@ -25,7 +25,7 @@
 		p.requestState(s, e)
 		return
 	}
-	fence, ok := p.lease.Order()
+	fence, ok := p.lease.OrderFence()
 	if !ok {
 		return
 	}
@@ -54,8 +54,8 @@
 // send sends one order. It checks the lease again immediately before the call, since the process
 // may have been suspended after the order was planned.
 func (p *Planner) send(s *service, e *engine, q queuedOrder, address string, o galenastair.EngineOrder, held string) {
-	answer, err := galenastair.OrderWrong, ErrNotPlanner
-	fence, ok := p.lease.Order()
+	answer, err := galenastair.OrderWrong, ErrNotLeader
+	fence, ok := p.lease.OrderFence()
 	sent := ok && fence == o.Fence
 	if sent {
 		answer, err = p.control.Order(p.ctx, address, o)
@@ -113,7 +113,7 @@
 		e.stateUnknown, e.retryAt = true, now.Add(busyRetryDelay)
 		return
 	case galenastair.OrderFenced:
-		p.lease.Refused(o.Fence)
+		p.lease.FenceRejected(o.Fence)
 		p.abandon(e, q)
 	default:
 		p.abandon(e, q)
--- a/planner/owners.go
+++ b/planner/owners.go
@@ -21,7 +21,7 @@
 // decideOwners assigns quotas to owners if the fleet is large when it is first counted. Fractions
 // that have been allocated remain valid until all instances restart.
 func (p *Planner) decideOwners(now time.Time) {
-	if p.ownersDecided || !p.lender.Counted(now) {
+	if p.ownersDecided || !p.lender.FleetCounted(now) {
 		return
 	}
 	p.hasOwners = p.lender.Fleet(now) > maxLendingFleet
@@ -29,13 +29,13 @@
 }
 
 // addOwners adds the owner table and the instance's grants to the update.
-func (p *Planner) addOwners(r Report, update *News) {
+func (p *Planner) addOwners(r Report, update *Update) {
 	now := p.bootClock()
-	p.assigner.Heard(now, r.Address, r.TableVersion, r.Stopping)
+	p.assigner.RecordReport(now, r.Address, r.TableVersion, r.Stopping)
 	if !p.hasOwners {
 		return
 	}
-	update.Standing.Part, update.Standing.Moderate = 0, nil
+	update.QuotaAllocation.Fraction, update.QuotaAllocation.LowUsage = 0, nil
 	table := p.assigner.Table()
 	update.TableVersion = table.Version
 	if r.TableVersion != table.Version {
@@ -45,10 +45,10 @@
 }
 
 // ownersCheckpoint returns the owner table to store, or false while no instance can own quotas.
-func (p *Planner) ownersCheckpoint() (Note, bool) {
-	table, ok := p.assigner.Next(p.bootClock())
-	return Note{Table: table}, ok
+func (p *Planner) ownersCheckpoint() (Checkpoint, bool) {
+	table, ok := p.assigner.NextTable(p.bootClock())
+	return Checkpoint{Table: table}, ok
 }
 
 // ownersStored records that the platform has stored a table.
-func (p *Planner) ownersStored(t account.Table) { p.assigner.Noted(p.bootClock(), t) }
+func (p *Planner) ownersStored(t account.Table) { p.assigner.TableStored(p.bootClock(), t) }
--- a/planner/owners_test.go
+++ b/planner/owners_test.go
@@ -16,14 +16,14 @@
 // they would grant the whole quota in addition to the parts.
 func TestSmallFleetThatGrowsKeepsParts(t *testing.T) {
 	is := is.New(t)
-	p := New("me", quota.Terms{Window: 8 * time.Second}, nil, nil, control.NewLoop())
+	p := New("me", quota.Tolerance{Window: 8 * time.Second}, nil, nil, control.NewLoop())
 	now := time.Unix(1000, 0)
-	p.lender.Reset(now, quota.Note{})
+	p.lender.Reset(now, quota.Checkpoint{})
 	p.resetOwners()
 	report := func(from, to int) {
 		for i := from; i < to; i++ {
 			p.decideOwners(now)
-			p.lender.Heard(now, galenastair.InstanceID(fmt.Sprint("i", i)), quota.Passed{})
+			p.lender.Contribute(now, galenastair.InstanceID(fmt.Sprint("i", i)), quota.Contribution{})
 		}
 	}
 	for range 40 {
@@ -42,16 +42,16 @@
 // small for any request.
 func TestLargeFleetHasOwners(t *testing.T) {
 	is := is.New(t)
-	p := New("me", quota.Terms{Window: 8 * time.Second}, nil, nil, control.NewLoop())
+	p := New("me", quota.Tolerance{Window: 8 * time.Second}, nil, nil, control.NewLoop())
 	now := time.Unix(1000, 0)
-	p.lender.Reset(now, quota.Note{})
+	p.lender.Reset(now, quota.Checkpoint{})
 	p.resetOwners()
 	for range 40 {
 		now = now.Add(100 * time.Millisecond)
 		for i := range 30 {
 			p.decideOwners(now)
 			if !p.hasOwners {
-				p.lender.Heard(now, galenastair.InstanceID(fmt.Sprint("i", i)), quota.Passed{})
+				p.lender.Contribute(now, galenastair.InstanceID(fmt.Sprint("i", i)), quota.Contribution{})
 			}
 		}
 	}
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -21,7 +21,7 @@
 )
 
 // ErrNotLeader is returned by an instance that does not hold the lease.
-var ErrNotPlanner = eris.New("this instance does not hold the planner lease")
+var ErrNotLeader = eris.New("this instance does not hold the planner lease")
 
 const (
 	// planInterval is the time between planning rounds. A model load takes several of them.
@@ -48,14 +48,14 @@
 // Lease reports whether this instance may act as the leader.
 type Lease interface {
 	// OrderFence returns the fencing token for an order sent now, or false if none may be sent.
-	Order() (galenastair.Fence, bool)
+	OrderFence() (galenastair.Fence, bool)
 	// Holds reports whether this instance holds the lease.
 	Holds() bool
 	// ServesPeers reports whether this instance answers exchanges and lends quota. It does so for
 	// some time after its lease has expired.
-	Hosts() bool
+	ServesPeers() bool
 	// FenceRejected records that an engine has seen a higher fencing token than this one.
-	Refused(galenastair.Fence)
+	FenceRejected(galenastair.Fence)
 }
 
 // Planner plans placements and sends orders while this instance holds the lease.
@@ -88,7 +88,7 @@
 	poisonRequests []poisonReport
 	leading        bool
 	// inherited is the checkpoint that the previous leader stored.
-	inherited Note
+	inherited Checkpoint
 	// hasOwners reports that the quotas of organisations are assigned to owner instances.
 	// ownersDecided reports that this question is settled for the term.
 	hasOwners     bool
@@ -120,13 +120,13 @@
 func WithClock(c galenastair.Clock) Option { return func(p *Planner) { p.clock = c } }
 
 // WithOrderObserver sets a function that is called with the outcome of each order.
-func WithOrdered(f func(galenastair.OrderKind, place.Reason, string)) Option {
+func WithOrderObserver(f func(galenastair.OrderKind, place.Reason, string)) Option {
 	return func(p *Planner) { p.onOrder = f }
 }
 
 // New returns a planner that is idle until Run is called and the lease is held. self identifies it
 // as the sender of orders.
-func New(self string, t quota.Terms, c galenastair.EngineControl, l Lease, loop *control.Loop, opts ...Option) *Planner {
+func New(self string, t quota.Tolerance, c galenastair.EngineControl, l Lease, loop *control.Loop, opts ...Option) *Planner {
 	p := &Planner{
 		self:      self,
 		control:   c,
@@ -170,7 +170,7 @@
 func (p *Planner) SetCatalog(ctx context.Context, c *catalog.Catalog) error {
 	return p.loop.Post(ctx, func() {
 		p.lender.SetContracts(c)
-		c.Services(func(s *catalog.Service) {
+		c.ForEachService(func(s *catalog.Service) {
 			if s.Engine == nil {
 				return
 			}
@@ -201,7 +201,7 @@
 // SetServer applies the registration of a backend server.
 func (p *Planner) SetServer(ctx context.Context, s pool.Server) error {
 	return p.loop.Post(ctx, func() {
-		if old, ok := p.servers[s.ID]; ok && old.Born != s.Born {
+		if old, ok := p.servers[s.ID]; ok && old.Incarnation != s.Incarnation {
 			delete(p.downAt, s.ID)
 		}
 		p.servers[s.ID] = s
@@ -234,7 +234,7 @@
 	}
 	p.stepForecasts(now)
 	p.expireDown(now)
-	_, orders := p.lease.Order()
+	_, orders := p.lease.OrderFence()
 	p.expireReports(now)
 	for _, s := range p.services {
 		s.loads, s.limits = p.loads, p.limits
@@ -249,7 +249,7 @@
 func (p *Planner) changeTerm(now time.Time, holds bool) {
 	p.logger.Log("event", "term", "holds", holds)
 	if holds {
-		p.lender.Reset(now, p.inherited.Note)
+		p.lender.Reset(now, p.inherited.Checkpoint)
 		p.limiter.Reset()
 		p.resetOwners()
 		clear(p.reports)
@@ -305,7 +305,7 @@
 	}
 	p.lastForecast = now
 	for _, s := range p.services {
-		s.forecast.Step(now)
+		s.forecast.EndPeriod(now)
 	}
 }
 
@@ -320,78 +320,78 @@
 }
 
 // Exchange records the report of one instance and returns what the other instances reported.
-func (p *Planner) Exchange(ctx context.Context, r Report) (News, error) {
-	var update News
-	err := ErrNotPlanner
+func (p *Planner) Exchange(ctx context.Context, r Report) (Update, error) {
+	var update Update
+	err := ErrNotLeader
 	doErr := p.loop.Do(ctx, func() {
-		if p.lease.Hosts() {
+		if p.lease.ServesPeers() {
 			update, err = p.handleReport(r), nil
 		}
 	})
 	if doErr != nil {
-		return News{}, doErr
+		return Update{}, doErr
 	}
 	return update, err
 }
 
-func (p *Planner) handleReport(r Report) News {
+func (p *Planner) handleReport(r Report) Update {
 	now := p.clock.Now()
 	p.loads.subtract(p.reports[r.Instance].loads)
 	p.reports[r.Instance] = instanceReport{r.Loads, now}
-	p.markDown(now, r.Absent)
+	p.markDown(now, r.Down)
 	p.observeLimits(now, r.Limits)
 	for name, work := range r.Demands {
 		for _, s := range p.services {
 			s.recordDemand(now, name, work)
 		}
 	}
-	for _, d := range r.Poisons {
+	for _, d := range r.PoisonRequests {
 		p.poisonRequests = append(p.poisonRequests, poisonReport{d, r.Instance, now})
 	}
 	p.decideOwners(now)
-	update := News{Lapsed: !p.lease.Holds(), Standing: p.lender.Heard(now, r.Instance, r.Passed), Loads: p.loads.byKey()}
+	update := Update{LeaseExpired: !p.lease.Holds(), QuotaAllocation: p.lender.Contribute(now, r.Instance, r.QuotaContribution), Loads: p.loads.byKey()}
 	p.loads.add(r.Loads)
 	update.Limits, update.Index = p.currentLimits(now), p.fleetIndex(r.Instance)
 	p.addOwners(r, &update)
-	for _, a := range r.Asks {
+	for _, a := range r.LoanRequests {
 		if p.hasOwners {
 			break
 		}
 		if n := p.lender.Lend(now, a); n > 0 {
-			update.Loans = append(update.Loans, quota.Ask{Organisation: a.Organisation, Amount: n})
+			update.Loans = append(update.Loans, quota.LoanRequest{Organisation: a.Organisation, Amount: n})
 		}
 	}
 	p.expireChanges(now)
-	update.Newest = p.lastChange
-	if r.Seen > p.lastChange {
+	update.LastChange = p.lastChange
+	if r.LastChange > p.lastChange {
 		// the number is from a previous process at this address
-		r.Seen = 0
+		r.LastChange = 0
 	}
 	for _, c := range p.changes {
-		if c.sequence <= r.Seen {
+		if c.sequence <= r.LastChange {
 			continue
 		}
 		if c.removed {
-			update.Dropped = append(update.Dropped, c.Placement)
+			update.Removed = append(update.Removed, c.Placement)
 		} else {
-			update.Placed = append(update.Placed, c.Placement)
+			update.Added = append(update.Added, c.Placement)
 		}
 	}
 	for _, c := range p.poisonRequests {
 		if c.from != r.Instance {
-			update.Poisons = append(update.Poisons, c.digest)
+			update.PoisonRequests = append(update.PoisonRequests, c.digest)
 		}
 	}
 	return update
 }
 
 // Borrow lends the quota that a single request lacks.
-func (p *Planner) Borrow(ctx context.Context, r quota.Ask) (float64, error) {
+func (p *Planner) Borrow(ctx context.Context, r quota.LoanRequest) (float64, error) {
 	var n float64
-	err := ErrNotPlanner
+	err := ErrNotLeader
 	doErr := p.loop.Do(ctx, func() {
-		if p.lease.Hosts() && !p.hasOwners {
-			n, err = p.lender.LendAll(p.clock.Now(), r), nil
+		if p.lease.ServesPeers() && !p.hasOwners {
+			n, err = p.lender.LendExact(p.clock.Now(), r), nil
 		}
 	})
 	if doErr != nil {
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -91,7 +91,7 @@
 	is.Equal(len(before), 1)
 	for range 10 {
 		_, err := h.planner.Exchange(t.Context(), Report{
-			Instance: "i", Demands: map[galenastair.ModelName]time.Duration{only: tokens(500)}, Absent: before,
+			Instance: "i", Demands: map[galenastair.ModelName]time.Duration{only: tokens(500)}, Down: before,
 		})
 		is.NoErr(err)
 		h.step(200 * time.Millisecond)
@@ -178,12 +178,12 @@
 	h := newHarness(t, 1, 2)
 	h.step(time.Second)
 	h.step(time.Second)
-	where, err := h.planner.Need(t.Context(), "m3/a2")
+	where, err := h.planner.EnsureLoaded(t.Context(), "m3/a2")
 	is.NoErr(err)
 	h.settle()
 	is.True(where.Server != "")
 	is.True(slices.Contains(h.fleet.fakes[string(where.Server)].models["m3"], "a2"))
-	none, err := h.planner.Need(t.Context(), "m3/a99")
+	none, err := h.planner.EnsureLoaded(t.Context(), "m3/a99")
 	is.NoErr(err)
 	is.Equal(none.Server, galenastair.BackendServerID(""))
 }
@@ -206,7 +206,7 @@
 			id := fmt.Sprintf("e%d", i)
 			beat++
 			is.NoErr(h.planner.SetServer(t.Context(), pool.Server{
-				ID: galenastair.BackendServerID(id), Service: "writer", Address: id, Slots: 64, Born: 1, Beat: beat, Models: models[i],
+				ID: galenastair.BackendServerID(id), Service: "writer", Address: id, Slots: 64, Incarnation: 1, Heartbeat: beat, Models: models[i],
 			}))
 		}
 	}
@@ -229,10 +229,10 @@
 	is := is.New(t)
 	h := newHarness(t, 1, 2)
 	h.do(func() { clear(h.planner.services["writer"].engines) })
-	where, err := h.planner.Need(t.Context(), "m3")
+	where, err := h.planner.EnsureLoaded(t.Context(), "m3")
 	is.NoErr(err)
 	is.Equal(where.Server, galenastair.BackendServerID(""))
-	is.Equal(where.Ready, evictionTime+time.Second)
+	is.Equal(where.ReadyIn, evictionTime+time.Second)
 }
 
 // An instance without the lease answers with ErrNotLeader.
@@ -241,11 +241,11 @@
 	h := newHarness(t, 1, 2)
 	h.lease.holds = false
 	_, err := h.planner.Exchange(t.Context(), Report{Instance: "i"})
-	is.True(errors.Is(err, ErrNotPlanner))
-	_, err = h.planner.Need(t.Context(), "m0")
-	is.True(errors.Is(err, ErrNotPlanner))
-	_, err = h.planner.Borrow(t.Context(), quota.Ask{Organisation: "o", Amount: 1})
-	is.True(errors.Is(err, ErrNotPlanner))
+	is.True(errors.Is(err, ErrNotLeader))
+	_, err = h.planner.EnsureLoaded(t.Context(), "m0")
+	is.True(errors.Is(err, ErrNotLeader))
+	_, err = h.planner.Borrow(t.Context(), quota.LoanRequest{Organisation: "o", Amount: 1})
+	is.True(errors.Is(err, ErrNotLeader))
 }
 
 // Two instances ask for the same adapter at the same time. The second must wait for the load that
@@ -264,7 +264,7 @@
 			}
 		}
 	})
-	var where [3]Promise
+	var where [3]Availability
 	var waits [3]<-chan bool
 	h.do(func() {
 		for i := range where {
@@ -282,9 +282,9 @@
 // unrenewableLease is the lease of a leader that temporarily cannot renew it.
 type unrenewableLease struct{ fakeLease }
 
-func (*unrenewableLease) Order() (galenastair.Fence, bool) { return 0, false }
-func (*unrenewableLease) Holds() bool                      { return false }
-func (*unrenewableLease) Hosts() bool                      { return true }
+func (*unrenewableLease) OrderFence() (galenastair.Fence, bool) { return 0, false }
+func (*unrenewableLease) Holds() bool                           { return false }
+func (*unrenewableLease) ServesPeers() bool                     { return true }
 
 // While the store is slow and the lease cannot be renewed, the leader still answers where a model
 // is. Otherwise instances that do not know of the copy yet would refuse their callers.
@@ -294,12 +294,12 @@
 	h.step(time.Second)
 	h.step(time.Second)
 	h.do(func() { h.planner.lease = &unrenewableLease{} })
-	where, err := h.planner.Need(t.Context(), "m3")
+	where, err := h.planner.EnsureLoaded(t.Context(), "m3")
 	is.NoErr(err)
 	is.Equal(where.Server, galenastair.BackendServerID("e1"))
 	// no order is sent meanwhile
 	h.do(func() { clear(h.planner.services["writer"].engines["e1"].adapters) })
-	where, err = h.planner.Need(t.Context(), "m3/a2")
+	where, err = h.planner.EnsureLoaded(t.Context(), "m3/a2")
 	is.NoErr(err)
 	is.Equal(where.Server, galenastair.BackendServerID(""))
 }
@@ -312,9 +312,9 @@
 	h := newHarness(t, 1, 1)
 	h.step(time.Second)
 	is.NoErr(h.planner.SetCatalog(t.Context(), catalog.New(2, catalog.Limits{}, nil, []*catalog.Service{{Name: "reader", Engine: &catalog.Engine{
-		Slots: 64, Memory: 230 * gigabyte, LoadsPerSecond: 3, Models: []catalog.Model{{Name: "m", Memory: 70 * gigabyte, Load: 6 * time.Second}},
+		Slots: 64, Memory: 230 * gigabyte, LoadsPerSecond: 3, Models: []catalog.Model{{Name: "m", Memory: 70 * gigabyte, LoadTime: 6 * time.Second}},
 	}}}, nil)))
-	empty := pool.Server{ID: "r0", Service: "reader", Address: "r0", Slots: 64, Born: 1, Beat: 1}
+	empty := pool.Server{ID: "r0", Service: "reader", Address: "r0", Slots: 64, Incarnation: 1, Heartbeat: 1}
 	is.NoErr(h.planner.SetServer(t.Context(), empty))
 	load := queuedOrder{kind: galenastair.LoadModel, model: "m"}
 	var e *engine
@@ -324,7 +324,7 @@
 		e.accepted(h.fleet.clock.now, load)
 	})
 	h.fleet.clock.now = h.fleet.clock.now.Add(confirmTimeout + time.Second)
-	empty.Beat++
+	empty.Heartbeat++
 	is.NoErr(h.planner.SetServer(t.Context(), empty))
 	counted := false
 	h.do(func() { counted = e.models["m"] != nil })
--- a/planner/site.go
+++ b/planner/site.go
@@ -58,7 +58,7 @@
 		modelSet: newModelSet(s),
 		engines:  map[galenastair.BackendServerID]*engine{},
 		placer:   newPlacer(s.Engine),
-		forecast: forecast.New(forecast.WithMemory(demandSmoothing)),
+		forecast: forecast.New(forecast.WithTimeConstant(demandSmoothing)),
 		loads:    loads{},
 	}
 }
@@ -68,20 +68,20 @@
 func newPlacer(e *catalog.Engine) *place.Planner {
 	var longest time.Duration
 	for _, m := range e.Models {
-		longest = max(longest, m.Load)
+		longest = max(longest, m.LoadTime)
 	}
 	return place.NewPlanner(place.Settings{
-		LoadsPerSecond: e.LoadsPerSecond,
-		LoadsInFlight:  max(1, int(e.LoadsPerSecond*longest.Seconds())),
-		ServerWork:     1,
-		Busy:           rebalanceThreshold,
-		Uneven:         min(maxImbalanceThreshold, longest.Seconds()/shortLoadTime.Seconds()),
-		Gain:           minGain,
-		Calm:           moveCooldown,
-		Stay:           minCopyLifetime,
-		ReliefsARound:  movesPerRound,
-		AskedWork:      minDemand,
-		DropUnasked:    idleEvictionThreshold,
+		LoadsPerSecond:        e.LoadsPerSecond,
+		LoadsInFlight:         max(1, int(e.LoadsPerSecond*longest.Seconds())),
+		ServerCapacity:        1,
+		RebalanceThreshold:    rebalanceThreshold,
+		ImbalanceThreshold:    min(maxImbalanceThreshold, longest.Seconds()/shortLoadTime.Seconds()),
+		MinGain:               minGain,
+		MoveCooldown:          moveCooldown,
+		MinCopyLifetime:       minCopyLifetime,
+		MovesPerRound:         movesPerRound,
+		MinDemand:             minDemand,
+		IdleEvictionThreshold: idleEvictionThreshold,
 	})
 }
 
@@ -107,12 +107,12 @@
 		ID:               id,
 		AvailabilityZone: e.server.AvailabilityZone,
 		Leaving:          e.server.Leaving,
-		Limited:          s.isRateLimited(e),
-		Free:             e.freeMemory(s.modelSet),
+		RateLimited:      s.isRateLimited(e),
+		FreeMemory:       e.freeMemory(s.modelSet),
 	}
-	in.AtHand = make(map[galenastair.ModelName]bool, len(e.server.AtHand))
-	for _, name := range e.server.AtHand {
-		in.AtHand[name] = true
+	in.CachedModels = make(map[galenastair.ModelName]bool, len(e.server.CachedModels))
+	for _, name := range e.server.CachedModels {
+		in.CachedModels[name] = true
 	}
 	for name, c := range e.models {
 		w := galenastair.Weight{Name: name, Memory: s.modelSet.memory(name)}
@@ -131,7 +131,7 @@
 }
 
 func (s *service) workOf(m *catalog.Model) float64 {
-	sum := s.forecast.Work(m.Name)
+	sum := s.forecast.Predict(m.Name)
 	for _, w := range s.adapterWork(m) {
 		sum += w
 	}
@@ -142,7 +142,7 @@
 func (s *service) adapterWork(m *catalog.Model) map[galenastair.ModelName]float64 {
 	out := map[galenastair.ModelName]float64{}
 	for _, name := range s.modelSet.adapters[m.Name] {
-		if w := s.forecast.Work(name); w > 0 {
+		if w := s.forecast.Predict(name); w > 0 {
 			out[name] = w
 		}
 	}
@@ -166,7 +166,7 @@
 // request in flight.
 func (s *service) load(e *engine) float64 {
 	l := s.loads[e.server.ID]
-	return l.Unread + 100*l.Flights
+	return l.PendingTokens + 100*l.InFlight
 }
 
 // recordDemand records demand for a model or adapter, and marks adapters as used.
@@ -189,10 +189,10 @@
 // setEngine adds an engine or applies its new registration.
 func (s *service) setEngine(now time.Time, srv pool.Server) {
 	e := s.engines[srv.ID]
-	if e != nil && srv.Born < e.server.Born {
+	if e != nil && srv.Incarnation < e.server.Incarnation {
 		return
 	}
-	if e == nil || e.server.Born != srv.Born {
+	if e == nil || e.server.Incarnation != srv.Incarnation {
 		fresh := newEngine(srv)
 		fresh.leading = s.leading
 		if e != nil && now.Before(e.lostUntil) {
--- a/planner/site_test.go
+++ b/planner/site_test.go
@@ -14,7 +14,7 @@
 // reliefCopies plans for two engines, one of which is somewhat busier, and returns the number of
 // copies that are added to relieve it.
 func reliefCopies(load time.Duration) int {
-	plan := newPlacer(&catalog.Engine{LoadsPerSecond: 5, Models: []catalog.Model{{Name: "m", Load: load}}})
+	plan := newPlacer(&catalog.Engine{LoadsPerSecond: 5, Models: []catalog.Model{{Name: "m", LoadTime: load}}})
 	in := place.Input{
 		Now:       time.Unix(1000, 0),
 		Catalogue: []galenastair.Weight{{Name: "m", Memory: 10}, {Name: "n", Memory: 10}},
@@ -24,7 +24,7 @@
 	}
 	for i, name := range []galenastair.ModelName{"m", "n"} {
 		in.Servers = append(in.Servers, place.Server{
-			ID: galenastair.BackendServerID(string(rune('a' + i))), Free: 20,
+			ID: galenastair.BackendServerID(string(rune('a' + i))), FreeMemory: 20,
 			Copies: []place.Copy{{Weight: galenastair.Weight{Name: name, Memory: 10}, State: place.Ready}},
 		})
 	}
--- a/pool/choose.go
+++ b/pool/choose.go
@@ -27,28 +27,28 @@
 type Choice struct {
 	Server
 	// PredictedLatency is the expected time to the answer or its first event.
-	Foretold time.Duration
+	PredictedLatency time.Duration
 	// CachedTokens is the number of prompt tokens that the server probably has cached.
-	Cached galenastair.Tokens
+	CachedTokens galenastair.Tokens
 	// Candidates is the number of servers that were considered.
 	Candidates int
 	// Limit is the rate limit that the server has advertised; its PerSecond is 0 if there is none.
 	Limit ratelimit.Limit
 	// RetryAfter is the time until a server accepts requests again, if all are throttled.
-	Wait   time.Duration
-	Reason string
+	RetryAfter time.Duration
+	Reason     string
 }
 
 // Reasons for choosing a server, or for choosing none.
 const (
-	ReasonSoonest  = "soonest"
-	ReasonProbe    = "probe of an ejected server"
-	ReasonAllOut   = "all servers are ejected"
-	ReasonLastCopy = "last copy, on a leaving server"
-	ReasonNoServer = "no server for the service"
-	ReasonNoModel  = "no server holds the model"
-	ReasonExcluded = "all were tried"
-	ReasonDeferred = "all are at their limits"
+	ReasonLowestLatency = "soonest"
+	ReasonProbe         = "probe of an ejected server"
+	ReasonAllEjected    = "all servers are ejected"
+	ReasonLastCopy      = "last copy, on a leaving server"
+	ReasonNoServer      = "no server for the service"
+	ReasonNoModel       = "no server holds the model"
+	ReasonExcluded      = "all were tried"
+	ReasonThrottled     = "all are at their limits"
 )
 
 // Choose picks a server for a request. If there is none, the reason says why.
@@ -59,7 +59,7 @@
 	candidates := p.candidates(now, &q)
 	ready := slices.DeleteFunc(slices.Clone(candidates), func(b *backend) bool { return now.Before(b.throttledUntil) })
 	if wait, throttled := minThrottleLeft(now, candidates); throttled && len(ready) == 0 {
-		return Choice{Wait: wait, Reason: ReasonDeferred}, false
+		return Choice{RetryAfter: wait, Reason: ReasonThrottled}, false
 	}
 	candidates = ready
 	if len(candidates) == 0 {
@@ -70,12 +70,12 @@
 		return Choice{Reason: ReasonExcluded}, false
 	}
 	return Choice{
-		Server:     best.Server,
-		Foretold:   p.predictLatency(now, best, &q),
-		Cached:     best.cache.match(q.keys, q.Parts),
-		Candidates: len(candidates),
-		Limit:      best.limit.withAge(now, best.ID),
-		Reason:     reason,
+		Server:           best.Server,
+		PredictedLatency: p.predictLatency(now, best, &q),
+		CachedTokens:     best.cache.match(q.keys, q.Parts),
+		Candidates:       len(candidates),
+		Limit:            best.limit.withAge(now, best.ID),
+		Reason:           reason,
 	}, true
 }
 
@@ -122,11 +122,11 @@
 			}
 			continue
 		}
-		if b.health.mayProbe(now) && !q.Once {
+		if b.health.mayProbe(now) && !q.NoRetry {
 			return b, ReasonProbe
 		}
 		score := p.score(now, b, q)
-		if b.health.isEjected(now) || !b.health.ejectedUntil.IsZero() && q.Once {
+		if b.health.isEjected(now) || !b.health.ejectedUntil.IsZero() && q.NoRetry {
 			if ejected == nil || score < ejectedScore {
 				ejected, ejectedScore = b, score
 			}
@@ -138,9 +138,9 @@
 	}
 	switch {
 	case best != nil:
-		return best, ReasonSoonest
+		return best, ReasonLowestLatency
 	case ejected != nil:
-		return ejected, ReasonAllOut
+		return ejected, ReasonAllEjected
 	case leaving != nil && now.Sub(leaving.leaveStart) < p.leaveGrace:
 		return leaving, ReasonLastCopy
 	}
@@ -180,7 +180,7 @@
 
 // score returns the predicted latency plus penalties for failures, limits and crossing zones.
 func (p *Pool) score(now time.Time, b *backend, q *Query) time.Duration {
-	target := q.Aim
+	target := q.TargetLatency
 	if target <= 0 {
 		target = defaultTargetLatency
 	}
@@ -189,7 +189,7 @@
 		t += time.Duration(crossZonePenalty * float64(target))
 	}
 	cost := failurePenalty
-	if q.Once {
+	if q.NoRetry {
 		cost = failurePenaltyNoRetry
 	}
 	t += time.Duration(b.health.failureRate * float64(cost) * float64(target))
--- a/pool/cost.go
+++ b/pool/cost.go
@@ -62,7 +62,7 @@
 
 // observePrefill records the time to the first event. It counts only if no other prompt was
 // pending when the request was sent, as the time would otherwise include those prompts.
-func (a *Flight) observePrefill(now time.Time) {
+func (a *Attempt) observePrefill(now time.Time) {
 	if !a.unqueued || a.query.Prompt <= 0 {
 		return
 	}
@@ -72,7 +72,7 @@
 }
 
 // observeDecode records the time from the first event to the end of an answer.
-func (a *Flight) observeDecode(now time.Time) {
+func (a *Attempt) observeDecode(now time.Time) {
 	if !a.query.engine() || a.query.Output <= 0 {
 		return
 	}
--- a/pool/cost_test.go
+++ b/pool/cost_test.go
@@ -14,7 +14,7 @@
 // them, and callers would find no copy of a model that is being moved.
 func TestEngineTimeFollowsObservedSpeed(t *testing.T) {
 	is := is.New(t)
-	q := Query{Service: "llm", Hints: galenastair.Hints{Model: "m/a1", Prompt: 9000, Output: 60}, Aim: time.Second}
+	q := Query{Service: "llm", Hints: galenastair.Hints{Model: "m/a1", Prompt: 9000, Output: 60}, TargetLatency: time.Second}
 	predicted := func(reads, runs time.Duration) float64 {
 		p := testPool()
 		p.Set(start, Server{ID: "e1", Service: "llm", Slots: 10, Models: []galenastair.EngineModel{{Name: "m", Adapters: []string{"a1"}}}})
@@ -38,11 +38,11 @@
 	is := is.New(t)
 	p := testPool()
 	p.Set(start, Server{ID: "e1", Service: "llm", Slots: 10, Models: []galenastair.EngineModel{{Name: "m"}}})
-	q := Query{Service: "llm", Hints: galenastair.Hints{Model: "m", Prompt: 2040}, Aim: time.Second}
+	q := Query{Service: "llm", Hints: galenastair.Hints{Model: "m", Prompt: 2040}, TargetLatency: time.Second}
 	alone := p.EngineTime(q)
 	now := start
 	for range 50 {
-		var attempts []*Flight
+		var attempts []*Attempt
 		for range 8 {
 			attempts = append(attempts, p.Begin(now, "e1", q))
 		}
--- a/pool/flight.go
+++ b/pool/flight.go
@@ -7,7 +7,7 @@
 )
 
 // Attempt is a request that has been sent to a backend server.
-type Flight struct {
+type Attempt struct {
 	pool    *Pool
 	backend *backend
 	query   Query
@@ -30,9 +30,9 @@
 	// Failed is an answer that was cut off or invalid, or an attempt without an answer.
 	Failed
 	// Down means that the server refuses connections, so its process has ended.
-	Absent
+	Down
 	// ServerError is a complete answer that reports a failure of the server.
-	Erred
+	ServerError
 	// Full means that the server declined the request because it has no capacity.
 	Full
 	// Neutral says nothing about the server: the caller disconnected, or the request was invalid.
@@ -40,11 +40,11 @@
 )
 
 // Begin records a request that is about to be sent to a server.
-func (p *Pool) Begin(now time.Time, id galenastair.BackendServerID, q Query) *Flight {
+func (p *Pool) Begin(now time.Time, id galenastair.BackendServerID, q Query) *Attempt {
 	q.keys = prefixKeys(q.Hints)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	a := &Flight{pool: p, query: q, beganAt: now}
+	a := &Attempt{pool: p, query: q, beganAt: now}
 	b := p.backends[id]
 	if b == nil {
 		a.ended = true
@@ -55,7 +55,7 @@
 	a.unqueued = q.engine() && b.pendingTokens == 0 && b.peerPendingTokens(now) < 1
 	b.inFlight++
 	b.pendingTokens += q.Prompt
-	if !q.Once && b.health.mayProbe(now) {
+	if !q.NoRetry && b.health.mayProbe(now) {
 		b.health.probing = true
 	}
 	b.health.sent(now)
@@ -64,7 +64,7 @@
 }
 
 // Started records the first event of a streamed answer, or the header of any other.
-func (a *Flight) Started(now time.Time) {
+func (a *Attempt) Started(now time.Time) {
 	a.pool.mu.Lock()
 	defer a.pool.mu.Unlock()
 	if a.ended || a.started {
@@ -81,7 +81,7 @@
 }
 
 // End records the result and removes the attempt from its server.
-func (a *Flight) End(now time.Time, r Result) {
+func (a *Attempt) End(now time.Time, r Result) {
 	a.pool.mu.Lock()
 	defer a.pool.mu.Unlock()
 	if a.ended {
@@ -103,10 +103,10 @@
 		b.downAt = time.Time{}
 	case Failed:
 		b.health.failed(now)
-	case Absent:
+	case Down:
 		b.health.failed(now)
 		b.downAt = now
-	case Erred:
+	case ServerError:
 		b.health.serverError(now)
 	case Full:
 		b.fullUntil[a.query.Model] = now.Add(fullBackoff)
--- a/pool/forecast.go
+++ b/pool/forecast.go
@@ -84,11 +84,11 @@
 }
 
 func (b *backend) peerPendingTokens(now time.Time) float64 {
-	return b.peerLoad.Unread * peerLoadWeight(now.Sub(b.peerLoadAt))
+	return b.peerLoad.PendingTokens * peerLoadWeight(now.Sub(b.peerLoadAt))
 }
 
 func (b *backend) peerInFlight(now time.Time) float64 {
-	return b.peerLoad.Flights * peerLoadWeight(now.Sub(b.peerLoadAt))
+	return b.peerLoad.InFlight * peerLoadWeight(now.Sub(b.peerLoadAt))
 }
 
 // peerLoadWeight decreases linearly from 1 to 0 at twice peerLoadHalfTime.
@@ -98,9 +98,9 @@
 
 // Load is the load that the requests of one or more instances put on a backend server.
 type Load struct {
-	Flights float64
+	InFlight float64
 	// PendingTokens is the number of prompt tokens of requests without a first event.
-	Unread float64
+	PendingTokens float64
 }
 
 // Query describes the request to choose a server for.
@@ -108,9 +108,9 @@
 	Service galenastair.ServiceName
 	galenastair.Hints
 	// TargetLatency is the time within which the first event should arrive.
-	Aim time.Duration
+	TargetLatency time.Duration
 	// NoRetry is set if the request must not be sent twice.
-	Once    bool
+	NoRetry bool
 	Exclude []galenastair.BackendServerID
 
 	keys []uint64
--- a/pool/limit.go
+++ b/pool/limit.go
@@ -31,7 +31,7 @@
 
 // ObserveLimit records the rate limit in an answer, 0 for none. The request was sent at the time
 // sent: an answer to a request sent before the limit was advertised does not clear it.
-func (p *Pool) NoteLimit(now time.Time, id galenastair.BackendServerID, perSecond float64, sent time.Time) {
+func (p *Pool) ObserveLimit(now time.Time, id galenastair.BackendServerID, perSecond float64, sent time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.backends[id]
@@ -63,7 +63,7 @@
 }
 
 // SetPeerLimits records the rate limits that servers have advertised to any instance.
-func (p *Pool) SetOthersLimits(now time.Time, limits []ratelimit.Limit) {
+func (p *Pool) SetPeerLimits(now time.Time, limits []ratelimit.Limit) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, l := range limits {
@@ -75,7 +75,7 @@
 }
 
 // Throttle keeps requests away from a server that accepts no more for a while.
-func (p *Pool) Defer(now time.Time, id galenastair.BackendServerID, d time.Duration) {
+func (p *Pool) Throttle(now time.Time, id galenastair.BackendServerID, d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if b := p.backends[id]; b != nil {
--- a/pool/limit_test.go
+++ b/pool/limit_test.go
@@ -16,10 +16,10 @@
 func TestOlderAnswerDoesNotClearALimit(t *testing.T) {
 	is := is.New(t)
 	p := testPool()
-	p.NoteLimit(start.Add(time.Second), "s1", 2, start)
-	p.NoteLimit(start.Add(2*time.Second), "s1", 0, start.Add(500*time.Millisecond))
+	p.ObserveLimit(start.Add(time.Second), "s1", 2, start)
+	p.ObserveLimit(start.Add(2*time.Second), "s1", 0, start.Add(500*time.Millisecond))
 	is.Equal(p.limitOfS1(), 2.0)
-	p.NoteLimit(start.Add(3*time.Second), "s1", 0, start.Add(1500*time.Millisecond))
+	p.ObserveLimit(start.Add(3*time.Second), "s1", 0, start.Add(1500*time.Millisecond))
 	is.Equal(p.limitOfS1(), 0.0)
 }
 
@@ -28,22 +28,22 @@
 func TestClearedLimitIsNotRestoredByPeers(t *testing.T) {
 	is := is.New(t)
 	p, other := testPool(), testPool()
-	p.NoteLimit(start, "s1", 2, start)
+	p.ObserveLimit(start, "s1", 2, start)
 	advertised := p.Limits(start)
 	is.Equal(len(advertised), 1)
 	now := start
 	for range 20 {
 		now = now.Add(300 * time.Millisecond)
-		other.SetOthersLimits(now, p.Limits(now))
-		p.SetOthersLimits(now.Add(5*time.Millisecond), p.Limits(now))
+		other.SetPeerLimits(now, p.Limits(now))
+		p.SetPeerLimits(now.Add(5*time.Millisecond), p.Limits(now))
 	}
 	is.Equal(other.limitOfS1(), 2.0)
 	is.Equal(len(other.Limits(now)), 0)
-	p.NoteLimit(now, "s1", 0, now.Add(-time.Second))
+	p.ObserveLimit(now, "s1", 0, now.Add(-time.Second))
 	is.Equal(p.limitOfS1(), 0.0)
-	other.SetOthersLimits(now.Add(time.Millisecond), p.Limits(now))
+	other.SetPeerLimits(now.Add(time.Millisecond), p.Limits(now))
 	is.Equal(other.limitOfS1(), 0.0)
-	other.SetOthersLimits(now.Add(2*time.Millisecond), advertised)
+	other.SetPeerLimits(now.Add(2*time.Millisecond), advertised)
 	is.Equal(other.limitOfS1(), 0.0)
 }
 
@@ -52,7 +52,7 @@
 func TestLimitedServerIsProbed(t *testing.T) {
 	is := is.New(t)
 	p := testPool()
-	p.NoteLimit(start, "s1", 2, start)
+	p.ObserveLimit(start, "s1", 2, start)
 	chosen := func(now time.Time) bool {
 		for range 50 {
 			c, ok := p.Choose(now, testQuery())
@@ -74,12 +74,12 @@
 	is := is.New(t)
 	p := testPool()
 	for i, id := range []galenastair.BackendServerID{"s1", "s2", "s3"} {
-		p.Defer(start, id, time.Duration(i+1)*time.Second)
+		p.Throttle(start, id, time.Duration(i+1)*time.Second)
 	}
 	c, ok := p.Choose(start, testQuery())
 	is.True(!ok)
-	is.Equal(c.Reason, ReasonDeferred)
-	is.Equal(c.Wait, time.Second)
+	is.Equal(c.Reason, ReasonThrottled)
+	is.Equal(c.RetryAfter, time.Second)
 	_, ok = p.Choose(start.Add(1100*time.Millisecond), testQuery())
 	is.True(ok)
 }
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -63,7 +63,7 @@
 }
 
 // Down returns the backend servers that have just refused a connection.
-func (p *Pool) Absent(now time.Time) []galenastair.BackendServerID {
+func (p *Pool) Down(now time.Time) []galenastair.BackendServerID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var out []galenastair.BackendServerID
@@ -87,7 +87,7 @@
 
 // WithFleetSize sets a function that returns the number of instances that send to the same
 // servers.
-func WithFleet(f func() int) Option { return func(p *Pool) { p.fleetSize = f } }
+func WithFleetSize(f func() int) Option { return func(p *Pool) { p.fleetSize = f } }
 
 // New returns an empty pool for an instance in the given availability zone.
 func New(zone galenastair.AvailabilityZone, opts ...Option) *Pool {
@@ -113,7 +113,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.backends[s.ID]
-	if b != nil && (b.Born != s.Born || b.Service != s.Service) {
+	if b != nil && (b.Incarnation != s.Incarnation || b.Service != s.Service) {
 		// a server that restarted with the same ID holds none of its previous models
 		p.remove(b)
 		b = nil
@@ -126,7 +126,7 @@
 	if s.Leaving && !b.Leaving {
 		b.leaveStart = s.LeavingSince
 	}
-	if s.Beat < b.Beat {
+	if s.Heartbeat < b.Heartbeat {
 		return
 	}
 	b.Server = s
@@ -236,7 +236,7 @@
 }
 
 // SetPeerLoads records the load of the other instances' requests on each server.
-func (p *Pool) SetOthers(now time.Time, loads map[ServerKey]Load) {
+func (p *Pool) SetPeerLoads(now time.Time, loads map[ServerKey]Load) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, b := range p.backends {
@@ -245,7 +245,7 @@
 }
 
 // HasModel reports whether a server that is not leaving holds a model or adapter.
-func (p *Pool) Known(name galenastair.ModelName) bool {
+func (p *Pool) HasModel(name galenastair.ModelName) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, b := range p.byModel[name] {
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -20,14 +20,14 @@
 	for i, zone := range []galenastair.AvailabilityZone{"z1", "z1", "z2"} {
 		p.Set(start, Server{
 			ID: galenastair.BackendServerID("s" + strconv.Itoa(i+1)), Service: "writer", AvailabilityZone: zone,
-			Slots: 64, Born: 1, Beat: 1, Models: []galenastair.EngineModel{{Name: "m", Adapters: []string{"a1"}}},
+			Slots: 64, Incarnation: 1, Heartbeat: 1, Models: []galenastair.EngineModel{{Name: "m", Adapters: []string{"a1"}}},
 		})
 	}
 	return p
 }
 
 func testQuery() Query {
-	return Query{Service: "writer", Aim: 800 * time.Millisecond, Hints: galenastair.Hints{Model: "m", Prompt: 2000, Output: 20,
+	return Query{Service: "writer", TargetLatency: 800 * time.Millisecond, Hints: galenastair.Hints{Model: "m", Prompt: 2000, Output: 20,
 		Parts: []galenastair.PromptPart{{ID: "shared", Tokens: 500}, {ID: "own", Tokens: 1500}}}}
 }
 
@@ -37,7 +37,7 @@
 	t.Helper()
 	type event struct {
 		at time.Time
-		a  *Flight
+		a  *Attempt
 		id galenastair.BackendServerID
 	}
 	got := map[galenastair.BackendServerID]int{}
@@ -154,7 +154,7 @@
 	now := start.Add(time.Second)
 	c, _ := p.Choose(now, q)
 	is.Equal(c.ID, galenastair.BackendServerID("s2"))
-	is.Equal(c.Cached, galenastair.Tokens(7900))
+	is.Equal(c.CachedTokens, galenastair.Tokens(7900))
 	for range 12 {
 		p.Begin(now, "s2", testQuery())
 	}
@@ -176,7 +176,7 @@
 func TestLeavingServerGetsNoNewRequests(t *testing.T) {
 	is := is.New(t)
 	p := testPool(WithLeaveGrace(400 * time.Millisecond))
-	p.Set(start, Server{ID: "s1", Service: "writer", Slots: 64, Born: 1, Beat: 2, Leaving: true, LeavingSince: start, Models: []galenastair.EngineModel{{Name: "m"}}})
+	p.Set(start, Server{ID: "s1", Service: "writer", Slots: 64, Incarnation: 1, Heartbeat: 2, Leaving: true, LeavingSince: start, Models: []galenastair.EngineModel{{Name: "m"}}})
 	for range 20 {
 		c, ok := p.Choose(start, testQuery())
 		is.True(ok)
@@ -220,7 +220,7 @@
 	}
 	later := start.Add(maxEjectionTime)
 	q := testQuery()
-	q.Once = true
+	q.NoRetry = true
 	for range 20 {
 		c, _ := p.Choose(later, q)
 		is.True(c.ID != "s1")
@@ -236,12 +236,12 @@
 	is := is.New(t)
 	p := testPool()
 	p.AddModel(start, "s1", "m/a9")
-	old := Server{ID: "s1", Service: "writer", Slots: 64, Born: 1, Beat: 2, Models: []galenastair.EngineModel{{Name: "m"}}}
+	old := Server{ID: "s1", Service: "writer", Slots: 64, Incarnation: 1, Heartbeat: 2, Models: []galenastair.EngineModel{{Name: "m"}}}
 	p.Set(start.Add(time.Second), old)
-	is.True(p.Known("m/a9"))
-	old.Beat = 3
+	is.True(p.HasModel("m/a9"))
+	old.Heartbeat = 3
 	p.Set(start.Add(overrideTTL+time.Second), old)
-	is.True(!p.Known("m/a9"))
+	is.True(!p.HasModel("m/a9"))
 }
 
 // A server restarts with the same ID and holds no models. An older registration must not restore
@@ -249,7 +249,7 @@
 func TestRestartedServerHoldsNothing(t *testing.T) {
 	is := is.New(t)
 	p := testPool()
-	p.Set(start, Server{ID: "s1", Service: "writer", Slots: 64, Born: 2, Beat: 1})
+	p.Set(start, Server{ID: "s1", Service: "writer", Slots: 64, Incarnation: 2, Heartbeat: 1})
 	p.Remove("s2")
 	p.Remove("s3")
 	c, ok := p.Choose(start, testQuery())
@@ -281,7 +281,7 @@
 func BenchmarkChoose(b *testing.B) {
 	p := New("z1")
 	for i := range 1900 {
-		p.Set(start, Server{ID: galenastair.BackendServerID(strconv.Itoa(i)), Service: "writer", Slots: 64, Born: 1, Beat: 1,
+		p.Set(start, Server{ID: galenastair.BackendServerID(strconv.Itoa(i)), Service: "writer", Slots: 64, Incarnation: 1, Heartbeat: 1,
 			Models: []galenastair.EngineModel{{Name: galenastair.ModelName("m" + strconv.Itoa(i%190))}}})
 	}
 	q := testQuery()
@@ -299,10 +299,10 @@
 func TestDownEngineIsSkipped(t *testing.T) {
 	is := is.New(t)
 	p := testPool()
-	p.Set(start, Server{ID: "s4", Service: "writer", AvailabilityZone: "z1", Slots: 64, Born: 1, Beat: 1,
+	p.Set(start, Server{ID: "s4", Service: "writer", AvailabilityZone: "z1", Slots: 64, Incarnation: 1, Heartbeat: 1,
 		Models: []galenastair.EngineModel{{Name: "rare"}}})
 	gone := func(id galenastair.BackendServerID, q Query) {
-		p.Begin(start, id, q).End(start, Absent)
+		p.Begin(start, id, q).End(start, Down)
 	}
 	gone("s1", testQuery())
 	for range 50 {
@@ -313,10 +313,10 @@
 	rare := testQuery()
 	rare.Model = "rare"
 	gone("s4", rare)
-	is.Equal(len(p.Absent(start)), 2)
+	is.Equal(len(p.Down(start)), 2)
 	rare.Exclude = []galenastair.BackendServerID{"s4"}
 	c, ok := p.Choose(start, rare)
 	is.True(!ok)
 	is.Equal(c.Reason, ReasonNoModel)
-	is.Equal(len(p.Absent(start.Add(downTTL))), 0)
+	is.Equal(len(p.Down(start.Add(downTTL))), 0)
 }
--- a/pool/server.go
+++ b/pool/server.go
@@ -30,10 +30,10 @@
 	// LeavingSince is a time not later than the start of leaving, or zero if unknown.
 	LeavingSince time.Time
 	// Incarnation distinguishes restarts, since an ID can be reused.
-	Born int64
+	Incarnation int64
 	// Heartbeat counts the registrations since its start.
-	Beat   int64
-	Models []galenastair.EngineModel
+	Heartbeat int64
+	Models    []galenastair.EngineModel
 	// CachedModels are the models of which the server keeps a local copy in memory or on disk.
-	AtHand []galenastair.ModelName
+	CachedModels []galenastair.ModelName
 }
--- a/pool/stale_test.go
+++ b/pool/stale_test.go
@@ -25,7 +25,7 @@
 
 type runningRequest struct {
 	pool    *Pool
-	attempt *Flight
+	attempt *Attempt
 	id      galenastair.BackendServerID
 	ends    time.Time
 }
@@ -38,7 +38,7 @@
 func newFleetSim(seed uint64, instances, copies int) *fleetSim {
 	s := &fleetSim{rng: rand.New(rand.NewPCG(seed, 5)), busyUntil: map[galenastair.BackendServerID]time.Time{}, copies: copies}
 	for range instances {
-		p := New("z", WithRand(s.rng), WithFleet(func() int { return instances }))
+		p := New("z", WithRand(s.rng), WithFleetSize(func() int { return instances }))
 		addCopies(p, 0, copies)
 		s.pools = append(s.pools, p)
 	}
@@ -48,7 +48,7 @@
 func addCopies(p *Pool, from, to int) {
 	for i := from; i < to; i++ {
 		p.Set(start, Server{ID: galenastair.BackendServerID("s" + strconv.Itoa(i)), Service: "writer", AvailabilityZone: "z",
-			Slots: 64, Born: 1, Beat: 1, Models: []galenastair.EngineModel{{Name: "m"}}})
+			Slots: 64, Incarnation: 1, Heartbeat: 1, Models: []galenastair.EngineModel{{Name: "m"}}})
 	}
 }
 
@@ -58,10 +58,10 @@
 	for _, r := range s.running {
 		if r.pool != p {
 			l := loads[KeyOf(r.id)]
-			loads[KeyOf(r.id)] = Load{l.Flights + 1, l.Unread + 2000}
+			loads[KeyOf(r.id)] = Load{l.InFlight + 1, l.PendingTokens + 2000}
 		}
 	}
-	p.SetOthers(now, loads)
+	p.SetPeerLoads(now, loads)
 }
 
 // run sends requests at a fraction of the engines' capacity, and returns the fraction of them that
@@ -108,7 +108,7 @@
 // processed.
 func (s *fleetSim) send(now time.Time) time.Duration {
 	p := s.pools[s.rng.IntN(len(s.pools))]
-	q := Query{Service: "writer", Aim: 800 * time.Millisecond, Hints: galenastair.Hints{Model: "m", Prompt: 2000, Output: 20}}
+	q := Query{Service: "writer", TargetLatency: 800 * time.Millisecond, Hints: galenastair.Hints{Model: "m", Prompt: 2000, Output: 20}}
 	choice, _ := p.Choose(now, q)
 	a := p.Begin(now, choice.ID, q)
 	begin := s.busyUntil[choice.ID]
@@ -150,7 +150,7 @@
 	c, _ := p.Choose(now, testQuery())
 	is.Equal(c.ID, galenastair.BackendServerID("s2"))
 	now = now.Add(10 * time.Second)
-	p.SetOthers(now, map[ServerKey]Load{KeyOf("s2"): {Flights: 2, Unread: 4000}})
+	p.SetPeerLoads(now, map[ServerKey]Load{KeyOf("s2"): {InFlight: 2, PendingTokens: 4000}})
 	c, _ = p.Choose(now, testQuery())
 	is.Equal(c.ID, galenastair.BackendServerID("s1"))
 }
--- a/pool/state.go
+++ b/pool/state.go
@@ -15,24 +15,24 @@
 	Address          string
 	AvailabilityZone galenastair.AvailabilityZone
 	// Unavailable is the reason why requests are not sent there; empty if they are.
-	Out Out `json:"Out"`
+	Unavailable UnavailableReason `json:"Out"`
 	// InFlight is the number of this instance's requests in flight.
-	Flights int `json:"Flights"`
+	InFlight int `json:"Flights"`
 	// FailureRate is the smoothed failure rate, from 0 to 1.
-	FailureShare float64 `json:"FailureShare"`
+	FailureRate float64 `json:"FailureShare"`
 	// Limit is the rate limit in requests per second over all instances; 0 for none.
 	Limit float64
 	Holds []galenastair.ModelName
 }
 
 // UnavailableReason is the reason why a backend server gets no requests.
-type Out string
+type UnavailableReason string
 
 // Reasons for sending no requests to a server.
 const (
-	OutLeaving Out = "leaving"
-	OutFailed  Out = "failed"
-	OutTried   Out = "tried by one request"
+	UnavailableLeaving UnavailableReason = "leaving"
+	UnavailableEjected UnavailableReason = "failed"
+	UnavailableProbing UnavailableReason = "tried by one request"
 )
 
 // States returns the state of all backend servers, sorted by service and ID.
@@ -43,7 +43,7 @@
 	for _, srv := range p.backends {
 		s := State{
 			ID: srv.ID, Service: srv.Service, Address: srv.Address, AvailabilityZone: srv.AvailabilityZone,
-			Out: srv.unavailableReason(now), Flights: srv.inFlight, FailureShare: srv.health.failureRate, Limit: srv.limit.perSecond,
+			Unavailable: srv.unavailableReason(now), InFlight: srv.inFlight, FailureRate: srv.health.failureRate, Limit: srv.limit.perSecond,
 		}
 		for name := range srv.holds {
 			s.Holds = append(s.Holds, name)
@@ -57,14 +57,14 @@
 	return out
 }
 
-func (b *backend) unavailableReason(now time.Time) Out {
+func (b *backend) unavailableReason(now time.Time) UnavailableReason {
 	switch {
 	case b.Leaving || !b.leaveStart.IsZero():
-		return OutLeaving
+		return UnavailableLeaving
 	case now.Before(b.health.ejectedUntil):
-		return OutFailed
+		return UnavailableEjected
 	case b.health.probing:
-		return OutTried
+		return UnavailableProbing
 	}
 	return ""
 }
--- a/proof/inject.go
+++ b/proof/inject.go
@@ -170,7 +170,7 @@
 				if old, ok := v.Contract(c.name); ok {
 					next.KeyHashes = old.KeyHashes
 				}
-				return config.ContractPublished{Base: v.Latest(c.name).Offset, Contract: next}
+				return config.ContractPublished{Base: v.LastChange(c.name).Offset, Contract: next}
 			})
 			return nil
 		})
--- a/proof/operate.go
+++ b/proof/operate.go
@@ -34,7 +34,7 @@
 // Publish puts a contract in force in place of the present one.
 func (o *Operators) Publish(ctx context.Context, next contract.Contract) error {
 	done := o.change(ctx, config.KindContractPublished, Change{Organisation: next.Organisation}, func(v *config.View) any {
-		return config.ContractPublished{Base: v.Latest(next.Organisation).Offset, Contract: next}
+		return config.ContractPublished{Base: v.LastChange(next.Organisation).Offset, Contract: next}
 	})
 	if !done.Accepted {
 		return eris.Wrap(errRejected, string(next.Organisation))
@@ -50,7 +50,7 @@
 	p := config.NewPublisher(o.log)
 	v, err := p.CatchUp(ctx)
 	if err == nil {
-		c.Base = v.Latest(c.Organisation).Offset
+		c.Base = v.LastChange(c.Organisation).Offset
 		c = o.publish(ctx, p, kind, c, body(v))
 	}
 	c.End = time.Now()
@@ -78,7 +78,7 @@
 		if old, ok := v.Contract(c.name); ok {
 			next.KeyHashes = old.KeyHashes
 		}
-		return config.ContractPublished{Base: v.Latest(c.name).Offset, Contract: next}
+		return config.ContractPublished{Base: v.LastChange(c.name).Offset, Contract: next}
 	})
 }
 
--- a/queue/share.go
+++ b/queue/share.go
@@ -100,7 +100,7 @@
 // organisation, and for those of others whose tags come before its own. Another organisation's
 // backlog beyond its share does not count, because the item does not wait for it.
 func (q *Fair) estimateItemWait(now time.Time, f *flow, it *Item) (time.Duration, bool) {
-	if it.Deadline.IsZero() || it.Entitled || q.length == 0 {
+	if it.Deadline.IsZero() || it.WithinShare || q.length == 0 {
 		return 0, false
 	}
 	tag := f.startTag + f.cost/f.weight
@@ -114,7 +114,7 @@
 }
 
 // EstimateWait estimates the wait of an item that an organisation would add now.
-func (q *Fair) Wait(now time.Time, o galenastair.Organisation, w galenastair.TokensPerSecond) time.Duration {
+func (q *Fair) EstimateWait(now time.Time, o galenastair.Organisation, w galenastair.TokensPerSecond) time.Duration {
 	f := &flow{organisation: o, weight: max(1, float64(w)), startTag: q.virtualTime}
 	if known := q.flows[o]; known != nil {
 		f = known
--- a/quota/alone.go
+++ b/quota/alone.go
@@ -8,7 +8,7 @@
 
 // updateLocalBucket sets the rate and size of an account's local bucket to this instance's
 // fraction.
-func (b *Share) updateLocalBucket(now time.Time, a *account) {
+func (b *Borrower) updateLocalBucket(now time.Time, a *account) {
 	fraction := float64(b.fraction)
 	a.local.refill(now)
 	rate := a.rate * fraction
@@ -21,7 +21,7 @@
 }
 
 // fullFractionPeriod returns how long this process spends its whole fraction in fallback.
-func (b *Share) fullFractionPeriod() time.Duration {
+func (b *Borrower) fullFractionPeriod() time.Duration {
 	if b.lenderAnswered.IsZero() {
 		return startupFullPeriod
 	}
@@ -33,7 +33,7 @@
 // because the lender has little to lend before the next exchange. The rest, and any loan that has
 // expired, is dropped: it was earned seconds ago and would be a second burst beside the lender's
 // full bucket.
-func (b *Share) endFallback(now time.Time, a *account) {
+func (b *Borrower) endFallback(now time.Time, a *account) {
 	b.updateLocalBucket(now, a)
 	if !now.Before(a.loanExpires) {
 		a.loan = 0
@@ -48,7 +48,7 @@
 }
 
 // checkLenderTimeout starts the fallback if the lender has not answered within lenderTimeout.
-func (b *Share) checkLenderTimeout(now time.Time) {
+func (b *Borrower) checkLenderTimeout(now time.Time) {
 	if !b.lenderAnswered.IsZero() && now.Sub(b.lenderAnswered) >= lenderTimeout {
 		b.startFallback(now)
 	}
@@ -57,13 +57,13 @@
 // ReportLenderUnavailable records that the lender did not answer or has given up its role, and
 // starts the fallback at once. Waiting until the loss is certain would refuse every request for a
 // second or two at each change of lender, and the fraction of one instance is small for that time.
-func (b *Share) MissLender(now time.Time) {
+func (b *Borrower) ReportLenderUnavailable(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.startFallback(now)
 }
 
-func (b *Share) startFallback(now time.Time) {
+func (b *Borrower) startFallback(now time.Time) {
 	if !b.fallback && b.allocated {
 		b.fallbackSince, b.allocated = now, false
 	}
@@ -75,7 +75,7 @@
 
 // enterFallback lets an account's local bucket be spent. The bucket starts with an advance on
 // future tokens, or with a fraction of the reserve, but with only one of them per window.
-func (b *Share) enterFallback(now time.Time, name galenastair.Organisation, a *account) {
+func (b *Borrower) enterFallback(now time.Time, name galenastair.Organisation, a *account) {
 	b.updateLocalBucket(now, a)
 	if a.fallback {
 		return
@@ -101,7 +101,7 @@
 }
 
 // advanceAllowed returns how much time's worth of tokens this process may grant in advance.
-func (b *Share) advanceAllowed() time.Duration {
+func (b *Borrower) advanceAllowed() time.Duration {
 	if b.lenderAnswered.IsZero() {
 		return startupAdvancePeriod
 	}
--- a/quota/lender.go
+++ b/quota/lender.go
@@ -16,7 +16,7 @@
 // how long it has left its fraction to the lender, each moment is contributed to at most one
 // lender, and what a lost message carried is lost.
 type Lender struct {
-	tolerance Terms
+	tolerance Tolerance
 	accounts  map[galenastair.Organisation]*lendingAccount
 	instances map[galenastair.InstanceID]instanceState
 	termStart time.Time
@@ -36,7 +36,7 @@
 // received.
 type instanceState struct {
 	heardAt             time.Time
-	reported, allocated Part
+	reported, allocated Fraction
 }
 
 // lendingAccount holds what can be lent for one organisation.
@@ -48,14 +48,14 @@
 }
 
 // NewLender returns a lender with nothing to lend.
-func NewLender(t Terms) *Lender {
+func NewLender(t Tolerance) *Lender {
 	return &Lender{tolerance: t, accounts: map[galenastair.Organisation]*lendingAccount{}, instances: map[galenastair.InstanceID]instanceState{}}
 }
 
 // SetContracts sets the organisations' quotas; a lower one takes effect at once.
 func (l *Lender) SetContracts(c *catalog.Catalog) {
 	seen := map[galenastair.Organisation]bool{}
-	c.Organisations(func(o *catalog.Organisation) {
+	c.ForEachOrganisation(func(o *catalog.Organisation) {
 		if o.Rate <= 0 {
 			return
 		}
@@ -65,8 +65,8 @@
 			a = &lendingAccount{}
 			l.accounts[o.Name] = a
 		}
-		a.set(l.tolerance.Lending(o))
-		a.maxCost = l.tolerance.Most(o)
+		a.set(l.tolerance.LendingBucket(o))
+		a.maxCost = l.tolerance.MaxBurst(o)
 	})
 	for name := range l.accounts {
 		if !seen[name] {
@@ -79,7 +79,7 @@
 // contributed so far. The checkpoint is the one that the previous lender stored: the instances
 // named there count as present, so that one that is partitioned as the term begins keeps its
 // fraction.
-func (l *Lender) Reset(now time.Time, c Note) {
+func (l *Lender) Reset(now time.Time, c Checkpoint) {
 	for _, a := range l.accounts {
 		a.level = 0
 		a.lowUsageState = lowUsageState{}
@@ -99,25 +99,27 @@
 
 // Contribute adds an instance's contribution and returns its new allocation. Until the fleet has
 // been counted the allocation has no fleet size, which leaves the instance's fraction unchanged.
-func (l *Lender) Heard(now time.Time, id galenastair.InstanceID, c Passed) Standing {
+func (l *Lender) Contribute(now time.Time, id galenastair.InstanceID, c Contribution) Allocation {
 	l.expireInstances(now)
 	l.knownFleet = max(l.knownFleet, c.Fleet)
-	l.instances[id] = instanceState{now, c.Part, c.Part}
+	l.instances[id] = instanceState{now, c.Fraction, c.Fraction}
 	fleet := l.Fleet(now)
 	if c.Fleet == 0 {
-		c.Part = equalFraction(fleet)
+		c.Fraction = equalFraction(fleet)
 	}
 	l.addContribution(now, c)
 	if l.countingFleet(now) {
-		return l.withLowUsage(c, Standing{})
+		return l.withLowUsage(c, Allocation{})
 	}
 	fraction := l.allocate(now, id)
-	l.instances[id] = instanceState{now, c.Part, fraction}
-	return l.withLowUsage(c, Standing{Fleet: fleet, Part: fraction})
+	l.instances[id] = instanceState{now, c.Fraction, fraction}
+	return l.withLowUsage(c, Allocation{Fleet: fleet, Fraction: fraction})
 }
 
 // FleetCounted reports whether enough of the term has passed to know the number of instances.
-func (l *Lender) Counted(now time.Time) bool { return !l.termStart.IsZero() && !l.countingFleet(now) }
+func (l *Lender) FleetCounted(now time.Time) bool {
+	return !l.termStart.IsZero() && !l.countingFleet(now)
+}
 
 // countingFleet reports whether it is too early in the term to know the number of instances.
 func (l *Lender) countingFleet(now time.Time) bool {
@@ -125,10 +127,10 @@
 }
 
 // withLowUsage adds the low-usage organisations if the instance has another version of the list.
-func (l *Lender) withLowUsage(c Passed, a Standing) Standing {
+func (l *Lender) withLowUsage(c Contribution, a Allocation) Allocation {
 	a.Version = l.version
 	if c.Version != l.version {
-		a.Moderate = l.lowUsage
+		a.LowUsage = l.lowUsage
 	}
 	return a
 }
@@ -139,9 +141,9 @@
 // partitioned before they learn of it. They go on with fractions for a smaller fleet, and all
 // fractions together exceed the whole for as long as the partition lasts. Therefore a new instance
 // gets only what the others do not hold until each of them has exchanged with the lender.
-func (l *Lender) allocate(now time.Time, id galenastair.InstanceID) Part {
+func (l *Lender) allocate(now time.Time, id galenastair.InstanceID) Fraction {
 	fleet := l.Fleet(now)
-	held := Part(fleet-len(l.instances)) * equalFraction(l.knownFleet)
+	held := Fraction(fleet-len(l.instances)) * equalFraction(l.knownFleet)
 	for other, h := range l.instances {
 		if other != id {
 			held += max(h.reported, h.allocated)
@@ -168,9 +170,9 @@
 }
 
 // addContribution credits a fraction for an elapsed time, less what was granted in advance for it.
-func (l *Lender) addContribution(now time.Time, c Passed) {
+func (l *Lender) addContribution(now time.Time, c Contribution) {
 	for name, a := range l.accounts {
-		contributed := max(0, min(c.Time, maxContribution)-c.Advanced[name]).Seconds() * float64(c.Part)
+		contributed := max(0, min(c.Elapsed, maxContribution)-c.Advanced[name]).Seconds() * float64(c.Fraction)
 		a.add(a.rate * contributed)
 		l.slot(now, a).contributed += contributed
 	}
@@ -182,7 +184,7 @@
 
 // Lend returns how much is lent for a request ahead of demand. A negative amount is a returned
 // loan.
-func (l *Lender) Lend(now time.Time, r Ask) float64 {
+func (l *Lender) Lend(now time.Time, r LoanRequest) float64 {
 	b := l.accounts[r.Organisation]
 	if b == nil {
 		return 0
@@ -199,7 +201,7 @@
 }
 
 // LendExact lends the whole amount or nothing, because a partial loan would not cover the request.
-func (l *Lender) LendAll(now time.Time, r Ask) float64 {
+func (l *Lender) LendExact(now time.Time, r LoanRequest) float64 {
 	b := l.accounts[r.Organisation]
 	if b == nil || l.available(now, b, r.Amount) < r.Amount || !b.takeWithDebt(r.Amount, b.maxCost) {
 		return 0
--- a/quota/moderate.go
+++ b/quota/moderate.go
@@ -36,10 +36,10 @@
 )
 
 // Checkpoint is the state that a lender stores on the platform for its successors.
-type Note struct {
+type Checkpoint struct {
 	// Instances are those that hold a fraction of the quotas.
 	Instances []galenastair.InstanceID
-	Moderate  []galenastair.Organisation `json:"Moderate"`
+	LowUsage  []galenastair.Organisation `json:"Moderate"`
 }
 
 // lowUsageState tracks whether an organisation is held to lowUsageLimit.
@@ -108,18 +108,18 @@
 }
 
 // Checkpoint returns the state to store on the platform; false while the fleet is not counted.
-func (l *Lender) Note(now time.Time) (Note, bool) {
+func (l *Lender) Checkpoint(now time.Time) (Checkpoint, bool) {
 	if l.termStart.IsZero() || l.countingFleet(now) {
-		return Note{}, false
+		return Checkpoint{}, false
 	}
 	l.reviewLowUsage(now)
-	c := Note{Instances: l.checkpointInstances(now)}
+	c := Checkpoint{Instances: l.checkpointInstances(now)}
 	for name, a := range l.accounts {
 		if a.publish {
-			c.Moderate = append(c.Moderate, name)
+			c.LowUsage = append(c.LowUsage, name)
 		}
 	}
-	slices.Sort(c.Moderate)
+	slices.Sort(c.LowUsage)
 	return c, true
 }
 
@@ -138,14 +138,14 @@
 }
 
 // CheckpointStored records that a checkpoint is stored on the platform.
-func (l *Lender) Noted(c Note) {
+func (l *Lender) CheckpointStored(c Checkpoint) {
 	for name, a := range l.accounts {
-		inCheckpoint := slices.Contains(c.Moderate, name)
+		inCheckpoint := slices.Contains(c.LowUsage, name)
 		if a.limited && !a.publish && !inCheckpoint {
 			a.limited = false
 		}
 	}
-	l.storedLowUsage = c.Moderate
+	l.storedLowUsage = c.LowUsage
 	l.updateLowUsage()
 }
 
--- a/quota/part.go
+++ b/quota/part.go
@@ -8,16 +8,16 @@
 
 // Fraction is one instance's fraction of all quotas, from 0 to 1. Over all instances the fractions
 // add up to at most 1.
-type Part float64
+type Fraction float64
 
 // equalFraction is the fraction of one instance if all have the same.
-func equalFraction(fleet int) Part { return 1 / Part(max(1, fleet)) }
+func equalFraction(fleet int) Fraction { return 1 / Fraction(max(1, fleet)) }
 
 // Contribution is what an instance leaves to the lender: its fraction, for a time that has
 // elapsed.
-type Passed struct {
-	Time time.Duration
-	Part Part
+type Contribution struct {
+	Elapsed  time.Duration
+	Fraction Fraction
 	// Fleet is the number of instances that it knows of; 0 if it has not been told.
 	Fleet int
 	// Advanced is how much of the elapsed time was already granted in advance.
@@ -27,11 +27,11 @@
 }
 
 // Allocation is the lender's answer to a contribution.
-type Standing struct {
+type Allocation struct {
 	// Fleet is the number of instances; 0 leaves fleet size and fraction unchanged.
-	Fleet int
-	Part  Part
+	Fleet    int
+	Fraction Fraction
 	// LowUsage lists all low-usage organisations, if Version differs from the instance's own.
-	Moderate []galenastair.Organisation
+	LowUsage []galenastair.Organisation
 	Version  int64
 }
--- a/quota/pass.go
+++ b/quota/pass.go
@@ -12,7 +12,7 @@
 // it. first reports that no earlier process of this instance has used this checkpoint. A later
 // process starts with nothing, because an instance that restarts repeatedly would otherwise spend
 // the advance each time.
-func (b *Share) Presume(now time.Time, self galenastair.InstanceID, c Note, first bool) {
+func (b *Borrower) Restore(now time.Time, self galenastair.InstanceID, c Checkpoint, first bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.lenderAnswered.IsZero() || len(c.Instances) == 0 {
@@ -23,20 +23,20 @@
 		b.fraction = equalFraction(b.fleet)
 	}
 	if first {
-		b.setLowUsage(c.Moderate)
+		b.setLowUsage(c.LowUsage)
 	} else {
 		b.reserveFrom = now.Add(b.tolerance.Window)
 	}
 }
 
 // SetFleet sets the number of instances when this one holds no fraction of the quotas.
-func (b *Share) SetFleet(fleet int) {
+func (b *Borrower) SetFleet(fleet int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fleet, b.fraction = fleet, 0
 }
 
-func (b *Share) setLowUsage(list []galenastair.Organisation) {
+func (b *Borrower) setLowUsage(list []galenastair.Organisation) {
 	clear(b.lowUsage)
 	for _, o := range list {
 		b.lowUsage[o] = true
@@ -45,12 +45,12 @@
 
 // TakeContribution returns what has not been contributed yet. It counts as contributed whether or
 // not the lender receives it.
-func (b *Share) Pass(now time.Time) Passed {
+func (b *Borrower) TakeContribution(now time.Time) Contribution {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c := Passed{Fleet: b.fleet, Part: b.fraction, Version: b.version}
+	c := Contribution{Fleet: b.fleet, Fraction: b.fraction, Version: b.version}
 	if !b.fallback && !b.contributedUntil.IsZero() {
-		c.Time = max(0, now.Sub(b.contributedUntil))
+		c.Elapsed = max(0, now.Sub(b.contributedUntil))
 		c.Advanced = b.advancedSinceContribution(now)
 	}
 	b.contributedUntil = now
@@ -59,7 +59,7 @@
 
 // advancedSinceContribution returns how much of the time since the last contribution was granted
 // in advance, by organisation.
-func (b *Share) advancedSinceContribution(now time.Time) map[galenastair.Organisation]time.Duration {
+func (b *Borrower) advancedSinceContribution(now time.Time) map[galenastair.Organisation]time.Duration {
 	var out map[galenastair.Organisation]time.Duration
 	for name, a := range b.accounts {
 		if !a.advancedUntil.After(b.contributedUntil) {
@@ -74,16 +74,16 @@
 }
 
 // SetAllocation applies the lender's answer and ends the fallback.
-func (b *Share) SetStanding(now time.Time, allocation Standing) {
+func (b *Borrower) SetAllocation(now time.Time, allocation Allocation) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.lenderAnswered = now
 	if allocation.Fleet > 0 {
-		b.fleet, b.fraction, b.allocated = allocation.Fleet, allocation.Part, true
+		b.fleet, b.fraction, b.allocated = allocation.Fleet, allocation.Fraction, true
 	}
 	if allocation.Version != b.version {
 		b.version = allocation.Version
-		b.setLowUsage(allocation.Moderate)
+		b.setLowUsage(allocation.LowUsage)
 	}
 	if b.fallback {
 		b.fallback, b.contributedUntil = false, now
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -16,21 +16,21 @@
 
 var (
 	start     = time.Unix(1000, 0)
-	tolerance = Terms{Window: 8 * time.Second, Over: 0.1, Slack: 17000}
+	tolerance = Tolerance{Window: 8 * time.Second, Ratio: 0.1, Slack: 17000}
 )
 
 func contract(rate, burst float64) *catalog.Catalog {
-	return catalog.New(1, catalog.Limits{}, nil, nil, []*catalog.Organisation{{Name: "org", Rate: rate, Burst: burst, InTokens: true}})
+	return catalog.New(1, catalog.Limits{}, nil, nil, []*catalog.Organisation{{Name: "org", Rate: rate, Burst: burst, CountsTokens: true}})
 }
 
 // fleet is a set of instances and their lender, driven by one clock.
 type fleet struct {
 	now       time.Time
 	lender    *Lender
-	borrowers []*Share
+	borrowers []*Borrower
 	spent     []spent
 	// checkpoint is what lenders have stored on the platform.
-	checkpoint   Note
+	checkpoint   Checkpoint
 	checkpointAt time.Time
 	// restored holds the instances that have restarted since the checkpoint was stored.
 	restored map[int]bool
@@ -44,10 +44,10 @@
 func newFleet(n int, rate, burst float64) *fleet {
 	f := &fleet{now: start, lender: NewLender(tolerance), restored: map[int]bool{}}
 	f.lender.SetContracts(contract(rate, burst))
-	f.lender.Reset(f.now, Note{})
+	f.lender.Reset(f.now, Checkpoint{})
 	rng := rand.New(rand.NewPCG(uint64(n), 2))
 	for range n {
-		s := NewShare(tolerance, WithRandom(rng.Float64))
+		s := NewBorrower(tolerance, WithRandom(rng.Float64))
 		s.SetContracts(f.now, contract(rate, burst))
 		f.borrowers = append(f.borrowers, s)
 	}
@@ -56,7 +56,7 @@
 
 // restore applies the checkpoint to an instance that starts, as the lease elector does.
 func (f *fleet) restore(i int) {
-	f.borrowers[i].Presume(f.now, id(i), f.checkpoint, !f.restored[i])
+	f.borrowers[i].Restore(f.now, id(i), f.checkpoint, !f.restored[i])
 	f.restored[i] = true
 }
 
@@ -65,21 +65,21 @@
 // exchange runs one instance's exchange with the lender.
 func (f *fleet) exchange(i int) {
 	s := f.borrowers[i]
-	requests, contribution := s.Asks(f.now), s.Pass(f.now)
-	allocation := f.lender.Heard(f.now, id(i), contribution)
+	requests, contribution := s.LoanRequests(f.now), s.TakeContribution(f.now)
+	allocation := f.lender.Contribute(f.now, id(i), contribution)
 	for _, a := range requests {
 		lent := f.lender.Lend(f.now, a)
 		if lent > 0 {
-			s.Lent(f.now, a.Organisation, lent)
+			s.AddLoan(f.now, a.Organisation, lent)
 		}
 	}
-	s.SetStanding(f.now, allocation)
+	s.SetAllocation(f.now, allocation)
 	f.saveCheckpoint()
 }
 
 // saveCheckpoint stores the checkpoint if it has changed, as the lease holder does every 0.45 s.
 func (f *fleet) saveCheckpoint() {
-	n, ok := f.lender.Note(f.now)
+	n, ok := f.lender.Checkpoint(f.now)
 	if !ok || f.now.Sub(f.checkpointAt) < 450*time.Millisecond {
 		return
 	}
@@ -88,22 +88,22 @@
 		return
 	}
 	f.checkpoint, f.restored = n, map[int]bool{}
-	f.lender.Noted(n)
+	f.lender.CheckpointStored(n)
 }
 
 // request charges one request at an instance, as the gateway does.
 func (f *fleet) request(i int, cost float64, reached bool) bool {
 	s := f.borrowers[i]
 	ok := s.Take(f.now, "org", cost)
-	if !ok && !s.Alone() {
-		switch shortfall, mayBorrow := s.Lacks(f.now, "org", cost); {
+	if !ok && !s.InFallback() {
+		switch shortfall, mayBorrow := s.Shortfall(f.now, "org", cost); {
 		case !mayBorrow:
 		case !reached:
-			s.MissLender(f.now)
-			ok = s.Retake(f.now, "org", cost)
+			s.ReportLenderUnavailable(f.now)
+			ok = s.RetryTake(f.now, "org", cost)
 		default:
-			s.Lent(f.now, "org", f.lender.LendAll(f.now, Ask{"org", shortfall}))
-			ok = s.Retake(f.now, "org", cost)
+			s.AddLoan(f.now, "org", f.lender.LendExact(f.now, LoanRequest{"org", shortfall}))
+			ok = s.RetryTake(f.now, "org", cost)
 		}
 	}
 	if ok {
@@ -127,7 +127,7 @@
 }
 
 func bound(rate, burst float64) float64 {
-	return (rate*tolerance.Window.Seconds()+burst)*(1+tolerance.Over) + tolerance.Slack
+	return (rate*tolerance.Window.Seconds()+burst)*(1+tolerance.Ratio) + tolerance.Slack
 }
 
 // An organisation sends far more than its rate through all instances while some are partitioned
@@ -179,7 +179,7 @@
 			f.lender.Reset(lenderFrom, f.checkpoint)
 		case 2:
 			i := rng.IntN(n)
-			f.borrowers[i] = NewShare(tolerance, WithRandom(rng.Float64))
+			f.borrowers[i] = NewBorrower(tolerance, WithRandom(rng.Float64))
 			f.borrowers[i].SetContracts(f.now, contract(rate, rate))
 			f.restore(i)
 		case 3:
@@ -192,7 +192,7 @@
 				if reached {
 					f.exchange(i)
 				} else {
-					f.borrowers[i].MissLender(f.now)
+					f.borrowers[i].ReportLenderUnavailable(f.now)
 				}
 			}
 			for range 2 {
@@ -224,7 +224,7 @@
 				if up {
 					f.exchange(i)
 				} else {
-					f.borrowers[i].MissLender(f.now)
+					f.borrowers[i].ReportLenderUnavailable(f.now)
 				}
 			}
 			owed[i] += rate * load * w * 0.01
@@ -275,10 +275,10 @@
 // A lowered limit takes effect at once: loans made under the higher limit are void.
 func TestLoweredLimitVoidsLoans(t *testing.T) {
 	is := is.New(t)
-	s := NewShare(tolerance)
+	s := NewBorrower(tolerance)
 	s.SetContracts(start, contract(50000, 50000))
-	s.SetStanding(start, Standing{Fleet: 1, Part: 1})
-	s.Lent(start, "org", 20000)
+	s.SetAllocation(start, Allocation{Fleet: 1, Fraction: 1})
+	s.AddLoan(start, "org", 20000)
 	s.SetContracts(start, contract(1000, 1000))
 	is.True(!s.Take(start, "org", 2000))
 }
@@ -290,9 +290,9 @@
 	f.now = f.now.Add(5 * time.Second)
 	f.exchange(0)
 	before := f.lender.accounts["org"].level
-	f.borrowers[0].Lent(f.now, "org", f.lender.LendAll(f.now, Ask{"org", 5000}))
+	f.borrowers[0].AddLoan(f.now, "org", f.lender.LendExact(f.now, LoanRequest{"org", 5000}))
 	f.now = f.now.Add(loanTTL)
-	f.borrowers[0].SetStanding(f.now, Standing{Fleet: 1, Part: 1})
+	f.borrowers[0].SetAllocation(f.now, Allocation{Fleet: 1, Fraction: 1})
 	is.True(!f.borrowers[0].Take(f.now, "org", 5000))
 	f.exchange(0)
 	is.True(f.lender.accounts["org"].level >= before)
@@ -301,7 +301,7 @@
 // An organisation without a limit is never refused.
 func TestNoLimit(t *testing.T) {
 	is := is.New(t)
-	s := NewShare(tolerance)
+	s := NewBorrower(tolerance)
 	s.SetContracts(start, contract(0, 0))
 	is.True(s.Take(start, "org", 1e9))
 }
@@ -311,8 +311,8 @@
 // before there were contracts.
 func TestContractsArriveAfterFallbackStarts(t *testing.T) {
 	is := is.New(t)
-	s := NewShare(tolerance)
-	s.MissLender(start)
+	s := NewBorrower(tolerance)
+	s.ReportLenderUnavailable(start)
 	s.SetContracts(start, contract(200000, 200000))
 	is.True(s.Take(start, "org", 500))
 }
@@ -335,7 +335,7 @@
 // would give an infinite rate, so that no organisation had a limit.
 func TestNoWindowLendsTheBareQuota(t *testing.T) {
 	is := is.New(t)
-	rate, size := Terms{}.Lending(&catalog.Organisation{Rate: 100, Burst: 500})
+	rate, size := Tolerance{}.LendingBucket(&catalog.Organisation{Rate: 100, Burst: 500})
 	is.Equal(rate, 100.0)
 	is.Equal(size, 500.0)
 }
@@ -346,7 +346,7 @@
 	is := is.New(t)
 	const rate, burst = 1000.0, 60000.0
 	f := newFleet(2, rate, burst)
-	_, size := tolerance.Lending(&catalog.Organisation{Rate: rate, Burst: burst})
+	_, size := tolerance.LendingBucket(&catalog.Organisation{Rate: rate, Burst: burst})
 	is.True(size < burst)
 	for range 200 {
 		f.now = f.now.Add(300 * time.Millisecond)
