--- a/quota/restart_test.go
+++ b/quota/restart_test.go
@@ -13,7 +13,7 @@
 // restartAll runs a fleet in which all instances lose their state at once, while requests arrive
 // at a fraction of the rate. The next lender starts after the given time without one. It returns
 // the fraction of requests refused in the first two seconds after the restart.
-func restartAll(n int, known func(Note) Note, rate, load float64, without time.Duration) float64 {
+func restartAll(n int, known func(Checkpoint) Checkpoint, rate, load float64, without time.Duration) float64 {
 	const cost = 2390.0
 	f := newFleet(n, rate, rate)
 	weights := make([]float64, n)
@@ -27,9 +27,9 @@
 	rng := rand.New(rand.NewPCG(1, uint64(n)))
 	checkpoint := known(f.checkpoint)
 	for i := range f.borrowers {
-		f.borrowers[i] = NewShare(tolerance, WithRandom(rng.Float64))
+		f.borrowers[i] = NewBorrower(tolerance, WithRandom(rng.Float64))
 		f.borrowers[i].SetContracts(f.now, contract(rate, rate))
-		f.borrowers[i].Presume(f.now, id(i), checkpoint, true)
+		f.borrowers[i].Restore(f.now, id(i), checkpoint, true)
 	}
 	f.lender.Reset(f.now.Add(without), checkpoint)
 	before := len(f.spent)
@@ -49,9 +49,9 @@
 func TestRestartOfAllRefusesLittle(t *testing.T) {
 	is := is.New(t)
 	const without = 1300 * time.Millisecond
-	refused := restartAll(6, func(c Note) Note { return c }, 40000, 0.5, without)
-	counted := restartAll(6, func(c Note) Note { return Note{Instances: c.Instances} }, 40000, 0.5, without)
-	unknown := restartAll(6, func(Note) Note { return Note{} }, 40000, 0.5, without)
+	refused := restartAll(6, func(c Checkpoint) Checkpoint { return c }, 40000, 0.5, without)
+	counted := restartAll(6, func(c Checkpoint) Checkpoint { return Checkpoint{Instances: c.Instances} }, 40000, 0.5, without)
+	unknown := restartAll(6, func(Checkpoint) Checkpoint { return Checkpoint{} }, 40000, 0.5, without)
 	t.Logf("refused: %.2f; %.2f with the count alone, %.2f with nothing", refused, counted, unknown)
 	is.True(refused < 0.05)
 	is.True(counted < 0.15)
@@ -64,7 +64,7 @@
 	is := is.New(t)
 	const rate = 20000.0
 	f := newFleet(2, rate, rate)
-	f.lender.Reset(f.now, Note{Instances: []galenastair.InstanceID{"0", "1"}})
+	f.lender.Reset(f.now, Checkpoint{Instances: []galenastair.InstanceID{"0", "1"}})
 	for range 10 {
 		f.now = f.now.Add(300 * time.Millisecond)
 		f.exchange(0)
@@ -74,14 +74,14 @@
 	for range 30 { // the second is partitioned until its timeout
 		f.now = f.now.Add(300 * time.Millisecond)
 		f.exchange(0)
-		f.borrowers[1].MissLender(f.now)
+		f.borrowers[1].ReportLenderUnavailable(f.now)
 	}
-	is.Equal(f.borrowers[0].fraction, Part(1))
+	is.Equal(f.borrowers[0].fraction, Fraction(1))
 	f.exchange(1)
-	is.Equal(f.borrowers[1].fraction, Part(0))
+	is.Equal(f.borrowers[1].fraction, Fraction(0))
 	f.exchange(0)
 	f.exchange(1)
-	is.Equal(f.borrowers[1].fraction, Part(0)) // the first may not have received the answer
+	is.Equal(f.borrowers[1].fraction, Fraction(0)) // the first may not have received the answer
 	f.exchange(0)
 	f.exchange(1)
 	is.Equal(f.borrowers[0].fraction, equalFraction(2))
@@ -97,20 +97,20 @@
 	lenders := []*Lender{NewLender(tolerance), NewLender(tolerance)}
 	for _, l := range lenders {
 		l.SetContracts(contract(rate, rate))
-		l.Reset(now, Note{Instances: []galenastair.InstanceID{"a"}})
+		l.Reset(now, Checkpoint{Instances: []galenastair.InstanceID{"a"}})
 	}
-	s := NewShare(tolerance)
+	s := NewBorrower(tolerance)
 	s.SetContracts(now, contract(rate, rate))
-	s.Presume(now, "a", Note{Instances: []galenastair.InstanceID{"a"}}, true)
-	s.SetStanding(now, lenders[0].Heard(now, "a", s.Pass(now)))
+	s.Restore(now, "a", Checkpoint{Instances: []galenastair.InstanceID{"a"}}, true)
+	s.SetAllocation(now, lenders[0].Contribute(now, "a", s.TakeContribution(now)))
 	taken := 0.0
 	for i := range 40 {
 		now = now.Add(200 * time.Millisecond)
 		l := lenders[i%2]
-		s.SetStanding(now, l.Heard(now, "a", s.Pass(now)))
+		s.SetAllocation(now, l.Contribute(now, "a", s.TakeContribution(now)))
 		taken += l.accounts["org"].takeUpTo(1e9)
 	}
-	lent, _ := tolerance.Lending(contract(rate, rate).Organisation("org"))
+	lent, _ := tolerance.LendingBucket(contract(rate, rate).Organisation("org"))
 	is.True(taken <= lent*8+1)
 }
 
@@ -141,22 +141,22 @@
 	is := is.New(t)
 	const rate = 20000.0
 	now := start
-	s := NewShare(tolerance)
+	s := NewBorrower(tolerance)
 	s.SetContracts(now, contract(rate, rate))
-	s.Presume(now, "a", Note{Instances: []galenastair.InstanceID{"a"}, Moderate: []galenastair.Organisation{"org"}}, true)
-	s.MissLender(now)
+	s.Restore(now, "a", Checkpoint{Instances: []galenastair.InstanceID{"a"}, LowUsage: []galenastair.Organisation{"org"}}, true)
+	s.ReportLenderUnavailable(now)
 	for s.Take(now, "org", 100) {
 	}
 	now = now.Add(advancePeriod + time.Second)
-	s.SetStanding(now, Standing{Fleet: 1, Part: 1})
+	s.SetAllocation(now, Allocation{Fleet: 1, Fraction: 1})
 	now = start.Add(tolerance.Window - time.Second)
-	s.SetStanding(now, Standing{Fleet: 1, Part: 1})
-	s.MissLender(now)
+	s.SetAllocation(now, Allocation{Fleet: 1, Fraction: 1})
+	s.ReportLenderUnavailable(now)
 	is.True(!s.Take(now, "org", 100))
 	// one window later the reserve is available again
 	now = start.Add(tolerance.Window + time.Second)
-	s.SetStanding(now, Standing{Fleet: 1, Part: 1})
-	s.MissLender(now)
+	s.SetAllocation(now, Allocation{Fleet: 1, Fraction: 1})
+	s.ReportLenderUnavailable(now)
 	is.True(s.Take(now, "org", 100))
 }
 
@@ -167,12 +167,12 @@
 	const rate = 20000.0
 	for _, after := range []time.Duration{0, lenderWarmup - time.Millisecond, lenderWarmup} {
 		now := start
-		s := NewShare(tolerance)
+		s := NewBorrower(tolerance)
 		s.SetContracts(now, contract(rate, rate))
-		s.Presume(now, "a", Note{Instances: []galenastair.InstanceID{"a"}}, true)
-		s.MissLender(now)
+		s.Restore(now, "a", Checkpoint{Instances: []galenastair.InstanceID{"a"}}, true)
+		s.ReportLenderUnavailable(now)
 		now = now.Add(2 * time.Second)
-		s.SetStanding(now, Standing{Fleet: 1, Part: 1})
+		s.SetAllocation(now, Allocation{Fleet: 1, Fraction: 1})
 		is.Equal(s.Take(now.Add(after), "org", 1000), after < lenderWarmup)
 	}
 }
@@ -184,11 +184,11 @@
 	is := is.New(t)
 	const rate = 20000.0
 	now := start
-	s := NewShare(tolerance)
+	s := NewBorrower(tolerance)
 	s.SetContracts(now, contract(rate, rate))
-	s.SetStanding(now, Standing{Fleet: 2, Part: 0.5})
+	s.SetAllocation(now, Allocation{Fleet: 2, Fraction: 0.5})
 	own := func() float64 {
-		s.MissLender(now)
+		s.ReportLenderUnavailable(now)
 		s.Take(now, "org", 1)
 		return s.accounts["org"].local.rate
 	}
@@ -196,10 +196,10 @@
 	now = now.Add(instanceTimeout)
 	spent := own()
 	is.True(spent < whole/2)
-	s.SetStanding(now, Standing{})
+	s.SetAllocation(now, Allocation{})
 	now = now.Add(time.Second)
 	is.Equal(own(), spent)
-	s.SetStanding(now, Standing{Fleet: 2, Part: 0.5})
+	s.SetAllocation(now, Allocation{Fleet: 2, Fraction: 0.5})
 	now = now.Add(time.Second)
 	is.Equal(own(), whole)
 }
--- a/quota/share.go
+++ b/quota/share.go
@@ -33,15 +33,15 @@
 )
 
 // LoanRequest asks for an amount for an organisation; a negative amount returns a loan.
-type Ask struct {
+type LoanRequest struct {
 	Organisation galenastair.Organisation
 	Amount       float64
 }
 
 // Borrower is the quota state of one instance: the loans that it holds, and its own fraction of
 // all quotas for the time when no lender answers.
-type Share struct {
-	tolerance Terms
+type Borrower struct {
+	tolerance Tolerance
 	// random draws a number in [0, 1).
 	random func() float64
 
@@ -49,7 +49,7 @@
 	accounts map[galenastair.Organisation]*account
 	// fleet is 0 until it is known.
 	fleet          int
-	fraction       Part
+	fraction       Fraction
 	lenderAnswered time.Time
 	fallback       bool
 	// fallbackSince is when the first fallback after the last allocation began, and allocated
@@ -88,14 +88,14 @@
 }
 
 // BorrowerOption configures a Borrower.
-type ShareOption func(*Share)
+type BorrowerOption func(*Borrower)
 
 // WithRandom replaces the random source, which returns numbers in [0, 1).
-func WithRandom(f func() float64) ShareOption { return func(b *Share) { b.random = f } }
+func WithRandom(f func() float64) BorrowerOption { return func(b *Borrower) { b.random = f } }
 
 // NewBorrower returns a borrower without contracts.
-func NewShare(t Terms, opts ...ShareOption) *Share {
-	b := &Share{tolerance: t, random: rand.Float64, accounts: map[galenastair.Organisation]*account{}, fraction: equalFraction(defaultFleet), allocated: true,
+func NewBorrower(t Tolerance, opts ...BorrowerOption) *Borrower {
+	b := &Borrower{tolerance: t, random: rand.Float64, accounts: map[galenastair.Organisation]*account{}, fraction: equalFraction(defaultFleet), allocated: true,
 		lowUsage: map[galenastair.Organisation]bool{}}
 	for _, o := range opts {
 		o(b)
@@ -104,11 +104,11 @@
 }
 
 // SetContracts sets the organisations' quotas from a version of the configuration.
-func (b *Share) SetContracts(now time.Time, c *catalog.Catalog) {
+func (b *Borrower) SetContracts(now time.Time, c *catalog.Catalog) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	seen := map[galenastair.Organisation]bool{}
-	c.Organisations(func(o *catalog.Organisation) {
+	c.ForEachOrganisation(func(o *catalog.Organisation) {
 		if o.Rate <= 0 {
 			return
 		}
@@ -118,7 +118,7 @@
 			a = &account{}
 			b.accounts[o.Name] = a
 		}
-		rate, capacity := b.tolerance.Lending(o)
+		rate, capacity := b.tolerance.LendingBucket(o)
 		if rate < a.rate || capacity < a.capacity {
 			// what was lent under the higher limit must not be spent under the lower one
 			a.loan = 0
@@ -145,7 +145,7 @@
 }
 
 // Fleet returns the number of instances, or defaultFleet if it is not known.
-func (b *Share) Fleet() int {
+func (b *Borrower) Fleet() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.fleet == 0 {
@@ -156,21 +156,21 @@
 
 // ReportedFleet returns the number of instances that a lender or a checkpoint has named; 0 if none
 // has.
-func (b *Share) Told() int {
+func (b *Borrower) ReportedFleet() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.fleet
 }
 
 // InFallback reports whether this instance spends its own fraction because no lender answers.
-func (b *Share) Alone() bool {
+func (b *Borrower) InFallback() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.fallback
 }
 
 // Take charges an organisation; it returns false if this instance holds too little.
-func (b *Share) Take(now time.Time, o galenastair.Organisation, cost float64) bool {
+func (b *Borrower) Take(now time.Time, o galenastair.Organisation, cost float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	a := b.accounts[o]
@@ -186,7 +186,7 @@
 }
 
 // RetryTake charges an organisation again, after a loan.
-func (b *Share) Retake(now time.Time, o galenastair.Organisation, cost float64) bool {
+func (b *Borrower) RetryTake(now time.Time, o galenastair.Organisation, cost float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	a := b.accounts[o]
@@ -194,7 +194,7 @@
 }
 
 // take spends the loan first, since it expires. One charge may use both loan and local bucket.
-func (b *Share) take(now time.Time, a *account, cost float64) bool {
+func (b *Borrower) take(now time.Time, a *account, cost float64) bool {
 	loan := a.loan
 	if !now.Before(a.loanExpires) {
 		loan = 0
@@ -225,27 +225,27 @@
 }
 
 // LoanRequests returns what to borrow ahead of demand, and returns expired loans.
-func (b *Share) Asks(now time.Time) []Ask {
+func (b *Borrower) LoanRequests(now time.Time) []LoanRequest {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var out []Ask
+	var out []LoanRequest
 	for name, a := range b.accounts {
 		if a.loan > 0 && !now.Before(a.loanExpires) {
-			out = append(out, Ask{name, -a.loan})
+			out = append(out, LoanRequest{name, -a.loan})
 			a.loan = 0
 		}
 		want := a.demandNow(now) * prefetchPeriod.Seconds()
 		if want < prefetchMinRequests*a.largestCost || want <= a.loan {
 			continue
 		}
-		out = append(out, Ask{name, want - a.loan})
+		out = append(out, LoanRequest{name, want - a.loan})
 	}
 	return out
 }
 
 // Shortfall returns how much an organisation's loan lacks for a request; false if the lender has
 // denied a loan within denialTTL.
-func (b *Share) Lacks(now time.Time, o galenastair.Organisation, cost float64) (float64, bool) {
+func (b *Borrower) Shortfall(now time.Time, o galenastair.Organisation, cost float64) (float64, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	a := b.accounts[o]
@@ -259,7 +259,7 @@
 }
 
 // AddLoan adds a loan. An empty loan keeps the next requests from asking the lender.
-func (b *Share) Lent(now time.Time, o galenastair.Organisation, amount float64) {
+func (b *Borrower) AddLoan(now time.Time, o galenastair.Organisation, amount float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	a := b.accounts[o]
@@ -277,7 +277,7 @@
 
 // RetryAfter estimates when an organisation over its quota has room for a request: twice the
 // time in which its rate earns the cost, as other requests probably wait too.
-func (b *Share) Wait(o galenastair.Organisation, cost float64) time.Duration {
+func (b *Borrower) RetryAfter(o galenastair.Organisation, cost float64) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	a := b.accounts[o]
--- a/quota/terms.go
+++ b/quota/terms.go
@@ -8,9 +8,9 @@
 
 // Tolerance is how much an organisation may get over its quota, in any time span of length Window:
 // Ratio times what the quota allows in that span, plus Slack.
-type Terms struct {
+type Tolerance struct {
 	Window time.Duration
-	Over   float64
+	Ratio  float64
 	Slack  float64
 }
 
@@ -21,15 +21,17 @@
 const burstFraction = 0.38
 
 // allowance returns what an organisation may get beyond its quota in a window.
-func (t Terms) allowance(o *catalog.Organisation) float64 {
-	return t.Over*(t.Window.Seconds()*o.Rate+o.Burst) + t.Slack
+func (t Tolerance) allowance(o *catalog.Organisation) float64 {
+	return t.Ratio*(t.Window.Seconds()*o.Rate+o.Burst) + t.Slack
 }
 
 // burstAllowance returns the part of the allowance that is added to the burst.
-func (t Terms) burstAllowance(o *catalog.Organisation) float64 { return burstFraction * t.allowance(o) }
+func (t Tolerance) burstAllowance(o *catalog.Organisation) float64 {
+	return burstFraction * t.allowance(o)
+}
 
 // MaxBurst returns the most that an organisation may take at one moment.
-func (t Terms) Most(o *catalog.Organisation) float64 { return o.Burst + t.burstAllowance(o) }
+func (t Tolerance) MaxBurst(o *catalog.Organisation) float64 { return o.Burst + t.burstAllowance(o) }
 
 // LendingBucket returns the rate and size of the bucket that an organisation borrows from.
 //
@@ -39,13 +41,13 @@
 // are refused, the large ones first. Therefore the burst accrues over the window together with the
 // rate, as far as this leaves a bucket that is large enough for clusters of requests. The most
 // that a window can grant, size + rate x window, stays the same.
-func (t Terms) Lending(o *catalog.Organisation) (rate, size float64) {
+func (t Tolerance) LendingBucket(o *catalog.Organisation) (rate, size float64) {
 	if t.Window <= 0 {
 		// without a window there is no time over which to spread the burst
-		return o.Rate, t.Most(o)
+		return o.Rate, t.MaxBurst(o)
 	}
 	size = max(t.burstAllowance(o), o.Burst-t.burstAllowance(o))
-	return o.Rate + (t.Most(o)-size)/t.Window.Seconds(), size
+	return o.Rate + (t.MaxBurst(o)-size)/t.Window.Seconds(), size
 }
 
 // reserveFraction is the fraction of the allowance that instances start with when the lender stops
@@ -54,7 +56,7 @@
 const reserveFraction = 0.15
 
 // reserve returns what all instances together may start a fallback with.
-func (t Terms) reserve(o *catalog.Organisation) float64 {
+func (t Tolerance) reserve(o *catalog.Organisation) float64 {
 	return reserveFraction * t.allowance(o)
 }
 
--- a/rate/bench_test.go
+++ b/rate/bench_test.go
@@ -62,7 +62,7 @@
 			defer s.Close()
 			client := &http.Client{Transport: &http.Transport{Protocols: &protocols}}
 			peer := ratepb.NewRateProtobufClient(s.URL, client)
-			req := LoanRequest{ShareID: Account{testOrganisation, 0}, ID: LoanID{"entry-17-8f14e45f", 1000}, Need: 1000, Want: 1000}
+			req := LoanRequest{ShareID: ShareID{testOrganisation, 0}, ID: LoanID{"entry-17-8f14e45f", 1000}, Need: 1000, Want: 1000}
 			request := toExchangeRequest(req.ID.Borrower, exchangeContent{loanRequests: []LoanRequest{req}})
 			size := 0
 			for b.Loop() {
@@ -87,12 +87,12 @@
 		before := heapAlloc()
 		h := NewHolder()
 		for i := range shares {
-			h.Open(now, Account{galenastair.Organisation(fmt.Sprint(i)), 0}, Limits{Rate: 1 << 20, Burst: 1 << 28})
+			h.Open(now, ShareID{galenastair.Organisation(fmt.Sprint(i)), 0}, Limits{Rate: 1 << 20, Burst: 1 << 28})
 		}
 		empty := heapAlloc()
 		later := now.Add(time.Hour)
 		for i := range shares * loans {
-			shareID := Account{galenastair.Organisation(fmt.Sprint(i % shares)), 0}
+			shareID := ShareID{galenastair.Organisation(fmt.Sprint(i % shares)), 0}
 			id := LoanID{"entry-17-8f14e45f", LoanNumber(i)}
 			h.Lend(later, LoanRequest{shareID, id, 10, 10})
 			h.Settle(later, Report{shareID, id, 5})
--- a/rate/borrowed.go
+++ b/rate/borrowed.go
@@ -13,7 +13,7 @@
 // borrowedLoan is a loan as the borrower records it.
 type borrowedLoan struct {
 	id        LoanID
-	shareID   Account
+	shareID   ShareID
 	holder    galenastair.Peer
 	limits    Limits
 	tokens    galenastair.Tokens
@@ -26,7 +26,7 @@
 // newBorrowedLoan counts LoanTTL from when the request was sent. The holder counts from
 // when it granted the loan, which is later, so the loan expires here first however long
 // the response takes and whichever side is paused.
-func newBorrowedLoan(resp LoanResponse, shareID Account, id LoanID, holder galenastair.Peer, sent time.Time) *borrowedLoan {
+func newBorrowedLoan(resp LoanResponse, shareID ShareID, id LoanID, holder galenastair.Peer, sent time.Time) *borrowedLoan {
 	return &borrowedLoan{
 		id:        id,
 		shareID:   shareID,
--- a/rate/compare/holders.go
+++ b/rate/compare/holders.go
@@ -137,7 +137,7 @@
 }
 
 func (v view) Now() time.Time                            { return v.holders.env.now }
-func (v view) assignment() rate.Duties                   { return v }
+func (v view) assignment() rate.Assignment               { return v }
 func (v view) contracts() rate.Contracts                 { return v }
 func (v view) Self() galenastair.Peer                    { return v.holders.peers[v.index] }
 func (v view) Epoch() galenastair.Epoch                  { return v.holders.epoch }
@@ -145,16 +145,16 @@
 func (v view) Offset() galenastair.Offset                { return 1 }
 func (v view) Organisations() []galenastair.Organisation { return v.holders.organisations }
 
-func (v view) Owner(id rate.Account) (galenastair.Peer, bool) {
+func (v view) Owner(id rate.ShareID) (galenastair.Peer, bool) {
 	return v.holders.owners[id.Organisation][id.Slot], true
 }
 
-func (v view) Holds(id rate.Account, _ time.Time) bool {
+func (v view) Owns(id rate.ShareID, _ time.Time) bool {
 	p, _ := v.Owner(id)
 	return p == v.Self()
 }
 
-func (v view) Serves(id rate.Account, _ time.Time) bool {
+func (v view) Serves(id rate.ShareID, _ time.Time) bool {
 	p, _ := v.Owner(id)
 	return p == v.Self()
 }
--- a/rate/duties.go
+++ b/rate/duties.go
@@ -7,18 +7,18 @@
 )
 
 // Assignment is a snapshot of which instance owns which share. It is immutable.
-type Duties interface {
+type Assignment interface {
 	Self() galenastair.Peer
 	Epoch() galenastair.Epoch
 	// Incarnation increases each time this instance joins the members again.
 	Incarnation() int64
 	// Owner returns the instance to which the epoch assigns a share.
-	Owner(id Account) (galenastair.Peer, bool)
+	Owner(id ShareID) (galenastair.Peer, bool)
 	// Owns reports whether this instance's lease is valid and the epoch assigns it the
 	// share.
-	Holds(id Account, now time.Time) bool
+	Owns(id ShareID, now time.Time) bool
 	// Serves reports whether Owns holds and no earlier owner may still serve the share.
-	Serves(id Account, now time.Time) bool
+	Serves(id ShareID, now time.Time) bool
 }
 
 // Contracts is a snapshot of the configuration at one log offset. It is immutable.
--- a/rate/fleet_test.go
+++ b/rate/fleet_test.go
@@ -61,10 +61,10 @@
 func (f fakeAssignment) Self() galenastair.Peer                    { return f.self }
 func (f fakeAssignment) Epoch() galenastair.Epoch                  { return f.epoch }
 func (f fakeAssignment) Incarnation() int64                        { return 1 }
-func (f fakeAssignment) Owner(id Account) (galenastair.Peer, bool) { return f.owners[id.Slot], true }
-func (f fakeAssignment) Holds(id Account, _ time.Time) bool        { return f.owners[id.Slot] == f.self }
-func (f fakeAssignment) Serves(id Account, now time.Time) bool {
-	return f.serves && f.Holds(id, now)
+func (f fakeAssignment) Owner(id ShareID) (galenastair.Peer, bool) { return f.owners[id.Slot], true }
+func (f fakeAssignment) Owns(id ShareID, _ time.Time) bool         { return f.owners[id.Slot] == f.self }
+func (f fakeAssignment) Serves(id ShareID, now time.Time) bool {
+	return f.serves && f.Owns(id, now)
 }
 
 // fleet is a set of limiters that call each other directly.
@@ -98,7 +98,7 @@
 }
 
 func (f *fleet) newLimiter(i int) *Limiter {
-	assignment := func() Duties {
+	assignment := func() Assignment {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		return f.assignments[i]
@@ -114,7 +114,7 @@
 		f.history = append(f.history, g)
 	}
 	newClient := func(p galenastair.Peer) ratepb.Rate { return directClient{f, p} }
-	opts := []Option{WithClock(f.clock), WithRateClient(newClient), WithHistory(onGrant)}
+	opts := []Option{WithClock(f.clock), WithRateClient(newClient), WithGrantObserver(onGrant)}
 	return New(assignment, contracts, opts...)
 }
 
--- a/rate/handover.go
+++ b/rate/handover.go
@@ -21,7 +21,7 @@
 // before it sends the handover and lends nothing from it afterwards, so its successor
 // can continue from the state in the handover.
 type Handover struct {
-	ShareID Account
+	ShareID ShareID
 	// Epoch is the epoch that reassigned the share.
 	Epoch galenastair.Epoch
 	// Limits are the limits that the former holder enforced.
@@ -36,7 +36,7 @@
 }
 
 // HandOver drops a share and returns its state for the successor.
-func (h *Holder) HandOver(now time.Time, id Account) (Handover, bool) {
+func (h *Holder) HandOver(now time.Time, id ShareID) (Handover, bool) {
 	share := h.shares[id]
 	if share == nil {
 		return Handover{}, false
@@ -93,7 +93,7 @@
 }
 
 // openHandedOver opens shares for which a handover was received.
-func (l *lender) openHandedOver(now time.Time, d Duties) {
+func (l *lender) openHandedOver(now time.Time, d Assignment) {
 	for id, h := range l.handovers {
 		if h.Epoch < d.Epoch() {
 			delete(l.handovers, id)
@@ -102,7 +102,7 @@
 		s := l.owned[id]
 		// the epoch must be reconciled first: entries in owned may belong to an older
 		// epoch
-		if h.applied || s == nil || h.Epoch != d.Epoch() || l.reconciled.epoch != d.Epoch() || !d.Holds(id, now) {
+		if h.applied || s == nil || h.Epoch != d.Epoch() || l.reconciled.epoch != d.Epoch() || !d.Owns(id, now) {
 			continue
 		}
 		h.applied = true
@@ -118,19 +118,19 @@
 // serves reports whether this instance may lend from a share: either all earlier
 // holders are known to have ended, or the last of them, to which that applied, has
 // handed the share over.
-func (l *lender) serves(now time.Time, d Duties, id Account) bool {
+func (l *lender) serves(now time.Time, d Assignment, id ShareID) bool {
 	if d.Serves(id, now) {
 		return true
 	}
 	s := l.owned[id]
-	return s != nil && s.handedOver && d.Holds(id, now)
+	return s != nil && s.handedOver && d.Owns(id, now)
 }
 
 // release drops a share that was reassigned and returns a handover for its new holder.
 //
 // It returns a handover only if the epoch advanced by one. In a missed epoch the share
 // may have belonged to another instance.
-func (l *lender) release(now time.Time, d Duties, id Account) (Handover, bool) {
+func (l *lender) release(now time.Time, d Assignment, id ShareID) (Handover, bool) {
 	delete(l.owned, id)
 	h, ok := l.holder.HandOver(now, id)
 	if !ok || d.Epoch() != l.reconciled.epoch+1 {
--- a/rate/holder.go
+++ b/rate/holder.go
@@ -24,7 +24,7 @@
 // no longer lend from it, drops the share when it loses the right to it, and checks its
 // lease immediately before each call of Lend.
 type Holder struct {
-	shares map[Account]*heldShare
+	shares map[ShareID]*heldShare
 }
 
 type heldShare struct {
@@ -47,7 +47,7 @@
 }
 
 // NewHolder returns a holder without shares.
-func NewHolder() *Holder { return &Holder{shares: make(map[Account]*heldShare)} }
+func NewHolder() *Holder { return &Holder{shares: make(map[ShareID]*heldShare)} }
 
 // Open opens a share whose former holder did not hand it over. The bucket starts empty
 // and refills only once every loan of the former holder has expired.
@@ -55,7 +55,7 @@
 // The former holder may have lent all of its tokens just before its lease ended, and
 // its loans outlive it. Tokens granted before they expire would be in addition to those
 // loans and could exceed the contract.
-func (h *Holder) Open(now time.Time, id Account, limits Limits) {
+func (h *Holder) Open(now time.Time, id ShareID, limits Limits) {
 	start := now.Add(holderLoanTTL)
 	h.shares[id] = newHeldShare(NewBucket(limits, start), start)
 }
@@ -65,13 +65,13 @@
 }
 
 // IsOpen reports whether the share is open.
-func (h *Holder) IsOpen(id Account) bool { return h.shares[id] != nil }
+func (h *Holder) IsOpen(id ShareID) bool { return h.shares[id] != nil }
 
 // Drop closes a share and discards its state.
-func (h *Holder) Drop(id Account) { delete(h.shares, id) }
+func (h *Holder) Drop(id ShareID) { delete(h.shares, id) }
 
 // SetLimits changes the limits of a share.
-func (h *Holder) SetLimits(now time.Time, id Account, limits Limits) {
+func (h *Holder) SetLimits(now time.Time, id ShareID, limits Limits) {
 	if share := h.shares[id]; share != nil {
 		share.expire(now)
 		share.bucket.SetLimits(now, limits)
--- a/rate/holder_test.go
+++ b/rate/holder_test.go
@@ -9,7 +9,7 @@
 	"galenastair"
 )
 
-var testShare = Account{testOrganisation, 0}
+var testShare = ShareID{testOrganisation, 0}
 
 func openHolder(limits Limits) (*Holder, time.Time) {
 	now := time.Unix(1000, 0)
--- a/rate/lender.go
+++ b/rate/lender.go
@@ -10,7 +10,7 @@
 // lender implements the holder side of this instance: it opens, updates and drops
 // shares as the assignment and the contracts change, and answers loan requests.
 type lender struct {
-	assignment func() Duties
+	assignment func() Assignment
 	contracts  func() Contracts
 
 	// reconciling serialises calls of reconcile. It guards writes of ownedSlots and,
@@ -20,8 +20,8 @@
 
 	mu         sync.Mutex
 	holder     *Holder
-	owned      map[Account]*ownedShare
-	handovers  map[Account]*receivedHandover
+	owned      map[ShareID]*ownedShare
+	handovers  map[ShareID]*receivedHandover
 	reconciled reconciledState
 	// appliedOffsets maps each other instance to the configuration offset that it is
 	// known to have applied.
@@ -35,13 +35,13 @@
 	offset      galenastair.Offset
 }
 
-func newLender(assignment func() Duties, contracts func() Contracts) *lender {
+func newLender(assignment func() Assignment, contracts func() Contracts) *lender {
 	return &lender{
 		assignment:     assignment,
 		contracts:      contracts,
 		holder:         NewHolder(),
-		owned:          make(map[Account]*ownedShare),
-		handovers:      make(map[Account]*receivedHandover),
+		owned:          make(map[ShareID]*ownedShare),
+		handovers:      make(map[ShareID]*receivedHandover),
 		appliedOffsets: make(map[galenastair.InstanceID]galenastair.Offset),
 	}
 }
@@ -80,7 +80,7 @@
 	defer l.reconciling.Unlock()
 	d, c := l.assignment(), l.contracts()
 	next := reconciledState{d.Epoch(), d.Incarnation(), c.Offset()}
-	var owned map[Account]Contract
+	var owned map[ShareID]Contract
 	if next != l.reconciled {
 		// ranking the members for thousands of organisations takes too long to hold the
 		// lock
@@ -99,7 +99,7 @@
 
 // update drops shares that were reassigned, returning handovers for them, and applies
 // changed contracts.
-func (l *lender) update(now time.Time, d Duties, next reconciledState, owned map[Account]Contract) (released []Handover) {
+func (l *lender) update(now time.Time, d Assignment, next reconciledState, owned map[ShareID]Contract) (released []Handover) {
 	all := l.missedEpoch(d)
 	for id := range l.owned {
 		if _, ok := owned[id]; ok && !all {
@@ -119,7 +119,7 @@
 // missedEpoch reports whether this instance has missed an epoch in which a share may
 // have belonged to another instance and returned. The recorded state of the share is
 // then out of date.
-func (l *lender) missedEpoch(d Duties) bool {
+func (l *lender) missedEpoch(d Assignment) bool {
 	if d.Incarnation() != l.reconciled.incarnation {
 		return true
 	}
@@ -127,18 +127,18 @@
 }
 
 // assignedShares returns the shares that the epoch assigns to this instance.
-func (l *lender) assignedShares(d Duties, c Contracts) map[Account]Contract {
+func (l *lender) assignedShares(d Assignment, c Contracts) map[ShareID]Contract {
 	if l.ownedSlots == nil || d.Epoch() != l.reconciled.epoch || d.Incarnation() != l.reconciled.incarnation {
 		l.ownedSlots = make(map[galenastair.Organisation][]Slot)
 	}
-	owned := make(map[Account]Contract)
+	owned := make(map[ShareID]Contract)
 	for _, o := range c.Organisations() {
 		contract, ok := c.Contract(o)
 		if !ok {
 			continue
 		}
 		for _, slot := range l.slotsFor(d, o) {
-			owned[Account{o, slot}] = contract
+			owned[ShareID{o, slot}] = contract
 		}
 	}
 	return owned
@@ -147,13 +147,13 @@
 // slotsFor returns the slots of an organisation that are assigned to this instance.
 // They are cached until the epoch changes, because most calls follow a change of
 // contracts only.
-func (l *lender) slotsFor(d Duties, o galenastair.Organisation) []Slot {
+func (l *lender) slotsFor(d Assignment, o galenastair.Organisation) []Slot {
 	slots, known := l.ownedSlots[o]
 	if known {
 		return slots
 	}
 	for slot := range Slot(Holders) {
-		if p, ok := d.Owner(Account{o, slot}); ok && p.ID == d.Self().ID {
+		if p, ok := d.Owner(ShareID{o, slot}); ok && p.ID == d.Self().ID {
 			slots = append(slots, slot)
 		}
 	}
@@ -161,7 +161,7 @@
 	return slots
 }
 
-func (l *lender) openServable(now time.Time, d Duties) {
+func (l *lender) openServable(now time.Time, d Assignment) {
 	for id, s := range l.owned {
 		if !l.holder.IsOpen(id) && d.Serves(id, now) {
 			s.effective = s.targetLimits(id)
--- a/rate/limiter.go
+++ b/rate/limiter.go
@@ -31,7 +31,7 @@
 // Limiter charges requests to their organisations' contracts at this instance, and
 // holds shares of contracts from which all entries borrow.
 type Limiter struct {
-	assignment      func() Duties
+	assignment      func() Assignment
 	contracts       func() Contracts
 	lender          *lender
 	clock           galenastair.Clock
@@ -66,7 +66,7 @@
 
 // WithGrantObserver sets a function that is called for each grant when it is charged
 // and again when it is settled.
-func WithHistory(f func(Grant)) Option { return func(l *Limiter) { l.onGrant = f } }
+func WithGrantObserver(f func(Grant)) Option { return func(l *Limiter) { l.onGrant = f } }
 
 // WithMetrics registers the limiter's metrics.
 func WithMetrics(r prometheus.Registerer) Option {
@@ -88,7 +88,7 @@
 
 // New returns a limiter. The functions assignment and contracts return the current
 // views. Run must be running for shares to be opened and reports to be sent.
-func New(assignment func() Duties, contracts func() Contracts, opts ...Option) *Limiter {
+func New(assignment func() Assignment, contracts func() Contracts, opts ...Option) *Limiter {
 	l := &Limiter{
 		assignment:      assignment,
 		contracts:       contracts,
--- a/rate/limiter_test.go
+++ b/rate/limiter_test.go
@@ -46,7 +46,7 @@
 }
 
 func effectiveLimits(f *fleet, i int) Limits {
-	return f.limiters[i].lender.owned[Account{testOrganisation, Slot(i)}].effective
+	return f.limiters[i].lender.owned[ShareID{testOrganisation, Slot(i)}].effective
 }
 
 // A contract is lowered and raised again while one holder applies the configuration
@@ -108,7 +108,7 @@
 	f.mu.Lock()
 	f.assignments[0].epoch += 2
 	f.mu.Unlock()
-	id := Account{testOrganisation, 0}
+	id := ShareID{testOrganisation, 0}
 	is.Equal(f.limiters[0].lender.lend(f.clock.Now(), LoanRequest{id, LoanID{"x", 1}, 1, 1}).Tokens, galenastair.Tokens(0))
 	f.reconcile()
 	is.Equal(f.limiters[0].lender.lend(f.clock.Now(), LoanRequest{id, LoanID{"x", 1}, 1, 1}).Tokens, galenastair.Tokens(0))
@@ -141,7 +141,7 @@
 	f.mu.Lock()
 	f.assignments[0].serves = false
 	f.mu.Unlock()
-	req := LoanRequest{Account{testOrganisation, 0}, LoanID{"x", 1}, 1, 1}
+	req := LoanRequest{ShareID{testOrganisation, 0}, LoanID{"x", 1}, 1, 1}
 	is.Equal(f.limiters[0].lender.lend(f.clock.Now(), req).Tokens, galenastair.Tokens(0))
 }
 
--- a/rate/loan.go
+++ b/rate/loan.go
@@ -29,14 +29,14 @@
 }
 
 // ShareID identifies one share of one organisation's contract.
-type Account struct {
+type ShareID struct {
 	Organisation galenastair.Organisation
 	Slot         Slot
 }
 
 // LoanRequest asks a holder for a loan.
 type LoanRequest struct {
-	ShareID Account
+	ShareID ShareID
 	ID      LoanID
 	// Need is the minimum number of tokens, and Want the maximum.
 	Need galenastair.Tokens
@@ -64,7 +64,7 @@
 
 // Report closes a loan, or lowers the number of spent tokens of a closed one.
 type Report struct {
-	ShareID Account
+	ShareID ShareID
 	ID      LoanID
 	Spent   galenastair.Tokens
 }
--- a/rate/model_test.go
+++ b/rate/model_test.go
@@ -38,7 +38,7 @@
 // default.
 const simulationsPerCheck = 50
 
-var modelShare = Account{testOrganisation, 0}
+var modelShare = ShareID{testOrganisation, 0}
 
 func newSimulation(t *rapid.T) *simulation {
 	start := time.Unix(1000, 0)
--- a/rate/place.go
+++ b/rate/place.go
@@ -10,7 +10,7 @@
 
 // shareHolder is a share of an organisation and its holder.
 type shareHolder struct {
-	shareID Account
+	shareID ShareID
 	peer    galenastair.Peer
 }
 
@@ -22,7 +22,7 @@
 }
 
 // lookup returns the holders ordered by slot.
-func (p *holderCache) lookup(d Duties, o galenastair.Organisation) []shareHolder {
+func (p *holderCache) lookup(d Assignment, o galenastair.Organisation) []shareHolder {
 	if p.byOrganisation == nil || p.epoch != d.Epoch() {
 		p.epoch = d.Epoch()
 		p.byOrganisation = make(map[galenastair.Organisation][]shareHolder)
@@ -32,7 +32,7 @@
 	}
 	var list []shareHolder
 	for slot := range Slot(Holders) {
-		id := Account{o, slot}
+		id := ShareID{o, slot}
 		if holder, ok := d.Owner(id); ok {
 			list = append(list, shareHolder{id, holder})
 		}
--- a/rate/server.go
+++ b/rate/server.go
@@ -39,7 +39,7 @@
 
 func toLoanRequest(borrower galenastair.InstanceID, a *ratepb.Ask) LoanRequest {
 	return LoanRequest{
-		ShareID: Account{galenastair.Organisation(a.Organisation), Slot(a.Slot)},
+		ShareID: ShareID{galenastair.Organisation(a.Organisation), Slot(a.Slot)},
 		ID:      LoanID{borrower, LoanNumber(a.Number)},
 		Need:    galenastair.Tokens(a.Need),
 		Want:    galenastair.Tokens(a.Want),
@@ -50,7 +50,7 @@
 	reports := make([]Report, 0, len(list))
 	for _, r := range list {
 		reports = append(reports, Report{
-			ShareID: Account{galenastair.Organisation(r.Organisation), Slot(r.Slot)},
+			ShareID: ShareID{galenastair.Organisation(r.Organisation), Slot(r.Slot)},
 			ID:      LoanID{borrower, LoanNumber(r.Number)},
 			Spent:   galenastair.Tokens(r.Spent),
 		})
@@ -62,7 +62,7 @@
 	handovers := make([]Handover, 0, len(list))
 	for _, h := range list {
 		handovers = append(handovers, Handover{
-			ShareID: Account{galenastair.Organisation(h.Organisation), Slot(h.Slot)},
+			ShareID: ShareID{galenastair.Organisation(h.Organisation), Slot(h.Slot)},
 			Epoch:   galenastair.Epoch(h.Epoch),
 			Limits:  Limits{Rate: ShareRate(h.Rate), Burst: galenastair.Tokens(h.Burst)},
 			Level:   galenastair.Tokens(max(0, h.Level)),
--- a/rate/terms.go
+++ b/rate/terms.go
@@ -15,16 +15,16 @@
 	handedOver bool
 }
 
-func (s *ownedShare) targetLimits(id Account) Limits { return s.contract.ShareLimits(id.Slot) }
+func (s *ownedShare) targetLimits(id ShareID) Limits { return s.contract.ShareLimits(id.Slot) }
 
-func (s *ownedShare) increasePending(id Account) bool { return s.effective != s.targetLimits(id) }
+func (s *ownedShare) increasePending(id ShareID) bool { return s.effective != s.targetLimits(id) }
 
 // applyContract records a changed contract. Reduced limits take effect immediately.
 //
 // Increased limits wait for applyIncreases. Holders apply the configuration at
 // different times, and the sum of their limits must not exceed the old contract while
 // one of them still enforces it, nor the new one afterwards.
-func (l *lender) applyContract(now time.Time, id Account, c Contract) {
+func (l *lender) applyContract(now time.Time, id ShareID, c Contract) {
 	s := l.owned[id]
 	if s == nil {
 		l.owned[id] = &ownedShare{contract: c}
@@ -44,7 +44,7 @@
 
 // applyIncreases puts increased limits into effect once every holder has applied the
 // contract, and returns the holders of which this is not yet known.
-func (l *lender) applyIncreases(now time.Time, d Duties) []galenastair.Peer {
+func (l *lender) applyIncreases(now time.Time, d Assignment) []galenastair.Peer {
 	unknown := make(map[galenastair.Peer]bool)
 	for id, s := range l.owned {
 		if !l.holder.IsOpen(id) || !s.increasePending(id) {
@@ -62,10 +62,10 @@
 	return peers
 }
 
-func (l *lender) allApplied(d Duties, id Account, s *ownedShare, unknown map[galenastair.Peer]bool) bool {
+func (l *lender) allApplied(d Assignment, id ShareID, s *ownedShare, unknown map[galenastair.Peer]bool) bool {
 	all := true
 	for slot := range Slot(Holders) {
-		p, ok := d.Owner(Account{id.Organisation, slot})
+		p, ok := d.Owner(ShareID{id.Organisation, slot})
 		if !ok || p.ID == d.Self().ID {
 			continue
 		}
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -27,11 +27,11 @@
 }
 
 // Decision is the answer to an instance that wants to send a request.
-type Verdict struct {
+type Decision struct {
 	Granted bool
 	// Delay is the time until the request may be sent if it was granted, and until there is room
 	// if not.
-	Wait time.Duration
+	Delay time.Duration
 }
 
 // Limiter admits the requests of all instances to the servers with a limit. It is safe for
@@ -54,7 +54,7 @@
 }
 
 // Admit grants a request to a server if there is room within maxWait.
-func (l *Limiter) Admit(now time.Time, limit Limit, maxWait time.Duration) Verdict {
+func (l *Limiter) Admit(now time.Time, limit Limit, maxWait time.Duration) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b := l.bucketOf(now, limit)
@@ -62,9 +62,9 @@
 	wait := r.DelayFrom(now)
 	if wait > maxWait {
 		r.CancelAt(now)
-		return Verdict{Wait: wait}
+		return Decision{Delay: wait}
 	}
-	return Verdict{Granted: true, Wait: wait}
+	return Decision{Granted: true, Delay: wait}
 }
 
 // bucketOf returns a server's bucket, updated to the newest rate that the server has advertised.
--- a/ratelimit/ratelimit_test.go
+++ b/ratelimit/ratelimit_test.go
@@ -42,9 +42,9 @@
 func simulate(rng *rand.Rand, fleet int, perSecond float64, lose bool) []time.Time {
 	start := time.Now()
 	leader := NewLimiter()
-	var shares []*Shares
+	var shares []*FallbackLimiter
 	for range fleet {
-		shares = append(shares, NewShares(rng))
+		shares = append(shares, NewFallbackLimiter(rng))
 	}
 	leading, nextChange := true, start
 	var got []time.Time
@@ -54,25 +54,25 @@
 			if leading = !leading; leading {
 				leader.Reset()
 				for _, s := range shares {
-					s.Answered()
+					s.ReportAnswer()
 				}
 			} else {
 				for _, s := range shares {
-					s.Lost(now.Add(time.Duration(rng.IntN(600)) * time.Millisecond))
+					s.ReportUnreachable(now.Add(time.Duration(rng.IntN(600)) * time.Millisecond))
 				}
 			}
 		}
 		limit := Limit{Server: "s", PerSecond: perSecond, Age: time.Duration(rng.IntN(300)) * time.Millisecond}
 		for range 2 + fleet/40 {
-			var v Verdict
+			var v Decision
 			if leading {
 				v = leader.Admit(now, limit, 300*time.Millisecond)
 			} else {
 				i := rng.IntN(fleet)
-				v = shares[i].Admit(now, limit, Place{i, fleet})
+				v = shares[i].Admit(now, limit, Position{i, fleet})
 			}
 			if v.Granted {
-				got = append(got, now.Add(v.Wait))
+				got = append(got, now.Add(v.Delay))
 			}
 		}
 	}
@@ -139,5 +139,5 @@
 	}
 	v := l.Admit(now.Add(600*time.Millisecond), Limit{"s", 1, 0}, 500*time.Millisecond)
 	is.True(v.Granted)
-	is.True(v.Wait <= 400*time.Millisecond)
+	is.True(v.Delay <= 400*time.Millisecond)
 }
--- a/ratelimit/shares.go
+++ b/ratelimit/shares.go
@@ -13,7 +13,7 @@
 const maxSavedTurns = 1
 
 // Position is an instance's position among those that share the rates.
-type Place struct {
+type Position struct {
 	// Index counts from 0. Fleet is the number of instances; 0 if it is not known.
 	Index int
 	Fleet int
@@ -22,7 +22,7 @@
 // FallbackLimiter admits requests by an instance's own fraction of each rate while the leader does
 // not answer. The instances take turns from the time when the leader became unreachable, and an
 // unused turn expires, so that a fleet of any size saves up no more than a few requests.
-type Shares struct {
+type FallbackLimiter struct {
 	rng *rand.Rand
 
 	mu sync.Mutex
@@ -33,12 +33,12 @@
 }
 
 // NewFallbackLimiter returns an inactive limiter, for an instance whose leader answers.
-func NewShares(rng *rand.Rand) *Shares {
-	return &Shares{rng: rng, nextTurns: map[galenastair.BackendServerID]time.Time{}}
+func NewFallbackLimiter(rng *rand.Rand) *FallbackLimiter {
+	return &FallbackLimiter{rng: rng, nextTurns: map[galenastair.BackendServerID]time.Time{}}
 }
 
 // ReportUnreachable records that the leader does not answer.
-func (f *Shares) Lost(now time.Time) {
+func (f *FallbackLimiter) ReportUnreachable(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.unreachableSince.IsZero() {
@@ -47,14 +47,14 @@
 }
 
 // Active reports whether the fallback is in use because the leader does not answer.
-func (f *Shares) Alone() bool {
+func (f *FallbackLimiter) Active() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !f.unreachableSince.IsZero()
 }
 
 // ReportAnswer records that the leader answers again.
-func (f *Shares) Answered() {
+func (f *FallbackLimiter) ReportAnswer() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.unreachableSince = time.Time{}
@@ -63,9 +63,9 @@
 
 // Admit grants a request on this instance's turn; ReportUnreachable must have been called
 // before.
-func (f *Shares) Admit(now time.Time, limit Limit, position Place) Verdict {
+func (f *FallbackLimiter) Admit(now time.Time, limit Limit, position Position) Decision {
 	if position.Fleet == 0 || limit.PerSecond <= 0 {
-		return Verdict{Wait: time.Second}
+		return Decision{Delay: time.Second}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -81,10 +81,10 @@
 	}
 	f.nextTurns[limit.Server] = next
 	if now.Before(next) {
-		return Verdict{Wait: next.Sub(now)}
+		return Decision{Delay: next.Sub(now)}
 	}
 	f.nextTurns[limit.Server] = next.Add(period)
-	return Verdict{Granted: true}
+	return Decision{Granted: true}
 }
 
 // startOffset lets the turns for each server start with another instance.
--- a/registry/change.go
+++ b/registry/change.go
@@ -11,23 +11,23 @@
 type Change struct {
 	ID galenastair.BackendServerID
 	// Deleted reports that the registration was removed; all other fields but ID are unset.
-	Gone bool
+	Deleted bool
 	// Created reports that the registration was created, or created again after a restart of
 	// the server, since the offset. Earlier state of the server has to be discarded.
-	Fresh bool
+	Created bool
 	// Attributes holds the registration apart from its models; nil if these fields did not change.
-	Identity *pool.Server
+	Attributes *pool.Server
 	// Heartbeat is the number of registrations that the server has sent since its start.
-	Beat int64
+	Heartbeat int64
 	// Added and Removed contain model names, and adapter names in the form "model/adapter".
 	Added   []galenastair.ModelName
-	Dropped []galenastair.ModelName
+	Removed []galenastair.ModelName
 }
 
 // sameAttributes reports whether two registrations are equal apart from their models and heartbeat.
 func sameAttributes(a, b pool.Server) bool {
 	return a.Service == b.Service && a.Address == b.Address && a.AvailabilityZone == b.AvailabilityZone &&
-		a.Slots == b.Slots && a.Leaving == b.Leaving && a.Born == b.Born
+		a.Slots == b.Slots && a.Leaving == b.Leaving && a.Incarnation == b.Incarnation
 }
 
 // qualifiedNames returns the names of all models, and of all adapters in the form "model/adapter".
--- a/registry/table.go
+++ b/registry/table.go
@@ -62,7 +62,7 @@
 // has restarted, its entry is replaced by one without models. The caller holds t.mu.
 func (t *Table) upsert(at galenastair.Offset, s pool.Server) *entry {
 	e := t.entries[s.ID]
-	if e == nil || e.server.Born != s.Born {
+	if e == nil || e.server.Incarnation != s.Incarnation {
 		e = &entry{createdAt: at, attributesChangedAt: at, lastChangedAt: at, addedAt: map[galenastair.ModelName]galenastair.Offset{}, removedAt: map[galenastair.ModelName]galenastair.Offset{}}
 		t.entries[s.ID] = e
 		delete(t.tombstones, s.ID)
@@ -140,7 +140,7 @@
 	var out []Change
 	for id, at := range t.tombstones {
 		if at >= from {
-			out = append(out, Change{ID: id, Gone: true})
+			out = append(out, Change{ID: id, Deleted: true})
 		}
 	}
 	for id, e := range t.entries {
@@ -155,10 +155,10 @@
 }
 
 func (e *entry) changeSince(id galenastair.BackendServerID, from galenastair.Offset) (Change, bool) {
-	c := Change{ID: id, Beat: e.server.Beat, Fresh: e.createdAt >= from}
+	c := Change{ID: id, Heartbeat: e.server.Heartbeat, Created: e.createdAt >= from}
 	if e.attributesChangedAt >= from {
 		s := e.server
-		c.Identity = &s
+		c.Attributes = &s
 	}
 	for name, at := range e.addedAt {
 		if at >= from {
@@ -167,10 +167,10 @@
 	}
 	for name, at := range e.removedAt {
 		if at >= from {
-			c.Dropped = append(c.Dropped, name)
+			c.Removed = append(c.Removed, name)
 		}
 	}
-	return c, c.Identity != nil || len(c.Added)+len(c.Dropped) > 0
+	return c, c.Attributes != nil || len(c.Added)+len(c.Removed) > 0
 }
 
 // Apply applies a change that another instance has sent for the records before next, and
@@ -179,23 +179,23 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	at := next - 1
-	if c.Fresh {
+	if c.Created {
 		delete(t.entries, c.ID)
 	}
 	e := t.entries[c.ID]
-	if c.Identity != nil {
-		e = t.upsert(at, *c.Identity)
+	if c.Attributes != nil {
+		e = t.upsert(at, *c.Attributes)
 	}
 	if e == nil {
 		return pool.Server{}, false
 	}
-	for _, name := range c.Dropped {
+	for _, name := range c.Removed {
 		e.remove(at, name)
 	}
 	for _, name := range c.Added {
 		e.add(at, name)
 	}
-	e.server.Beat = max(e.server.Beat, c.Beat)
+	e.server.Heartbeat = max(e.server.Heartbeat, c.Heartbeat)
 	e.server.Models = modelsFromNames(e.addedAt)
 	return e.server, true
 }
--- a/registry/table_test.go
+++ b/registry/table_test.go
@@ -13,7 +13,7 @@
 )
 
 func newServer(id string, born int64, leaving bool, models ...galenastair.EngineModel) pool.Server {
-	return pool.Server{ID: galenastair.BackendServerID(id), Service: "s", Address: "a", Slots: 1, Born: born, Leaving: leaving, Models: models}
+	return pool.Server{ID: galenastair.BackendServerID(id), Service: "s", Address: "a", Slots: 1, Incarnation: born, Leaving: leaving, Models: models}
 }
 
 // dump returns the contents of a table in a stable order.
@@ -22,7 +22,7 @@
 	for id, e := range t.entries {
 		names := qualifiedNames(e.server.Models)
 		slices.Sort(names)
-		out = append(out, fmt.Sprint(id, e.server.Born, e.server.Leaving, names))
+		out = append(out, fmt.Sprint(id, e.server.Incarnation, e.server.Leaving, names))
 	}
 	slices.Sort(out)
 	return out
@@ -57,7 +57,7 @@
 		return
 	}
 	for _, c := range changes {
-		if c.Gone {
+		if c.Deleted {
 			to.Remove(next, c.ID)
 			continue
 		}
--- a/request/call.go
+++ b/request/call.go
@@ -41,6 +41,6 @@
 
 // ResponseWriter receives a streamed response chunk by chunk. The last chunk is
 // the end marker.
-type Sink interface {
-	Chunk(galenastair.Chunk) error
+type ResponseWriter interface {
+	WriteChunk(galenastair.Chunk) error
 }
--- a/request/complete.go
+++ b/request/complete.go
@@ -22,7 +22,7 @@
 type completion struct {
 	s      *Server
 	call   Call
-	writer Sink
+	writer ResponseWriter
 	auth   principal
 	digest claim.Digest
 	// promptTokens is the estimated size of the prompt, as charged.
@@ -30,7 +30,7 @@
 	requestProgress
 	// delivered reports that the backend server of the last attempt may have received the request.
 	delivered    bool
-	summary      Ending
+	summary      Summary
 	startedAt    time.Time
 	grantedAt    time.Time
 	firstChunkAt time.Time
@@ -41,10 +41,10 @@
 
 // Complete serves a model request and forwards the response to writer. A nil error
 // means that the complete response, including its end marker, was forwarded.
-func (s *Server) Complete(ctx context.Context, call Call, writer Sink) error {
+func (s *Server) Complete(ctx context.Context, call Call, writer ResponseWriter) error {
 	c := &completion{s: s, call: call, writer: writer, startedAt: s.clock.Now()}
 	c.idempotent = call.IdempotencyKey == ""
-	c.summary = Ending{ID: call.ID, Model: call.Model}
+	c.summary = Summary{ID: call.ID, Model: call.Model}
 	err := c.admit(ctx)
 	if err != nil {
 		err = refusalOf(cancellationCause(ctx, err), c.outcome())
@@ -150,7 +150,7 @@
 	now := c.s.clock.Now()
 	// A request that crashes backend servers is retried once, so that it cannot crash
 	// the whole fleet.
-	if c.delivered && !c.s.poison.Stopped(now, c.digest) {
+	if c.delivered && !c.s.poison.RecordCrash(now, c.digest) {
 		return &galenastair.Refusal{Cause: galenastair.ErrPoison, Outcome: c.outcome()}
 	}
 	if !c.s.retries.MayRetry() {
@@ -168,7 +168,7 @@
 		Model:        c.call.Model,
 		PromptTokens: c.promptTokens,
 		OutputTokens: c.call.OutputTokens,
-		Prefix:       route.Prefix(c.call.Model, c.call.Prompt),
+		PrefixHashes: route.PrefixHashes(c.call.Model, c.call.Prompt),
 		Deadline:     c.call.Deadline,
 		Exclude:      c.tried,
 	})
@@ -185,8 +185,8 @@
 	c.attempts++
 	c.tried = append(c.tried, grant.Server)
 	c.summary.BackendServer = grant.Server
-	c.summary.Queued = c.grantedAt.Sub(c.startedAt)
-	c.s.logger.Log("event", "route", "request", c.call.ID, "organisation", c.auth.organisation, "model", c.call.Model, "server", grant.Server, "reason", grant.Reason, "priority", grant.Priority, "queued", c.summary.Queued, "attempt", c.attempts)
+	c.summary.QueueTime = c.grantedAt.Sub(c.startedAt)
+	c.s.logger.Log("event", "route", "request", c.call.ID, "organisation", c.auth.organisation, "model", c.call.Model, "server", grant.Server, "reason", grant.Reason, "priority", grant.Priority, "queued", c.summary.QueueTime, "attempt", c.attempts)
 	err = c.send(ctx, grant)
 	result = c.dispatchResult(err)
 	return err
@@ -259,7 +259,7 @@
 func (c *completion) forwardChunk(chunk galenastair.Chunk) error {
 	c.recordChunkTime()
 	c.recordUsage(chunk.Data)
-	if err := c.writer.Chunk(chunk); err != nil {
+	if err := c.writer.WriteChunk(chunk); err != nil {
 		return context.Canceled
 	}
 	if !chunk.End {
@@ -310,7 +310,7 @@
 func (c *completion) recordSummary(err error) {
 	summary := c.summary
 	summary.Attempts = c.attempts
-	summary.Total = c.s.clock.Now().Sub(c.startedAt)
+	summary.Duration = c.s.clock.Now().Sub(c.startedAt)
 	summary.Outcome = galenastair.Ran
 	var refusal *galenastair.Refusal
 	if errors.As(err, &refusal) {
@@ -318,9 +318,9 @@
 		summary.Outcome = refusal.Outcome
 	}
 	if !c.firstChunkAt.IsZero() {
-		summary.FirstToken = c.firstChunkAt.Sub(c.startedAt)
+		summary.TimeToFirstToken = c.firstChunkAt.Sub(c.startedAt)
 		if c.chunks > 1 {
-			summary.BetweenToken = c.lastChunkAt.Sub(c.firstChunkAt) / time.Duration(c.chunks-1)
+			summary.InterTokenLatency = c.lastChunkAt.Sub(c.firstChunkAt) / time.Duration(c.chunks-1)
 		}
 	}
 	c.s.recorder.RequestEnded(summary)
--- a/request/fake_test.go
+++ b/request/fake_test.go
@@ -24,14 +24,14 @@
 // fakeConfiguration is a configuration that the test appends records to.
 type fakeConfiguration struct {
 	t    *testing.T
-	fold *config.Fold
+	fold *config.StateMachine
 	view *config.View
 	// isolated makes Ready return false.
 	isolated bool
 }
 
 func newConfiguration(t *testing.T) *fakeConfiguration {
-	f := &fakeConfiguration{t: t, fold: config.NewFold()}
+	f := &fakeConfiguration{t: t, fold: config.NewStateMachine()}
 	f.apply(config.KindContractPublished, config.ContractPublished{Contract: contract.Contract{
 		Organisation: "Furnir", Rate: 1000, Burst: 10000,
 		Models: []galenastair.ModelName{"m"}, Services: []galenastair.ServiceName{"bids"},
@@ -174,7 +174,7 @@
 	ended bool
 }
 
-func (s *textWriter) Chunk(c galenastair.Chunk) error {
+func (s *textWriter) WriteChunk(c galenastair.Chunk) error {
 	s.text += string(c.Data)
 	s.ended = s.ended || c.End
 	return nil
@@ -203,7 +203,7 @@
 	d := dispatch.New()
 	d.SetServers([]dispatch.Server{{ID: "e1", Address: "e1"}, {ID: "e2", Address: "e2"}})
 	for _, id := range []galenastair.BackendServerID{"e1", "e2"} {
-		d.Report(galenastair.EngineReport{BackendServer: id, Loaded: []galenastair.LoadedWeight{
+		d.ApplyReport(galenastair.EngineReport{BackendServer: id, Loaded: []galenastair.LoadedWeight{
 			{Weight: galenastair.Weight{Name: "m"}, State: galenastair.Ready},
 		}})
 	}
@@ -216,7 +216,7 @@
 		Claims:        ts.claims,
 		Dispatcher:    d,
 		Services:      services,
-		Poison:        claim.NewPoison(nil),
+		Poison:        claim.NewPoisonTracker(nil),
 		Retries:       unlimitedRetries{},
 		Engine:        ts.engine,
 		Service:       ts.service,
--- a/request/server.go
+++ b/request/server.go
@@ -106,7 +106,7 @@
 	if v == nil {
 		return principal{}, galenastair.Refuse(galenastair.ErrConfiguration, notMemberRetryAfter, "")
 	}
-	k, ok := v.ByKey(key)
+	k, ok := v.LookupKey(key)
 	if !ok {
 		return principal{}, galenastair.Refuse(galenastair.ErrKeyUnknown, 0, "")
 	}
--- a/request/service.go
+++ b/request/service.go
@@ -24,9 +24,9 @@
 	c.resumes = maxResumes
 	startedAt := s.clock.Now()
 	answer, err := c.admit(ctx)
-	summary := Ending{ID: call.ID, Organisation: c.auth.organisation, Service: call.Service, Outcome: galenastair.Ran, Attempts: c.attempts}
+	summary := Summary{ID: call.ID, Organisation: c.auth.organisation, Service: call.Service, Outcome: galenastair.Ran, Attempts: c.attempts}
 	summary.BackendServer = c.server
-	summary.Total = s.clock.Now().Sub(startedAt)
+	summary.Duration = s.clock.Now().Sub(startedAt)
 	if err != nil {
 		refusal := refusalOf(err, c.outcome())
 		summary.Code, summary.Outcome = refusal.Code(), refusal.Outcome
--- a/route/choose.go
+++ b/route/choose.go
@@ -17,12 +17,12 @@
 
 // Query holds the properties of a request that the choice depends on.
 type Query struct {
-	Model   galenastair.ModelName
-	Prefix  []uint64
-	Exclude []galenastair.BackendServerID
+	Model        galenastair.ModelName
+	PrefixHashes []uint64
+	Exclude      []galenastair.BackendServerID
 	// WithinShare permits slots beyond the window, which are reserved for organisations within
 	// their share.
-	Entitled bool
+	WithinShare bool
 }
 
 // Decision is a chosen backend server and the reason for the choice.
@@ -61,7 +61,7 @@
 		}
 		sum += s.load(now)
 		n++
-		if s.hasCapacity(q.Entitled) {
+		if s.hasCapacity(q.WithinShare) {
 			r.candidates = append(r.candidates, s)
 		}
 	}
@@ -90,7 +90,7 @@
 // other one has a copy. A slow response is better than none, and the ejection may have been
 // a mistake.
 func (r *Router) lastResort(q Query, fallback *server) (Decision, bool) {
-	if fallback == nil || !fallback.hasCapacity(q.Entitled) || r.healthyCopy(q) {
+	if fallback == nil || !fallback.hasCapacity(q.WithinShare) || r.healthyCopy(q) {
 		return Decision{}, false
 	}
 	reason := NoneHealthy
@@ -110,7 +110,7 @@
 }
 
 func (r *Router) cachedCandidate(now time.Time, q Query, mean float64) *server {
-	hs, n := r.index.longest(q.Prefix)
+	hs, n := r.index.longest(q.PrefixHashes)
 	if n == 0 {
 		return nil
 	}
@@ -142,12 +142,12 @@
 }
 
 func (r *Router) decide(s *server, q Query, reason Reason) Decision {
-	return Decision{s.ID, s.Address, reason, r.index.match(q.Prefix, s)}
+	return Decision{s.ID, s.Address, reason, r.index.match(q.PrefixHashes, s)}
 }
 
 // Assign returns the decision for a waiting request that gets a freed slot of a given backend
 // server.
-func (r *Router) Take(id galenastair.BackendServerID, q Query) Decision {
+func (r *Router) Assign(id galenastair.BackendServerID, q Query) Decision {
 	return r.decide(r.servers[id], q, SlotFreed)
 }
 
--- a/route/flight.go
+++ b/route/flight.go
@@ -34,17 +34,17 @@
 }
 
 // Result describes how a request at a backend server ended.
-type End struct {
+type Result struct {
 	// Answered reports whether a first token had arrived.
 	Answered bool
 	// Failed reports whether the backend server aborted the request.
 	Failed bool
 	// InterTokenLatency is the mean time between tokens, zero if unknown.
-	Gap time.Duration
+	InterTokenLatency time.Duration
 }
 
 // Done records the end of a request.
-func (r *Router) Done(now time.Time, id galenastair.BackendServerID, res End) {
+func (r *Router) Done(now time.Time, id galenastair.BackendServerID, res Result) {
 	s := r.servers[id]
 	if s == nil {
 		return
@@ -53,8 +53,8 @@
 	if !res.Answered {
 		s.health.progress(now)
 	}
-	s.window.applyInterTokenLatency(res.Gap)
-	s.health.addInterTokenLatency(res.Gap)
+	s.window.applyInterTokenLatency(res.InterTokenLatency)
+	s.health.addInterTokenLatency(res.InterTokenLatency)
 	if !res.Failed {
 		// A probe that its caller cancelled does not show whether the backend server is healthy.
 		s.health.probing = false
--- a/route/prefix.go
+++ b/route/prefix.go
@@ -18,7 +18,7 @@
 
 // PrefixHashes returns the chained hashes of a prompt's leading blocks for a model. Two prompts
 // share the first n hashes if their first n blocks are the same.
-func Prefix(m galenastair.ModelName, prompt []byte) []uint64 {
+func PrefixHashes(m galenastair.ModelName, prompt []byte) []uint64 {
 	n := min(len(prompt)/prefixBlockBytes, maxPrefixBlocks)
 	hashes := make([]uint64, n)
 	var link [8]byte
--- a/route/review.go
+++ b/route/review.go
@@ -16,7 +16,7 @@
 // Without it, a share of all requests would continue to reach a backend server that hangs or
 // is slow while its peers are healthy. Comparing in-flight requests reacts only once the
 // window of such a server is full.
-func (r *Router) Review(now time.Time) {
+func (r *Router) DetectOutliers(now time.Time) {
 	if now.Sub(r.reviewed) < reviewPeriod {
 		return
 	}
@@ -116,7 +116,7 @@
 // Unhealthy returns the backend servers that were ejected again after a probe, so that a
 // temporary fault is no explanation. It leaves out those without any loaded model whose
 // ejection time is over: they can be probed only once a model is loaded there.
-func (r *Router) Slow() []galenastair.BackendServerID {
+func (r *Router) Unhealthy() []galenastair.BackendServerID {
 	var ids []galenastair.BackendServerID
 	for _, s := range r.list {
 		h := &s.health
--- a/route/router.go
+++ b/route/router.go
@@ -60,7 +60,7 @@
 }
 
 // ApplyReport applies an engine's report of its state.
-func (r *Router) Report(now time.Time, rep galenastair.EngineReport) {
+func (r *Router) ApplyReport(now time.Time, rep galenastair.EngineReport) {
 	s := r.servers[rep.BackendServer]
 	if s == nil {
 		return
@@ -121,14 +121,14 @@
 }
 
 // HasCapacity reports whether one more request may be sent to a backend server now.
-func (r *Router) HasRoom(id galenastair.BackendServerID) bool {
+func (r *Router) HasCapacity(id galenastair.BackendServerID) bool {
 	s := r.servers[id]
 	return s != nil && !s.Leaving && !s.health.ejected && s.hasCapacity(false)
 }
 
 // HasCopy reports whether any backend server that accepts new requests has a ready copy of the
 // model.
-func (r *Router) Known(now time.Time, m galenastair.ModelName, exclude []galenastair.BackendServerID) bool {
+func (r *Router) HasCopy(now time.Time, m galenastair.ModelName, exclude []galenastair.BackendServerID) bool {
 	for _, s := range r.copies[m] {
 		if (!s.Leaving || s.inLeavingGrace(now)) && !slices.Contains(exclude, s.ID) {
 			return true
--- a/route/router_test.go
+++ b/route/router_test.go
@@ -27,7 +27,7 @@
 	}
 	r.SetServers(start, list)
 	for i := range n {
-		r.Report(start, report(i, models...))
+		r.ApplyReport(start, report(i, models...))
 	}
 	return r
 }
@@ -47,10 +47,10 @@
 	if !ok {
 		return d
 	}
-	r.Sent(now, d.Server, q.Prefix)
+	r.Sent(now, d.Server, q.PrefixHashes)
 	first := took(d.Server)
 	r.FirstToken(now, d.Server, first, 100)
-	r.Done(now, d.Server, End{Answered: true, Gap: first / 4})
+	r.Done(now, d.Server, Result{Answered: true, InterTokenLatency: first / 4})
 	return d
 }
 
@@ -72,7 +72,7 @@
 	reasons := map[Reason]int{}
 	for range 2000 {
 		now = now.Add(10 * time.Millisecond)
-		r.Review(now)
+		r.DetectOutliers(now)
 		for i := range 9 {
 			r.servers[id(i)].reportedAt = now
 		}
@@ -85,7 +85,7 @@
 	slow = false
 	for range 8000 {
 		now = now.Add(10 * time.Millisecond)
-		r.Review(now)
+		r.DetectOutliers(now)
 		for i := range 9 {
 			r.servers[id(i)].reportedAt = now
 		}
@@ -104,7 +104,7 @@
 	lost := 0
 	for range 1000 {
 		now = now.Add(10 * time.Millisecond)
-		r.Review(now)
+		r.DetectOutliers(now)
 		d, ok := r.Choose(now, Query{Model: "m"})
 		is.True(ok)
 		r.Sent(now, d.Server, nil)
@@ -113,7 +113,7 @@
 			continue
 		}
 		r.FirstToken(now, d.Server, 80*time.Millisecond, 100)
-		r.Done(now, d.Server, End{Answered: true})
+		r.Done(now, d.Server, Result{Answered: true})
 	}
 	is.True(lost <= initialWindow)
 	is.True(r.servers[id(0)].health.ejected)
@@ -127,14 +127,14 @@
 	for _, failing := range []int{1, 4, 9} {
 		is := is.New(t)
 		r := newTestRouter(9, "m")
-		r.Report(start, report(0, "m", "single"))
+		r.ApplyReport(start, report(0, "m", "single"))
 		now := start
 		for i := range 3000 {
 			now = now.Add(10 * time.Millisecond)
 			for i := range 9 {
 				r.servers[id(i)].reportedAt = now
 			}
-			r.Review(now)
+			r.DetectOutliers(now)
 			q := Query{Model: "m"}
 			if i%2 == 0 {
 				q.Model = "single"
@@ -146,7 +146,7 @@
 			if !fails {
 				r.FirstToken(now, d.Server, time.Millisecond, 0)
 			}
-			r.Done(now, d.Server, End{Answered: !fails, Failed: fails})
+			r.Done(now, d.Server, Result{Answered: !fails, Failed: fails})
 		}
 		out := 0
 		for _, s := range r.list {
@@ -181,7 +181,7 @@
 func TestLeavingOnlyCopyServesDuringGrace(t *testing.T) {
 	is := is.New(t)
 	r := newTestRouter(2, "m")
-	r.Report(start, report(0, "m", "only"))
+	r.ApplyReport(start, report(0, "m", "only"))
 	for _, leaves := range []time.Duration{0, time.Second} { // It is listed repeatedly.
 		r.SetServers(start.Add(leaves), []Server{{ID: id(0), Leaving: true}, {ID: id(1)}})
 	}
@@ -189,7 +189,7 @@
 		d, ok := r.Choose(start.Add(at), Query{Model: "only"})
 		is.Equal(ok, want)
 		is.True(!ok || d.Reason == LastCopy)
-		is.Equal(r.Known(start.Add(at), "only", nil), want)
+		is.Equal(r.HasCopy(start.Add(at), "only", nil), want)
 		d, ok = r.Choose(start.Add(at), Query{Model: "m"})
 		is.True(ok && d.Server == id(1))
 	}
@@ -202,19 +202,19 @@
 	is := is.New(t)
 	r := newTestRouter(4, "m")
 	prompt := bytes.Repeat([]byte("Today we played in the garden. "), 40)
-	q := Query{Model: "m", Prefix: Prefix("m", prompt)}
+	q := Query{Model: "m", PrefixHashes: PrefixHashes("m", prompt)}
 	first := r.answer(start, q, func(galenastair.BackendServerID) time.Duration { return time.Millisecond })
 	again, _ := r.Choose(start, q)
 	is.Equal(again.Server, first.Server)
 	is.Equal(again.Reason, PrefixAffinity)
-	is.Equal(again.CachedBlocks, len(q.Prefix))
+	is.Equal(again.CachedBlocks, len(q.PrefixHashes))
 	for _, s := range r.list {
 		s.window.limit = 100
 	}
 	for range 40 {
 		d, ok := r.Choose(start, q)
 		is.True(ok)
-		r.Sent(start, d.Server, q.Prefix)
+		r.Sent(start, d.Server, q.PrefixHashes)
 	}
 	for _, s := range r.list {
 		is.True(s.inFlight <= 15) // affinityLoadFactor times the mean plus affinitySlack
@@ -225,11 +225,11 @@
 	is := is.New(t)
 	a := append(bytes.Repeat([]byte("a"), 600), bytes.Repeat([]byte("b"), 600)...)
 	b := append(bytes.Repeat([]byte("a"), 600), bytes.Repeat([]byte("c"), 600)...)
-	x, y := Prefix("m", a), Prefix("m", b)
+	x, y := PrefixHashes("m", a), PrefixHashes("m", b)
 	is.Equal(len(x), 4)
 	is.Equal(x[:2], y[:2])
 	is.True(x[2] != y[2])
-	is.True(Prefix("n", a)[0] != x[0])
+	is.True(PrefixHashes("n", a)[0] != x[0])
 }
 
 // An eviction event removes the affinity, and the size of the index is bounded for any number
@@ -261,8 +261,8 @@
 		for i := range 9 {
 			r.servers[id(i)].reportedAt = now
 		}
-		r.Review(now)
-		is.Equal(len(r.Slow()), 0)
+		r.DetectOutliers(now)
+		is.Equal(len(r.Unhealthy()), 0)
 		s := id(i % 9)
 		first := 80 * time.Millisecond
 		if s == id(3) {
@@ -270,7 +270,7 @@
 		}
 		r.Sent(now, s, nil)
 		r.FirstToken(now, s, first, 100)
-		r.Done(now, s, End{Answered: true, Gap: 50 * time.Millisecond})
+		r.Done(now, s, Result{Answered: true, InterTokenLatency: 50 * time.Millisecond})
 		is.True(!r.servers[id(3)].health.ejected)
 	}
 }
@@ -286,32 +286,32 @@
 		for i := range 4 {
 			r.servers[id(i)].reportedAt = now
 		}
-		r.Report(now, galenastair.EngineReport{BackendServer: id(1), Loaded: models})
+		r.ApplyReport(now, galenastair.EngineReport{BackendServer: id(1), Loaded: models})
 	}
 	fail := func() {
 		for range maxConsecutiveFailures {
 			r.Sent(now, id(1), nil)
-			r.Done(now, id(1), End{Failed: true})
+			r.Done(now, id(1), Result{Failed: true})
 		}
 		now = now.Add(reviewPeriod)
-		r.Review(now)
+		r.DetectOutliers(now)
 	}
 	fail()
 	is.True(r.servers[id(1)].health.ejected)
 	now = now.Add(baseEjectionTime + time.Second)
 	r.servers[id(1)].health.uneject()
 	fail()
-	is.Equal(r.Slow(), []galenastair.BackendServerID{id(1)})
+	is.Equal(r.Unhealthy(), []galenastair.BackendServerID{id(1)})
 	report()
 	now = now.Add(2*baseEjectionTime + time.Second)
 	report()
-	r.Review(now)
-	is.Equal(len(r.Slow()), 0)
+	r.DetectOutliers(now)
+	is.Equal(len(r.Unhealthy()), 0)
 	// With a copy loaded it is unhealthy again until a probe succeeds.
 	report(galenastair.LoadedWeight{Weight: galenastair.Weight{Name: "m"}, State: galenastair.Ready})
-	is.Equal(r.Slow(), []galenastair.BackendServerID{id(1)})
+	is.Equal(r.Unhealthy(), []galenastair.BackendServerID{id(1)})
 	r.servers[id(1)].health.probing = true
 	r.Sent(now, id(1), nil)
 	r.FirstToken(now, id(1), 10*time.Millisecond, 10)
-	is.Equal(len(r.Slow()), 0)
+	is.Equal(len(r.Unhealthy()), 0)
 }
--- a/service/client.go
+++ b/service/client.go
@@ -38,17 +38,17 @@
 	if err != nil {
 		return galenastair.ServiceAnswer{}, eris.Wrapf(galenastair.ErrNotSent, "%v", err)
 	}
-	tracked, sending := httpclient.Track(ctx)
-	resp, err := c.pool.For(server).RoundTrip(req.WithContext(tracked))
+	tracked, sending := httpclient.WithRequestTrace(ctx)
+	resp, err := c.pool.Transport(server).RoundTrip(req.WithContext(tracked))
 	if err != nil {
-		return galenastair.ServiceAnswer{}, c.pool.Failed(ctx, server, sending, err)
+		return galenastair.ServiceAnswer{}, c.pool.ClassifyError(ctx, server, sending, err)
 	}
 	if resp.StatusCode >= http.StatusBadRequest && resp.Header.Get(headerOutcome) == outcomeNotRun {
 		defer resp.Body.Close()
 		detail, _ := io.ReadAll(io.LimitReader(resp.Body, maxDetail))
 		return galenastair.ServiceAnswer{}, eris.Wrapf(galenastair.ErrDeclined, "status %d: %s", resp.StatusCode, detail)
 	}
-	httpclient.DropPrivate(resp.Header)
+	httpclient.RemoveNonForwardedHeaders(resp.Header)
 	return galenastair.ServiceAnswer{
 		Status: resp.StatusCode,
 		Header: resp.Header,
@@ -69,7 +69,7 @@
 	if call.Header != nil {
 		req.Header = call.Header.Clone()
 	}
-	httpclient.DropPrivate(req.Header)
+	httpclient.RemoveNonForwardedHeaders(req.Header)
 	req.Header.Set(headerRequestID, string(call.ID))
 	return req, nil
 }
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -111,7 +111,7 @@
 func ParseGateway(text []byte) (Gateway, error) {
 	var g Gateway
 	fields := g.fields()
-	file, err := inifile.Read(text, fields.schema(), maxBytes)
+	file, err := inifile.Parse(text, fields.schema(), maxBytes)
 	if err != nil {
 		return Gateway{}, err
 	}
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -101,7 +101,7 @@
 func Parse(text []byte) (Settings, error) {
 	s := Default()
 	fields := s.fields()
-	file, err := inifile.Read(text, fields.schema(), maxBytes)
+	file, err := inifile.Parse(text, fields.schema(), maxBytes)
 	if err != nil {
 		return Settings{}, err
 	}
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -72,7 +72,7 @@
 
 // use caches the blocks of a prompt and returns how many tokens were not cached.
 func (c *cache) use(now time.Time, s *sequence) galenastair.Tokens {
-	blocks := route.Prefix(s.request.Model, []byte(s.request.Prompt))
+	blocks := route.PrefixHashes(s.request.Model, []byte(s.request.Prompt))
 	cached := 0
 	for cached < len(blocks) && c.holds(prefixKey{s.request.Model, blocks[cached]}) {
 		cached++
