--- a/engine/checker.go
+++ b/engine/checker.go
@@ -9,50 +9,50 @@
 	"galenastair"
 )
 
-var endMark = []byte("[DONE]")
-
-// checker guards against an answer that is crossed with another, or that lost or
-// doubled events on its way: its caller would read foreign or missing words with
-// no sign of it. Each event must carry the request's own id and the next sequence.
-type checker struct {
-	id   galenastair.RequestID
-	next int64
-	want []byte
+var doneData = []byte("[DONE]")
+
+// eventValidator detects responses that are mixed up with another request's, or that
+// have lost or duplicated events: otherwise the caller would get wrong or missing
+// text without an error. Each event must carry the request's ID and the next sequence.
+type eventValidator struct {
+	id           galenastair.RequestID
+	nextSequence int64
+	idPrefix     []byte
 }
 
-// check returns the chunk that an event holds.
-func (c *checker) check(ev event) (galenastair.Chunk, error) {
-	if ev.id != c.next {
-		return galenastair.Chunk{}, eris.Wrapf(galenastair.ErrCrossed, "event %d where %d was due", ev.id, c.next)
+// validate returns the event's chunk, or ErrCrossed.
+func (c *eventValidator) validate(ev event) (galenastair.Chunk, error) {
+	if ev.id != c.nextSequence {
+		return galenastair.Chunk{}, eris.Wrapf(galenastair.ErrCrossed, "got event %d, want %d", ev.id, c.nextSequence)
 	}
-	c.next++
-	if bytes.Equal(ev.data, endMark) {
+	c.nextSequence++
+	if bytes.Equal(ev.data, doneData) {
 		return galenastair.Chunk{Sequence: ev.id, End: true}, nil
 	}
-	if !c.owns(ev.data) {
-		return galenastair.Chunk{}, eris.Wrap(galenastair.ErrCrossed, "an event of another request")
+	if !c.hasRequestID(ev.data) {
+		return galenastair.Chunk{}, eris.Wrap(galenastair.ErrCrossed, "event of another request")
 	}
 	return galenastair.Chunk{Sequence: ev.id, Data: ev.data}, nil
 }
 
-type identified struct {
+type eventObject struct {
 	ID *string `json:"id"`
 }
 
-// owns says whether the object in data has the request's id. Engines write the
-// id first, so that comparing bytes does for nearly all events.
-func (c *checker) owns(data []byte) bool {
-	if c.want == nil {
+// hasRequestID reports whether the JSON object in data has the request's ID. Engines
+// write the ID first, so that comparing the prefix avoids decoding nearly all events.
+func (c *eventValidator) hasRequestID(data []byte) bool {
+	if c.idPrefix == nil {
 		quoted, err := json.Marshal(string(c.id))
 		if err != nil {
 			return false
 		}
-		c.want = append([]byte(`{"id":`), quoted...)
+		c.idPrefix = append([]byte(`{"id":`), quoted...)
 	}
-	if bytes.HasPrefix(data, c.want) {
+	if bytes.HasPrefix(data, c.idPrefix) {
 		return true
 	}
-	var got identified
+	var got eventObject
 	if err := json.Unmarshal(data, &got); err != nil || got.ID == nil {
 		return false
 	}
--- a/engine/client.go
+++ b/engine/client.go
@@ -15,36 +15,36 @@
 )
 
 const (
-	// defaultSilence is three pings of an engine: a stream without a byte for so
-	// long is taken for one that something in between has forgotten.
-	defaultSilence = 3 * time.Second
-	// controlTimeout ends an order or report that hangs.
+	// defaultIdleTimeout is three ping intervals of an engine. A stream without a byte
+	// for that long has probably been dropped by a network device on the path.
+	defaultIdleTimeout = 3 * time.Second
+	// controlTimeout bounds a request on a control path.
 	controlTimeout = 2 * time.Second
-	// maxControl bounds the memory of one control answer.
-	maxControl = 4 << 20
-	// maxDetail bounds what is kept of an error's text.
-	maxDetail = 4 << 10
+	// maxControlResponseBytes bounds the memory of a control response.
+	maxControlResponseBytes = 4 << 20
+	// maxErrorDetailBytes bounds how much of an error response's body is kept.
+	maxErrorDetailBytes = 4 << 10
 )
 
-// Client calls engines at the addresses that it is given.
+// Client calls engines by address.
 type Client struct {
-	pool    *httpclient.Pool
-	silence time.Duration
+	pool        *httpclient.Pool
+	idleTimeout time.Duration
 }
 
 var _ galenastair.Engine = (*Client)(nil)
 
-// Option changes how a client is made.
+// Option configures a Client.
 type Option func(*Client)
 
-// WithSilence sets how long a connection may show no byte before ErrSilent.
+// WithIdleTimeout sets how long a stream may receive no byte before it fails with ErrSilent.
 func WithSilence(d time.Duration) Option {
-	return func(c *Client) { c.silence = d }
+	return func(c *Client) { c.idleTimeout = d }
 }
 
-// New returns a client of all engines.
+// New returns a client, which can be used for any number of engines.
 func New(opts ...Option) *Client {
-	c := &Client{pool: httpclient.NewPool(), silence: defaultSilence}
+	c := &Client{pool: httpclient.NewPool(), idleTimeout: defaultIdleTimeout}
 	for _, opt := range opts {
 		opt(c)
 	}
@@ -54,8 +54,9 @@
 // Close closes idle connections.
 func (c *Client) Close() { c.pool.Close() }
 
-// control sends one request on the control paths and reads the answer into out.
-func (c *Client) control(ctx context.Context, server, method, path string, in, out any) error {
+// callControl sends a request on a control path and decodes the response into out
+// unless out is nil.
+func (c *Client) callControl(ctx context.Context, server, method, path string, in, out any) error {
 	var body []byte
 	if in != nil {
 		b, err := json.Marshal(in)
@@ -68,34 +69,34 @@
 	if err != nil {
 		return eris.Wrapf(galenastair.ErrNotSent, "%v", err)
 	}
-	limited, cancel := context.WithTimeout(ctx, controlTimeout)
+	timeoutCtx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	tracked, sending := httpclient.Track(limited)
+	tracked, sending := httpclient.Track(timeoutCtx)
 	resp, err := c.pool.For(server).RoundTrip(req.WithContext(tracked))
 	if err != nil {
 		return c.pool.Failed(ctx, server, sending, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return refusal(resp)
+		return responseError(resp)
 	}
-	// read to its end, as net/http closes the connection of a body that is not
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxControl))
+	// net/http only reuses a connection whose response body was read to the end
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxControlResponseBytes))
 	if err != nil || out == nil {
 		return eris.Wrapf(err, "%s %s", method, path)
 	}
-	return eris.Wrapf(json.Unmarshal(answer, out), "%s %s", method, path)
+	return eris.Wrapf(json.Unmarshal(data, out), "%s %s", method, path)
 }
 
-// refusal names the cause of an answer with an error status.
-func refusal(resp *http.Response) error {
-	detail, _ := io.ReadAll(io.LimitReader(resp.Body, maxDetail))
+// responseError maps a response with an error status to an error.
+func responseError(resp *http.Response) error {
+	detail, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorDetailBytes))
 	if resp.StatusCode == http.StatusNotFound && strings.HasPrefix(resp.Request.URL.Path, streamsPath) {
 		return eris.Wrap(galenastair.ErrStreamGone, resp.Request.URL.Path)
 	}
 	switch resp.Header.Get(HeaderOutcome) {
 	case OutcomeNotRun:
-		return declined(resp, detail)
+		return newDeclinedError(resp, detail)
 	case OutcomeStaleFence:
 		return eris.Wrapf(galenastair.ErrStaleFence, "%s", detail)
 	}
--- a/engine/client_test.go
+++ b/engine/client_test.go
@@ -22,7 +22,7 @@
 
 const prompt = "two bundles of walnut"
 
-// startEngine runs a stand-in engine with model-1 ready and returns its address.
+// startEngine starts a stand-in engine with model-1 loaded and returns it and its address.
 func startEngine(t *testing.T, change func(*standin.Settings)) (*standin.Engine, string) {
 	t.Helper()
 	s := standin.DefaultSettings()
@@ -53,7 +53,7 @@
 	return galenastair.Completion{ID: id, Model: "model-1", Body: body}
 }
 
-func answer(tokens int) string {
+func expectedText(tokens int) string {
 	return standin.Answer(standin.Request{Model: "model-1", Prompt: prompt, MaxTokens: tokens})
 }
 
@@ -63,7 +63,7 @@
 	} `json:"choices"`
 }
 
-// read returns the text of a stream, the last sequence, and why it ended.
+// read reads a stream to its end and returns the text, the last sequence and the final error.
 func read(s galenastair.AnswerStream) (text string, last int64, err error) {
 	defer s.Close()
 	for {
@@ -79,13 +79,12 @@
 	}
 }
 
-// A caller's words stop in the middle for good, though its connection stays
-// open. Something between entry and engine lost track of the open connection;
-// new ones work. The client notices the silence and fetches the rest on a new
-// connection, not on an idle one that is as dead. Seen failing without the timer
-// (the test hangs), and with a resume on the pooled transport that does not
-// forget its idle connections first.
-func TestSilentConnectionIsResumedOnANewOne(t *testing.T) {
+// A network device between entry instance and engine drops the state of an open
+// connection: the stream stops and the connection stays open, while new connections
+// work. The client must time out and resume on a new connection, not on a pooled
+// idle one, which is dead as well. Without the idle timer the test hangs; it also
+// fails if Resume uses the pooled transport without closing its idle connections.
+func TestResumeAfterIdleTimeoutUsesNewConnection(t *testing.T) {
 	is := is.New(t)
 	_, address := startEngine(t, func(s *standin.Settings) { s.BaseStep = 10 * time.Millisecond })
 	r, err := relay.New(address)
@@ -98,9 +97,9 @@
 	is.NoErr(err)
 	first, err := s.Next()
 	is.NoErr(err)
-	idle, err := c.Complete(context.Background(), r.Address(), request("r0", 1))
+	second, err := c.Complete(context.Background(), r.Address(), request("r0", 1))
 	is.NoErr(err)
-	_, _, err = read(idle)
+	_, _, err = read(second)
 	is.Equal(err, io.EOF)
 	r.Silence()
 	rest, last, err := read(s)
@@ -111,14 +110,14 @@
 	is.Equal(err, io.EOF)
 	var ev tokenEvent
 	is.NoErr(json.Unmarshal(first.Data, &ev))
-	is.Equal(ev.Choices[0].Text+rest+end, answer(30))
+	is.Equal(ev.Choices[0].Text+rest+end, expectedText(30))
 	is.Equal(r.Accepted(), 3)
 }
 
-// An operator reads "not run" although the engine ran the request, or "unknown"
-// although it certainly did not. Each failure is caused in turn. Seen failing
-// with a Sending that always, or never, says not sent.
-func TestCauseOfAFailureSaysWhetherItRan(t *testing.T) {
+// Guards against errors that say that a request has not run although it has, or that
+// leave this open although it has not. Each kind of failure is caused in turn. Fails if
+// Sending.NotSent is always true or always false.
+func TestErrorTellsWhetherRequestRan(t *testing.T) {
 	_, address := startEngine(t, func(s *standin.Settings) { s.MaxWaiting = 0 })
 	_, open := startEngine(t, nil)
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
@@ -126,12 +125,12 @@
 		t.Fatal(err)
 	}
 	closed.Close()
-	cutter := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
-	defer cutter.Close()
-	crosser := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(engine.HeaderRequestID, "r2") }))
-	defer crosser.Close()
-	frozen, frozenAddress := startEngine(t, nil)
-	frozen.Switch(func(s *standin.Switches) { s.Frozen = true })
+	abortingServer := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
+	defer abortingServer.Close()
+	wrongIDServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(engine.HeaderRequestID, "r2") }))
+	defer wrongIDServer.Close()
+	hung, hungAddress := startEngine(t, nil)
+	hung.Switch(func(s *standin.Switches) { s.Frozen = true })
 	tests := []struct {
 		name    string
 		address string
@@ -139,11 +138,11 @@
 		want    error
 	}{
 		{"refused connection", closed.Addr().String(), request("r1", 1), galenastair.ErrNotSent},
-		{"body that cannot be read", open, galenastair.Completion{ID: "r1", Body: []byte("[")}, galenastair.ErrNotSent},
+		{"malformed body", open, galenastair.Completion{ID: "r1", Body: []byte("[")}, galenastair.ErrNotSent},
 		{"declined", address, request("r1", 1), galenastair.ErrDeclined},
-		{"cut before the answer", cutter.Listener.Addr().String(), request("r1", 1), galenastair.ErrBackendServer},
-		{"answer to another", crosser.Listener.Addr().String(), request("r1", 1), galenastair.ErrCrossed},
-		{"silent before the answer", frozenAddress, request("r1", 1), galenastair.ErrSilent},
+		{"closed before the response", abortingServer.Listener.Addr().String(), request("r1", 1), galenastair.ErrBackendServer},
+		{"response to another request", wrongIDServer.Listener.Addr().String(), request("r1", 1), galenastair.ErrCrossed},
+		{"no response headers", hungAddress, request("r1", 1), galenastair.ErrSilent},
 	}
 	c := engine.New(engine.WithSilence(100 * time.Millisecond))
 	defer c.Close()
@@ -151,7 +150,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			_, err := c.Complete(context.Background(), tt.address, tt.comp)
-			is.True(errors.Is(err, tt.want)) // the cause
+			is.True(errors.Is(err, tt.want)) // expected error
 			for _, other := range []error{galenastair.ErrNotSent, galenastair.ErrDeclined} {
 				is.Equal(errors.Is(err, other), errors.Is(tt.want, other))
 			}
@@ -159,7 +158,7 @@
 	}
 	is := is.New(t)
 	_, err = c.Complete(context.Background(), address, request("r1", 1))
-	var d *engine.Declined
+	var d *engine.DeclinedError
 	is.True(errors.As(err, &d))
 	is.Equal(d.RetryAfter, time.Second)
 	_, err = c.Resume(context.Background(), open, "r9", 0)
@@ -167,7 +166,7 @@
 	is.True(errors.Is(c.Cancel(context.Background(), open, "r9"), galenastair.ErrStreamGone))
 }
 
-func TestFaultsOfAnEngineNeverLookWhole(t *testing.T) {
+func TestEngineFaultsReturnErrors(t *testing.T) {
 	is := is.New(t)
 	e, address := startEngine(t, nil)
 	c := engine.New()
@@ -180,7 +179,7 @@
 	}
 	text, err := run("r1")
 	is.Equal(err, io.EOF)
-	is.Equal(text, answer(5))
+	is.Equal(text, expectedText(5))
 	e.Switch(func(s *standin.Switches) { s.CutAfter = 3 })
 	_, err = run("r2")
 	is.True(errors.Is(err, galenastair.ErrAnswerCut))
@@ -206,7 +205,7 @@
 	is.True(errors.Is(order("o3", 5, galenastair.UnloadModel, "model-9"), galenastair.ErrDeclined))
 	e.Switch(func(s *standin.Switches) { s.LoseOrderAnswers = true })
 	err := order("o4", 6, galenastair.LoadModel, "model-4")
-	is.True(errors.Is(err, galenastair.ErrBackendServer)) // it acted, and nobody can know
+	is.True(errors.Is(err, galenastair.ErrBackendServer)) // the engine has acted, but its response was lost
 	e.Switch(func(s *standin.Switches) { s.LoseOrderAnswers = false })
 	r, err := c.Report(ctx, address)
 	is.NoErr(err)
@@ -216,5 +215,5 @@
 	resp, err := http.Get("http://" + address + "/control/violations")
 	is.NoErr(err)
 	body, _ := io.ReadAll(resp.Body)
-	is.True(strings.Contains(string(body), `"Order":"o4"`)) // overcommitted, and recorded
+	is.True(strings.Contains(string(body), `"Order":"o4"`)) // the engine recorded that its memory is overcommitted
 }
--- a/engine/complete.go
+++ b/engine/complete.go
@@ -13,9 +13,10 @@
 	"galenastair/httpclient"
 )
 
-// Complete starts a request; its error wraps ErrNotSent or ErrDeclined when it certainly did not run.
+// Complete starts a request. Its error wraps ErrNotSent or ErrDeclined if the request
+// has not run; with any other error it may have run.
 func (c *Client) Complete(ctx context.Context, server string, comp galenastair.Completion) (galenastair.AnswerStream, error) {
-	body, err := streamBody(comp)
+	body, err := completionBody(comp)
 	if err != nil {
 		return nil, eris.Wrapf(galenastair.ErrNotSent, "%v", err)
 	}
@@ -28,10 +29,10 @@
 		return nil, eris.Wrapf(galenastair.ErrNotSent, "%v", err)
 	}
 	req.Header.Set("Content-Type", "application/json")
-	return c.open(ctx, req, c.pool.For(server), comp.ID, 0)
+	return c.openStream(ctx, req, c.pool.For(server), comp.ID, 0)
 }
 
-// Resume continues an answer after the given sequence on a new connection.
+// Resume continues a stream after the given sequence on a new connection.
 func (c *Client) Resume(ctx context.Context, server string, id galenastair.RequestID, after int64) (galenastair.AnswerStream, error) {
 	req, err := http.NewRequest(http.MethodGet, "http://"+server+streamPath(id), nil)
 	if err != nil {
@@ -39,39 +40,39 @@
 	}
 	req.Header.Set(HeaderLastEventID, strconv.FormatInt(after, 10))
 	c.pool.Forget(server)
-	return c.open(ctx, req, c.pool.Fresh(), id, after)
+	return c.openStream(ctx, req, c.pool.Fresh(), id, after)
 }
 
-// open sends a request and returns its stream once the headers of the answer are in.
-func (c *Client) open(ctx context.Context, req *http.Request, t http.RoundTripper, id galenastair.RequestID, after int64) (galenastair.AnswerStream, error) {
+// openStream sends a request and returns the stream once the response headers have arrived.
+func (c *Client) openStream(ctx context.Context, req *http.Request, t http.RoundTripper, id galenastair.RequestID, after int64) (galenastair.AnswerStream, error) {
 	req.Header.Set(HeaderRequestID, string(id))
 	req.Header.Set("Accept", "text/event-stream")
 	tracked, sending := httpclient.Track(ctx)
 	tracked, cancel := context.WithCancel(tracked)
-	s := &stream{cancel: cancel, silence: c.silence, check: checker{id: id, next: after + 1}}
-	s.timer = time.AfterFunc(c.silence, s.expire)
+	s := &stream{cancel: cancel, idleTimeout: c.idleTimeout, validator: eventValidator{id: id, nextSequence: after + 1}}
+	s.timer = time.AfterFunc(c.idleTimeout, s.onIdleTimeout)
 	resp, err := t.RoundTrip(req.WithContext(tracked))
 	s.timer.Stop()
 	if err != nil {
 		cancel()
-		if s.silent.Load() && !sending.NotSent() {
+		if s.timedOut.Load() && !sending.NotSent() {
 			c.pool.Forget(req.URL.Host)
-			return nil, eris.Wrap(galenastair.ErrSilent, "before the answer began")
+			return nil, eris.Wrap(galenastair.ErrSilent, "waiting for response headers")
 		}
 		return nil, c.pool.Failed(ctx, req.URL.Host, sending, err)
 	}
 	if resp.StatusCode != http.StatusOK {
 		defer cancel()
 		defer resp.Body.Close()
-		return nil, refusal(resp)
+		return nil, responseError(resp)
 	}
 	if got := resp.Header.Get(HeaderRequestID); got != string(id) {
 		cancel()
 		_ = resp.Body.Close()
-		return nil, eris.Wrapf(galenastair.ErrCrossed, "the answer is for request %q", got)
+		return nil, eris.Wrapf(galenastair.ErrCrossed, "response carries request ID %q", got)
 	}
 	s.body = resp.Body
-	s.events = newEventReader(resp.Body, s.rearm)
+	s.events = newEventReader(resp.Body, s.resetTimer)
 	return s, nil
 }
 
@@ -79,14 +80,14 @@
 	IncludeUsage bool `json:"include_usage"`
 }
 
-// streamBody returns the caller's body with the fields that the system decides.
-// It stays a map of raw fields, since engines know fields that this system does
-// not; a field that came twice is sent once, so that the engine cannot read
-// another value than the one that was admitted.
-func streamBody(comp galenastair.Completion) ([]byte, error) {
+// completionBody returns the caller's body with the fields overridden that this
+// system sets. The body is decoded into raw fields, since engines support fields that
+// this system does not know. A duplicate field is sent once, so that the engine
+// cannot read a different value from the one that admission control has checked.
+func completionBody(comp galenastair.Completion) ([]byte, error) {
 	fields := map[string]json.RawMessage{}
 	if err := json.Unmarshal(comp.Body, &fields); err != nil {
-		return nil, eris.Wrap(err, "the body is no JSON object")
+		return nil, eris.Wrap(err, "request body is not a JSON object")
 	}
 	set := func(name string, v any) error {
 		raw, err := json.Marshal(v)
--- a/engine/declined.go
+++ b/engine/declined.go
@@ -9,27 +9,27 @@
 	"galenastair"
 )
 
-// Declined is an engine's own word that it did not run a request or order.
-type Declined struct {
+// DeclinedError is an engine's response that it has not run a request or acted on an order.
+type DeclinedError struct {
 	Status     int
 	RetryAfter time.Duration
 	Detail     string
 }
 
-// Error returns the status and what the engine said.
-func (d *Declined) Error() string {
+// Error returns the status and the body of the engine's response.
+func (d *DeclinedError) Error() string {
 	return fmt.Sprintf("%s: status %d: %s", galenastair.ErrDeclined, d.Status, d.Detail)
 }
 
 // Unwrap returns ErrDeclined.
-func (d *Declined) Unwrap() error { return galenastair.ErrDeclined }
+func (d *DeclinedError) Unwrap() error { return galenastair.ErrDeclined }
 
-func declined(resp *http.Response, detail []byte) *Declined {
+func newDeclinedError(resp *http.Response, detail []byte) *DeclinedError {
 	seconds, err := strconv.Atoi(resp.Header.Get("Retry-After"))
 	if err != nil || seconds < 0 {
 		seconds = 0
 	}
-	return &Declined{
+	return &DeclinedError{
 		Status:     resp.StatusCode,
 		RetryAfter: time.Duration(seconds) * time.Second,
 		Detail:     string(detail),
--- a/engine/event.go
+++ b/engine/event.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// readBuffer holds dozens of token events.
-	readBuffer = 4 << 10
-	// maxEvent bounds the memory that one event can take.
-	maxEvent = 1 << 20
+	// readBufferBytes is enough for dozens of token events.
+	readBufferBytes = 4 << 10
+	// maxEventBytes bounds the memory of one event.
+	maxEventBytes = 1 << 20
 )
 
 var (
-	errEventTooLarge = eris.New("an event is larger than the limit")
-	errEventID       = eris.New("an event has no readable id")
+	errEventTooLarge = eris.New("event exceeds the limit of 1 MiB")
+	errEventID       = eris.New("event id is not a number")
 )
 
 // event is one server-sent event.
@@ -29,32 +29,33 @@
 	data []byte
 }
 
-// eventReader splits a body into server-sent events.
+// eventReader parses a response body into server-sent events.
 type eventReader struct {
-	r       *bufio.Reader
-	waiting func()
-	long    []byte
+	r          *bufio.Reader
+	beforeRead func()
+	longLine   []byte
 }
 
-// buffers are used again: at 10,000 short requests/s new ones would be 40 MB/s
-// of garbage on an instance that has 64 MB.
-var buffers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBuffer) }}
+// readerPool reuses read buffers. Allocating one per request would produce 40 MB/s
+// of garbage at 10,000 short requests/s, on an instance that has 64 MB of memory.
+var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBufferBytes) }}
 
-// newEventReader calls waiting before each read that may block.
-func newEventReader(r io.Reader, waiting func()) *eventReader {
-	buf := buffers.Get().(*bufio.Reader)
+// newEventReader returns a reader that calls beforeRead before each read that may block.
+func newEventReader(r io.Reader, beforeRead func()) *eventReader {
+	buf := readerPool.Get().(*bufio.Reader)
 	buf.Reset(r)
-	return &eventReader{r: buf, waiting: waiting}
+	return &eventReader{r: buf, beforeRead: beforeRead}
 }
 
-// release gives the buffer back; the reader must not be used any more.
+// release returns the buffer to the pool; the eventReader must not be used afterwards.
 func (e *eventReader) release() {
 	e.r.Reset(nil)
-	buffers.Put(e.r)
+	readerPool.Put(e.r)
 	e.r = nil
 }
 
-// next returns the next event with data; an event that the end of the body cuts is none.
+// next returns the next event that has data. An event that is truncated by the end
+// of the body is dropped.
 func (e *eventReader) next() (event, error) {
 	ev := event{id: -1}
 	for {
@@ -68,7 +69,7 @@
 			}
 			continue
 		}
-		if err := ev.add(line); err != nil {
+		if err := ev.parseLine(line); err != nil {
 			return event{}, err
 		}
 	}
@@ -79,9 +80,9 @@
 	idField   = []byte("id:")
 )
 
-func (ev *event) add(line []byte) error {
+func (ev *event) parseLine(line []byte) error {
 	if value, ok := bytes.CutPrefix(line, dataField); ok {
-		if len(ev.data)+len(value) > maxEvent {
+		if len(ev.data)+len(value) > maxEventBytes {
 			return errEventTooLarge
 		}
 		if ev.data != nil {
@@ -103,26 +104,26 @@
 	return nil
 }
 
-// line returns the next line without its end; it is valid until the next call.
+// line returns the next line without its line ending; it is valid until the next call.
 func (e *eventReader) line() ([]byte, error) {
-	e.long = e.long[:0]
+	e.longLine = e.longLine[:0]
 	for {
 		if e.r.Buffered() == 0 {
-			e.waiting()
+			e.beforeRead()
 		}
 		part, err := e.r.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			if len(e.long)+len(part) > maxEvent {
+			if len(e.longLine)+len(part) > maxEventBytes {
 				return nil, errEventTooLarge
 			}
-			e.long = append(e.long, part...)
+			e.longLine = append(e.longLine, part...)
 			continue
 		}
 		if err != nil {
 			return nil, err
 		}
-		if len(e.long) > 0 {
-			part = append(e.long, part...)
+		if len(e.longLine) > 0 {
+			part = append(e.longLine, part...)
 		}
 		return bytes.TrimRight(part, "\r\n"), nil
 	}
--- a/engine/stream.go
+++ b/engine/stream.go
@@ -12,42 +12,42 @@
 	"galenastair"
 )
 
-// stream is one answer on one connection, for one goroutine.
+// stream is a streamed response on one connection. It is not safe for concurrent use.
 type stream struct {
-	body    io.ReadCloser
-	events  *eventReader
-	check   checker
-	cancel  context.CancelFunc
-	silence time.Duration
-	timer   *time.Timer
-	silent  atomic.Bool
-	ended   bool
-	// failed is why the stream broke; nothing that comes after can be trusted.
-	failed error
+	body        io.ReadCloser
+	events      *eventReader
+	validator   eventValidator
+	cancel      context.CancelFunc
+	idleTimeout time.Duration
+	timer       *time.Timer
+	timedOut    atomic.Bool
+	done        bool
+	// err is the first error of the stream; events after it are not valid.
+	err error
 }
 
-// expire ends a connection that something between the two ends has lost track
-// of: no read on it ever returns, while a new connection would work.
-func (s *stream) expire() {
-	s.silent.Store(true)
+// onIdleTimeout closes a connection whose state a network device on the path has lost:
+// reads on it would block forever, while a new connection works.
+func (s *stream) onIdleTimeout() {
+	s.timedOut.Store(true)
 	s.cancel()
 }
 
-// rearm gives the connection its whole time again; the timer rests between reads,
-// so that a slow caller is not taken for a silent engine.
-func (s *stream) rearm() { s.timer.Reset(s.silence) }
+// resetTimer starts the idle timer. The timer is stopped between reads, so that a slow
+// caller does not count as an idle connection.
+func (s *stream) resetTimer() { s.timer.Reset(s.idleTimeout) }
 
-// Next returns the next chunk, and io.EOF after the end mark.
+// Next returns the next chunk, and io.EOF after the [DONE] event.
 func (s *stream) Next() (galenastair.Chunk, error) {
-	if s.ended {
+	if s.done {
 		return galenastair.Chunk{}, io.EOF
 	}
-	if s.failed != nil {
-		return galenastair.Chunk{}, s.failed
+	if s.err != nil {
+		return galenastair.Chunk{}, s.err
 	}
 	chunk, err := s.read()
-	s.failed = err
-	s.ended = chunk.End
+	s.err = err
+	s.done = chunk.End
 	return chunk, err
 }
 
@@ -55,26 +55,26 @@
 	ev, err := s.events.next()
 	s.timer.Stop()
 	if err != nil {
-		return galenastair.Chunk{}, s.cause(err)
+		return galenastair.Chunk{}, s.wrapReadError(err)
 	}
-	return s.check.check(ev)
+	return s.validator.validate(ev)
 }
 
-func (s *stream) cause(err error) error {
+func (s *stream) wrapReadError(err error) error {
 	switch {
-	case s.silent.Load():
-		return eris.Wrapf(galenastair.ErrSilent, "before event %d", s.check.next)
+	case s.timedOut.Load():
+		return eris.Wrapf(galenastair.ErrSilent, "waiting for event %d", s.validator.nextSequence)
 	case errors.Is(err, context.Canceled), errors.Is(err, context.DeadlineExceeded):
 		return err
 	}
-	return eris.Wrapf(galenastair.ErrAnswerCut, "before event %d: %v", s.check.next, err)
+	return eris.Wrapf(galenastair.ErrAnswerCut, "reading event %d: %v", s.validator.nextSequence, err)
 }
 
-// Close ends the stream; a connection whose answer was read whole is used again,
-// and its buffer too: only then can no Next still be reading.
+// Close closes the stream. The connection and the read buffer are reused only if the
+// response was read to its end, since otherwise a call of Next may still be reading.
 func (s *stream) Close() error {
 	s.timer.Stop()
-	if s.ended && s.events.r != nil {
+	if s.done && s.events.r != nil {
 		s.drain()
 		s.events.release()
 	}
@@ -83,11 +83,11 @@
 	return err
 }
 
-// drainTimeout is long for the few bytes that end a body after its end mark, and
-// short for a caller whose whole answer waits for them.
+// drainTimeout is long enough for the few bytes that follow the [DONE] event, and short
+// for a caller, as the end of its response is delayed by it.
 const drainTimeout = 50 * time.Millisecond
 
-// drain reads the end of the body, without which net/http closes the connection.
+// drain reads the body to its end; otherwise net/http would close the connection.
 func (s *stream) drain() {
 	s.timer.Reset(drainTimeout)
 	_, _ = io.CopyN(io.Discard, s.events.r, 1)
--- a/engine/stream_test.go
+++ b/engine/stream_test.go
@@ -13,26 +13,27 @@
 	"galenastair"
 )
 
-const wholeAnswer = "id: 1\ndata: {\"id\":\"r1\",\"x\":1}\n\n" +
+const completeResponse = "id: 1\ndata: {\"id\":\"r1\",\"x\":1}\n\n" +
 	": ping\n\n" +
 	"id: 2\ndata: {\"x\":2,\"id\":\"r1\"}\r\n\r\n" +
 	"id: 3\ndata: [DONE]\n\n"
 
-// newTestStream reads an answer to request r1 from text.
+// newTestStream returns a stream for request r1 whose response body is text.
 func newTestStream(text string) *stream {
 	body := io.NopCloser(strings.NewReader(text))
 	s := &stream{
-		body:    body,
-		cancel:  func() {},
-		silence: time.Minute,
-		check:   checker{id: "r1", next: 1},
+		body:        body,
+		cancel:      func() {},
+		idleTimeout: time.Minute,
+		validator:   eventValidator{id: "r1", nextSequence: 1},
 	}
-	s.timer = time.AfterFunc(time.Minute, s.expire)
-	s.events = newEventReader(body, s.rearm)
+	s.timer = time.AfterFunc(time.Minute, s.onIdleTimeout)
+	s.events = newEventReader(body, s.resetTimer)
 	return s
 }
 
-// readAll returns the chunks before the end mark, and why the stream ended: io.EOF if whole.
+// readAll returns the chunks before the [DONE] event and the final error, which is io.EOF
+// for a complete stream.
 func readAll(s *stream) ([]galenastair.Chunk, error) {
 	defer s.Close()
 	var chunks []galenastair.Chunk
@@ -47,43 +48,43 @@
 	}
 }
 
-// A caller sees fewer words than the model wrote, or words of another caller,
-// and its client shows no error. The engine or what lies between cuts, doubles,
-// drops or crosses events. Seen failing with each check taken out in turn: the
-// id in owns, the sequence in check, and the end mark taken for an end of body.
-func TestStreamOnlyEndsWholeWithItsOwnEvents(t *testing.T) {
+// Guards against a caller receiving truncated text, or text of another request, without
+// an error, when the engine or the network truncates, duplicates, drops or mixes up events.
+// Fails if one of these checks is missing: the ID in hasRequestID, the sequence in
+// validate, and the [DONE] event before the end of the body.
+func TestStreamRejectsForeignAndMissingEvents(t *testing.T) {
 	event := func(n int, data string) string { return fmt.Sprintf("id: %d\ndata: %s\n\n", n, data) }
-	mine := `{"id":"r1"}`
+	ownData := `{"id":"r1"}`
 	tests := []struct {
 		name string
 		text string
 		want error
 	}{
-		{"whole", wholeAnswer, io.EOF},
-		{"cut before the end mark", event(1, mine), galenastair.ErrAnswerCut},
-		{"cut within the end mark", event(1, mine) + "id: 2\ndata: [DONE]\n", galenastair.ErrAnswerCut},
-		{"doubled event", event(1, mine) + event(1, mine), galenastair.ErrCrossed},
-		{"dropped event", event(1, mine) + event(3, mine), galenastair.ErrCrossed},
-		{"dropped before the end mark", event(1, mine) + event(3, "[DONE]"), galenastair.ErrCrossed},
-		{"another's event", event(1, `{"id":"r2"}`), galenastair.ErrCrossed},
-		{"another's event whose id begins alike", event(1, `{"id":"r11"}`), galenastair.ErrCrossed},
+		{"complete", completeResponse, io.EOF},
+		{"truncated before the [DONE] event", event(1, ownData), galenastair.ErrAnswerCut},
+		{"truncated within the [DONE] event", event(1, ownData) + "id: 2\ndata: [DONE]\n", galenastair.ErrAnswerCut},
+		{"duplicate event", event(1, ownData) + event(1, ownData), galenastair.ErrCrossed},
+		{"dropped event", event(1, ownData) + event(3, ownData), galenastair.ErrCrossed},
+		{"dropped before the [DONE] event", event(1, ownData) + event(3, "[DONE]"), galenastair.ErrCrossed},
+		{"event of another request", event(1, `{"id":"r2"}`), galenastair.ErrCrossed},
+		{"event of a request whose ID has this one's as prefix", event(1, `{"id":"r11"}`), galenastair.ErrCrossed},
 		{"no id in the object", event(1, `{}`), galenastair.ErrCrossed},
-		{"no sequence", "data: " + mine + "\n\n", galenastair.ErrCrossed},
-		{"too large", "id: 1\ndata: " + strings.Repeat("x", maxEvent+1) + "\n\n", galenastair.ErrAnswerCut},
+		{"no sequence", "data: " + ownData + "\n\n", galenastair.ErrCrossed},
+		{"too large", "id: 1\ndata: " + strings.Repeat("x", maxEventBytes+1) + "\n\n", galenastair.ErrAnswerCut},
 		{"too many data lines", "id: 1\n" + strings.Repeat("data: "+strings.Repeat("x", 1000)+"\n", 1100), galenastair.ErrAnswerCut},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			_, err := readAll(newTestStream(tt.text))
-			is.True(errors.Is(err, tt.want)) // how the stream ends
+			is.True(errors.Is(err, tt.want)) // final error
 		})
 	}
 }
 
-// A caller goes on reading a stream after it broke and takes the rest for its
-// own. Seen failing with the failure not kept.
-func TestBrokenStreamStaysBroken(t *testing.T) {
+// Guards against a caller that goes on reading after an error and receives the events of
+// another request. Fails if the stream does not keep its first error.
+func TestStreamErrorIsPermanent(t *testing.T) {
 	is := is.New(t)
 	s := newTestStream("id: 1\ndata: {\"id\":\"r2\"}\n\nid: 2\ndata: {\"id\":\"r1\"}\n\nid: 3\ndata: [DONE]\n\n")
 	for range 4 {
@@ -92,19 +93,18 @@
 	}
 }
 
-func TestStreamCutAnywhereIsNotWhole(t *testing.T) {
+func TestTruncatedStreamReturnsErrAnswerCut(t *testing.T) {
 	is := is.New(t)
-	for cut := range len(wholeAnswer) {
-		_, err := readAll(newTestStream(wholeAnswer[:cut]))
+	for n := range len(completeResponse) {
+		_, err := readAll(newTestStream(completeResponse[:n]))
 		is.True(errors.Is(err, galenastair.ErrAnswerCut))
 	}
 }
 
-// FuzzStream lets anything come as a streamed answer. Whatever comes, chunks
-// carry the request's own id and sequences without a gap, and only an end mark
-// that was sent ends the stream whole.
+// FuzzStream parses arbitrary response bodies. The chunks must carry the request's ID and
+// sequences without gaps, and the stream may end with io.EOF only after a [DONE] event.
 func FuzzStream(f *testing.F) {
-	f.Add(wholeAnswer)
+	f.Add(completeResponse)
 	f.Add("id: 1\ndata: {\"id\":\"r1\"}\ndata:\n\n")
 	f.Add("id: 1\ndata\n\nid: 9223372036854775808\n\n:\n")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -114,11 +114,11 @@
 				t.Fatalf("chunk %d has sequence %d", i, c.Sequence)
 			}
 			if !strings.Contains(string(c.Data), "r1") && !strings.Contains(string(c.Data), `\u`) {
-				t.Fatalf("chunk %d is another's: %q", i, c.Data)
+				t.Fatalf("chunk %d belongs to another request: %q", i, c.Data)
 			}
 		}
 		if errors.Is(err, io.EOF) && !strings.Contains(text, "[DONE]") {
-			t.Fatalf("whole without an end mark: %q", text)
+			t.Fatalf("io.EOF without a [DONE] event: %q", text)
 		}
 	})
 }
--- a/engine/wire.go
+++ b/engine/wire.go
@@ -2,38 +2,38 @@
 
 import "galenastair"
 
-// The headers that the adapter and engines use beside the usual ones.
+// HTTP headers of the protocol between this client and engines.
 const (
 	HeaderRequestID   = "X-Request-Id"
 	HeaderOutcome     = "X-Outcome"
 	HeaderLastEventID = "Last-Event-ID"
 )
 
-// The values of HeaderOutcome.
+// Values of HeaderOutcome.
 const (
 	OutcomeNotRun     = "NotRun"
 	OutcomeStaleFence = "StaleFence"
 )
 
-// EventsAnswer holds cache events in the order of their sequence, with gaps.
+// EventsResponse holds cache events in ascending order of sequence; there may be gaps.
 type EventsAnswer struct {
 	Events []galenastair.CacheEvent
 }
 
-// TransferKind says which way KV cache moves.
+// TransferKind is the direction of a KV cache transfer.
 type TransferKind string
 
-// The kinds of transfer.
+// Directions of a KV cache transfer, as seen from the engine.
 const (
 	ExportCache TransferKind = "Export"
 	ImportCache TransferKind = "Import"
 )
 
-// CacheTransfer moves the KV cache of one prompt prefix out of or into an engine.
+// CacheTransfer exports the KV cache of one prompt prefix from an engine, or imports it.
 type CacheTransfer struct {
 	Kind   TransferKind
 	Model  galenastair.ModelName
 	Prefix uint64
-	// Tokens is how much of a prompt the prefix covers.
+	// Tokens is the length of the prefix.
 	Tokens galenastair.Tokens
 }
