--- a/report/core.go
+++ b/report/core.go
@@ -7,140 +7,149 @@
 	"galenastair"
 )
 
-// Server is an engine as listed.
+// Server is an engine in the platform's list of instances.
 type Server struct {
 	ID      galenastair.BackendServerID
 	Address string
 }
 
-// Duties says who reads which engine; every member should see the same soon.
+// Assignment assigns engines to the members that poll them. Members may disagree for a
+// short time after a change, but should soon see the same assignment.
 type Duties interface {
 	Self() galenastair.Peer
 	Members() []galenastair.Peer
-	// Epoch changes whenever members or readers do.
+	// Epoch changes whenever the members or the pollers do.
 	Epoch() galenastair.Epoch
-	// Reader returns the member that reads an engine.
+	// Poller returns the member that polls an engine.
 	Reader(id galenastair.BackendServerID) (galenastair.Peer, bool)
 }
 
-// known is what one instance knows of one engine.
-type known struct {
+// trackedEngine is this instance's state of one engine.
+type trackedEngine struct {
 	server Server
 	report galenastair.EngineReport
 	digest stateDigest
-	// at is when the figures held, by this instance's clock; zero if never.
-	at time.Time
-	// asked is when this instance last began to read the engine.
-	asked time.Time
-	// lacksState says that news named a state that this instance has not got.
-	lacksState bool
-	// mine says that this instance is the engine's reader.
-	mine   bool
-	row    told
-	column told
+	// measuredAt is when the engine measured the report, by this instance's clock; zero
+	// if there is no report yet.
+	measuredAt time.Time
+	// polledAt is when this instance last started to poll the engine.
+	polledAt time.Time
+	// missingState is set if an update referred to a state that this instance has not received.
+	missingState bool
+	// polledLocally is set if this instance is the engine's poller.
+	polledLocally  bool
+	rowProgress    progress
+	columnProgress progress
 }
 
-// Core decides what to read and what to tell; its caller serialises the calls.
-type Core struct {
+// Tracker holds the latest report of each engine and decides which engines to poll and
+// which updates to send. It does no I/O and is not safe for concurrent use.
+type Tracker struct {
 	servers []Server
-	engines map[galenastair.BackendServerID]*known
-	// byHash has nil for a hash that two engines share: they are read by all.
-	byHash map[engineHash]*known
-	share  share
-	round  time.Time
-	rounds int
-	// shortest is the shortest period of reads and rounds.
-	shortest time.Duration
+	engines map[galenastair.BackendServerID]*trackedEngine
+	// byHash maps a hash to nil if it is that of two or more engines; updates of these are
+	// ignored, and every instance polls them.
+	byHash      map[engineHash]*trackedEngine
+	assigned    localAssignment
+	lastRoundAt time.Time
+	roundCount  int
+	// minInterval is the minimum interval of polls and of rounds.
+	minInterval time.Duration
 }
 
-// NewCore returns a core that knows no engine; shortest bounds its periods from below.
-func NewCore(shortest time.Duration) *Core { return &Core{shortest: shortest} }
+// NewTracker returns a tracker without engines; minInterval is the minimum interval of
+// polls and of rounds.
+func NewTracker(minInterval time.Duration) *Tracker { return &Tracker{minInterval: minInterval} }
 
-// SetServers replaces the engines that are listed.
-func (c *Core) SetServers(servers []Server) {
-	if slices.Equal(servers, c.servers) {
+// SetServers replaces the list of engines.
+func (t *Tracker) SetServers(servers []Server) {
+	if slices.Equal(servers, t.servers) {
 		return
 	}
-	c.servers = slices.Clone(servers)
-	c.share.valid = false
-	engines := make(map[galenastair.BackendServerID]*known, len(servers))
-	byHash := make(map[engineHash]*known, len(servers))
+	t.servers = slices.Clone(servers)
+	t.assigned.valid = false
+	engines := make(map[galenastair.BackendServerID]*trackedEngine, len(servers))
+	byHash := make(map[engineHash]*trackedEngine, len(servers))
 	for _, s := range servers {
-		k, ok := c.engines[s.ID]
-		if !ok || k.server != s {
-			k = &known{server: s}
+		e, ok := t.engines[s.ID]
+		if !ok || e.server != s {
+			e = &trackedEngine{server: s}
 		}
-		engines[s.ID] = k
+		engines[s.ID] = e
 		h := hashEngine(s.ID)
 		if _, shared := byHash[h]; shared {
 			byHash[h] = nil
 			continue
 		}
-		byHash[h] = k
+		byHash[h] = e
 	}
-	c.engines = engines
-	c.byHash = byHash
+	t.engines = engines
+	t.byHash = byHash
 }
 
-// Read takes in what an engine said; it returns whether that is the youngest known.
-func (c *Core) Read(now time.Time, id galenastair.BackendServerID, r galenastair.EngineReport) bool {
-	k, ok := c.engines[id]
-	if !ok || !k.younger(now.Add(-r.Age)) {
+// ApplyReport stores a report that an engine returned. It returns false if the tracker
+// has a newer one or does not know the engine.
+func (t *Tracker) ApplyReport(now time.Time, id galenastair.BackendServerID, r galenastair.EngineReport) bool {
+	e, ok := t.engines[id]
+	if !ok || !e.isNewer(now.Add(-r.Age)) {
 		return false
 	}
 	r.BackendServer = id
-	k.at = now.Add(-r.Age)
-	k.report = r
-	k.digest = digest(r)
-	k.lacksState = false
+	e.measuredAt = now.Add(-r.Age)
+	e.report = r
+	e.digest = digestState(r)
+	e.missingState = false
 	return true
 }
 
-// Heard takes in a message and returns the reports that it made younger. News can
-// come late, twice and by two ways: what is older than what is known is dropped,
-// by the reader's age of the figures, as clocks are not compared.
-func (c *Core) Heard(now time.Time, t Told) []galenastair.EngineReport {
+// ApplyMessage applies a message of another instance and returns the reports that it
+// updated. Messages may arrive late, more than once and by two routes, so that updates
+// older than the known report are dropped. Messages carry the age of a report instead of
+// a timestamp, as the clocks of instances are not synchronised.
+func (t *Tracker) ApplyMessage(now time.Time, msg Message) []galenastair.EngineReport {
 	var out []galenastair.EngineReport
-	for _, h := range t.Unchanged {
-		k := c.byHash[h]
-		if k == nil || k.at.IsZero() || !k.younger(now.Add(-t.UnchangedAge)) {
+	for _, h := range msg.Unchanged {
+		e := t.byHash[h]
+		if e == nil || e.measuredAt.IsZero() || !e.isNewer(now.Add(-msg.UnchangedAge)) {
 			continue
 		}
-		k.at = now.Add(-t.UnchangedAge)
-		out = append(out, k.reportAt(now))
+		e.measuredAt = now.Add(-msg.UnchangedAge)
+		out = append(out, e.reportAt(now))
 	}
-	for _, n := range t.News {
-		k := c.byHash[n.Engine]
-		if k == nil || !k.younger(now.Add(-n.Age)) {
+	for _, u := range msg.Updates {
+		e := t.byHash[u.Engine]
+		if e == nil || !e.isNewer(now.Add(-u.Age)) {
 			continue
 		}
-		if n.State == nil && (k.at.IsZero() || n.Digest != k.digest) {
-			k.lacksState = true
+		if u.State == nil && (e.measuredAt.IsZero() || u.Digest != e.digest) {
+			e.missingState = true
 			continue
 		}
-		k.hear(now, n)
-		out = append(out, k.reportAt(now))
+		e.applyUpdate(now, u)
+		out = append(out, e.reportAt(now))
 	}
 	return out
 }
 
-// hear takes in news whose state is known.
-func (k *known) hear(now time.Time, n News) {
-	if n.State != nil {
-		k.report = *n.State
-		k.report.BackendServer = k.server.ID
-		k.digest = n.Digest
-		k.lacksState = false
+// applyUpdate applies an update whose state is in the update or already known.
+func (e *trackedEngine) applyUpdate(now time.Time, u EngineUpdate) {
+	if u.State != nil {
+		e.report = *u.State
+		e.report.BackendServer = e.server.ID
+		e.digest = u.Digest
+		e.missingState = false
 	}
-	k.at = now.Add(-n.Age)
-	k.report.Running = n.Running
-	k.report.Waiting = n.Waiting
+	e.measuredAt = now.Add(-u.Age)
+	e.report.Running = u.Running
+	e.report.Waiting = u.Waiting
 }
 
-func (k *known) younger(at time.Time) bool { return k.at.IsZero() || at.After(k.at) }
+func (e *trackedEngine) isNewer(at time.Time) bool {
+	return e.measuredAt.IsZero() || at.After(e.measuredAt)
+}
 
-func (k *known) reportAt(now time.Time) galenastair.EngineReport {
-	r := k.report
-	r.Age = now.Sub(k.at)
+func (e *trackedEngine) reportAt(now time.Time) galenastair.EngineReport {
+	r := e.report
+	r.Age = now.Sub(e.measuredAt)
 	return r
 }
--- a/report/grid.go
+++ b/report/grid.go
@@ -8,22 +8,21 @@
 	"galenastair"
 )
 
-// directly is up to how many instances tell each other without relays: so few
-// messages cost less than the age that a second hop adds.
-const directly = 10
+// maxFullMesh is the maximum number of instances that send to each other without relays.
+// The few messages cost less than the delay of a second hop.
+const maxFullMesh = 10
 
-// grid is whom one instance tells: its row gets what it reads itself, its column
-// what all of its row read.
+// grid has the peers that an instance sends to: the row gets the updates of the engines
+// that it polls, the column those of the engines that any instance of its row polls.
 type grid struct {
-	row    []galenastair.Peer
-	column []galenastair.Peer
-	// width is the number of rows.
-	width int
+	row      []galenastair.Peer
+	column   []galenastair.Peer
+	rowCount int
 }
 
-// newGrid puts the members into rows of nearly the same length, in the order of
-// their ids. A short row has no member in the last column; one of its others
-// tells that column too.
+// newGrid arranges the members, sorted by ID, in rows whose lengths differ by at most
+// one. A shorter row has no member in the last column; one of its other members sends
+// to that column as well.
 func newGrid(members []galenastair.Peer, self galenastair.InstanceID) grid {
 	sorted := slices.Clone(members)
 	slices.SortFunc(sorted, func(a, b galenastair.Peer) int { return cmp.Compare(a.ID, b.ID) })
@@ -31,22 +30,22 @@
 	if at < 0 {
 		return grid{}
 	}
-	g := grid{width: 1}
-	if len(sorted) > directly {
-		g.width = int(math.Round(math.Sqrt(float64(len(sorted)))))
+	g := grid{rowCount: 1}
+	if len(sorted) > maxFullMesh {
+		g.rowCount = int(math.Round(math.Sqrt(float64(len(sorted)))))
 	}
-	for _, row := range rows(sorted, g.width) {
+	for _, row := range splitRows(sorted, g.rowCount) {
 		if at >= 0 && at < len(row) {
 			g.row = slices.Delete(slices.Clone(row), at, at+1)
-			g.fillColumn(rows(sorted, g.width), row, at)
+			g.addColumn(splitRows(sorted, g.rowCount), row, at)
 		}
 		at -= len(row)
 	}
 	return g
 }
 
-// fillColumn adds those that stand in the same column of other rows.
-func (g *grid) fillColumn(all [][]galenastair.Peer, own []galenastair.Peer, at int) {
+// addColumn adds the members in the same column of the other rows.
+func (g *grid) addColumn(all [][]galenastair.Peer, own []galenastair.Peer, at int) {
 	for _, row := range all {
 		for column, p := range row {
 			if row[0] != own[0] && column%len(own) == at {
@@ -56,8 +55,8 @@
 	}
 }
 
-// rows splits members into rows whose lengths differ by one at most.
-func rows(members []galenastair.Peer, count int) [][]galenastair.Peer {
+// splitRows splits members into rows whose lengths differ by at most one.
+func splitRows(members []galenastair.Peer, count int) [][]galenastair.Peer {
 	out := make([][]galenastair.Peer, count)
 	for i := range out {
 		out[i] = members[i*len(members)/count : (i+1)*len(members)/count]
--- a/report/news.go
+++ b/report/news.go
@@ -10,8 +10,8 @@
 	"galenastair/peer/reportpb"
 )
 
-// News is what is told of one engine; State is nil unless it changed of late.
-type News struct {
+// EngineUpdate is the update of one engine. State is nil unless it has changed recently.
+type EngineUpdate struct {
 	Engine  engineHash
 	Age     time.Duration
 	Running int
@@ -20,32 +20,32 @@
 	State   *galenastair.EngineReport
 }
 
-// Told is one message: news, and the engines that were read again and showed
-// nothing worth it, with the oldest age of their figures.
-type Told struct {
-	News         []News
+// Message has updates, and the engines that were polled again without a significant
+// change, with the highest age of their reports.
+type Message struct {
+	Updates      []EngineUpdate
 	Unchanged    []engineHash
 	UnchangedAge time.Duration
 }
 
-func (t Told) empty() bool { return len(t.News) == 0 && len(t.Unchanged) == 0 }
+func (m Message) empty() bool { return len(m.Updates) == 0 && len(m.Unchanged) == 0 }
 
-// engineHash names an engine in 4 bytes in place of its id.
+// engineHash identifies an engine by 4 bytes instead of its full ID.
 type engineHash uint32
 
 func hashEngine(id galenastair.BackendServerID) engineHash {
 	return engineHash(xxhash.Sum64String(string(id)))
 }
 
-// stateDigest names the part of a report that rarely changes.
+// stateDigest is a hash of the part of a report that rarely changes.
 type stateDigest uint32
 
-// toldOrders is how many finished orders a state names; orders to one engine
-// come seconds apart, so that these reach back minutes.
-const toldOrders = 8
+// maxFinishedOrders is the maximum number of finished orders in a state. Orders to one
+// engine are seconds apart, so that these cover the last minutes.
+const maxFinishedOrders = 8
 
-// digest leaves out the cache, which changes all the time.
-func digest(r galenastair.EngineReport) stateDigest {
+// digestState returns the hash of a report's state without CacheUsed, which changes all the time.
+func digestState(r galenastair.EngineReport) stateDigest {
 	r.CacheUsed = 0
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(encodeState(r))
 	if err != nil {
@@ -63,7 +63,7 @@
 		ChecksFence:  r.ChecksFence,
 	}
 	finished := r.FinishedOrder
-	for _, id := range finished[max(0, len(finished)-toldOrders):] {
+	for _, id := range finished[max(0, len(finished)-maxFinishedOrders):] {
 		s.FinishedOrders = append(s.FinishedOrders, string(id))
 	}
 	for _, l := range r.Loaded {
@@ -108,34 +108,34 @@
 	return r
 }
 
-func encode(t Told) *reportpb.TellRequest {
-	req := &reportpb.TellRequest{UnchangedAgeMilliseconds: uint32(t.UnchangedAge.Milliseconds())}
-	for _, h := range t.Unchanged {
+func encodeMessage(m Message) *reportpb.TellRequest {
+	req := &reportpb.TellRequest{UnchangedAgeMilliseconds: uint32(m.UnchangedAge.Milliseconds())}
+	for _, h := range m.Unchanged {
 		req.Unchanged = append(req.Unchanged, uint32(h))
 	}
-	for _, n := range t.News {
+	for _, u := range m.Updates {
 		p := &reportpb.News{
-			Engine:          uint32(n.Engine),
-			AgeMilliseconds: uint32(n.Age.Milliseconds()),
-			Running:         uint32(n.Running),
-			Waiting:         uint32(n.Waiting),
-			Digest:          uint32(n.Digest),
+			Engine:          uint32(u.Engine),
+			AgeMilliseconds: uint32(u.Age.Milliseconds()),
+			Running:         uint32(u.Running),
+			Waiting:         uint32(u.Waiting),
+			Digest:          uint32(u.Digest),
 		}
-		if n.State != nil {
-			p.State = encodeState(*n.State)
+		if u.State != nil {
+			p.State = encodeState(*u.State)
 		}
 		req.News = append(req.News, p)
 	}
 	return req
 }
 
-func decode(req *reportpb.TellRequest) Told {
-	t := Told{UnchangedAge: time.Duration(req.UnchangedAgeMilliseconds) * time.Millisecond}
+func decodeMessage(req *reportpb.TellRequest) Message {
+	m := Message{UnchangedAge: time.Duration(req.UnchangedAgeMilliseconds) * time.Millisecond}
 	for _, h := range req.Unchanged {
-		t.Unchanged = append(t.Unchanged, engineHash(h))
+		m.Unchanged = append(m.Unchanged, engineHash(h))
 	}
 	for _, p := range req.News {
-		t.News = append(t.News, News{
+		m.Updates = append(m.Updates, EngineUpdate{
 			Engine:  engineHash(p.Engine),
 			Age:     time.Duration(p.AgeMilliseconds) * time.Millisecond,
 			Running: int(p.Running),
@@ -144,5 +144,5 @@
 			State:   decodeState(p.State),
 		})
 	}
-	return t
+	return m
 }
--- a/report/pace.go
+++ b/report/pace.go
@@ -2,47 +2,49 @@
 
 import "time"
 
-// These share out the 6 KB/s that a node may spend on all control: 3.5 KB/s go
-// to reports, the rest to heartbeats, rate and the log. At the target size this
-// makes reports some seconds old, which routing bears as it counts its own
-// requests in flight; reading faster would break the budget, not the routing.
+// Reports get 3.5 KB/s of the 6 KB/s that an instance may spend on all control traffic;
+// the rest is for heartbeats, rate limits and the log. At the target size reports are
+// then some seconds old. Routing works with that, as it counts its own requests in
+// flight; polling more often would exceed the budget without better routing.
 const (
-	tellBudget = 2000
-	readBudget = 1500
-	// messageBytes is a message's request and answer without its news.
-	messageBytes = 400
-	// newsBytes is the news of one engine without its state.
-	newsBytes = 22
-	// unchangedBytes names an engine that is read and unchanged.
+	sendBudgetBytesPerSecond = 2000
+	pollBudgetBytesPerSecond = 1500
+	// messageOverheadBytes is the size of a message's request and response without updates.
+	messageOverheadBytes = 400
+	// updateBytes is the size of an update without state.
+	updateBytes = 22
+	// unchangedBytes is the size of an entry for an unchanged engine.
 	unchangedBytes = 4
-	// reportBytes is one report of an engine with about six models loaded, with headers.
+	// reportBytes is the size, with headers, of a report of an engine with about six loaded models.
 	reportBytes = 1500
-	// changedShare is the part of engines whose load changes much between rounds.
-	changedShare = 3
+	// changedDivisor assumes that the load of one in three engines changes significantly
+	// between two rounds.
+	changedDivisor = 3
 )
 
 const (
-	// defaultShortest bounds the work at small sizes, where the budget allows more.
-	defaultShortest = time.Second
-	// longest keeps news useful at sizes beyond the target.
-	longest = 20 * time.Second
+	// defaultMinInterval bounds the load in small regions, where the budget would allow more.
+	defaultMinInterval = time.Second
+	// maxInterval bounds the age of reports in regions larger than the target.
+	maxInterval = 20 * time.Second
 )
 
-// tellPeriod returns how often news is told, from the size of the round.
-func tellPeriod(g grid, engines int) time.Duration {
-	news := engines * (newsBytes + (changedShare-1)*unchangedBytes) / changedShare / max(g.width, 1)
-	round := (len(g.row) + len(g.column)) * messageBytes
-	round += len(g.column) * news
-	// what is sent to others comes from others as well
-	return pace(2*round, tellBudget)
+// sendInterval returns the interval of rounds that keeps to the budget, from the size of
+// a round.
+func sendInterval(g grid, engines int) time.Duration {
+	updates := engines * (updateBytes + (changedDivisor-1)*unchangedBytes) / changedDivisor / max(g.rowCount, 1)
+	round := (len(g.row) + len(g.column)) * messageOverheadBytes
+	round += len(g.column) * updates
+	// an instance receives as much as it sends
+	return intervalFor(2*round, sendBudgetBytesPerSecond)
 }
 
-// readPeriod returns how often each engine is read by the reader of so many.
-func readPeriod(engines int) time.Duration {
-	return pace(engines*reportBytes, readBudget)
+// pollInterval returns the interval at which an instance polls each of its engines.
+func pollInterval(engines int) time.Duration {
+	return intervalFor(engines*reportBytes, pollBudgetBytesPerSecond)
 }
 
-func pace(bytes, perSecond int) time.Duration {
+func intervalFor(bytes, perSecond int) time.Duration {
 	d := time.Duration(bytes) * time.Second / time.Duration(perSecond)
-	return min(d, longest)
+	return min(d, maxInterval)
 }
--- a/report/plan.go
+++ b/report/plan.go
@@ -10,201 +10,204 @@
 )
 
 const (
-	// silentRounds is how many rounds may pass without news of an engine before
-	// an instance reads it itself: every engine is told at least each fourth.
-	silentRounds = 8
-	// refreshRounds is after how many rounds an engine is told though it has not changed.
+	// staleRounds is the number of rounds without an update of an engine after which an
+	// instance polls the engine itself. Every engine is sent at least each fourth round.
+	staleRounds = 8
+	// refreshRounds is the number of rounds after which an unchanged engine is sent again.
 	refreshRounds = 4
-	// stateRounds is in how many rounds a changed state is told, so that one lost
-	// message costs no read of the engine.
-	stateRounds = 2
-	// ownReads bounds the engines that are read for want of news at one time: when
-	// a reader dies, up to 52 others miss its news at once, and an instance that
-	// nobody can reach misses all.
-	ownReads = 1
-	// firstReads bounds them for an instance that has just started and knows
-	// nothing: it can route within seconds, and the 400 KB at the target size are
-	// paid once by it alone.
-	firstReads = 32
-	// muchFewer requests are a change not worth telling.
-	muchFewer = 2
-	// muchShare is the part by which a load must change to be worth telling: the
-	// choice between two copies rarely turns on less.
-	muchShare = 4
+	// stateSendRounds is the number of rounds in which a changed state is sent, so that
+	// the loss of one message does not cause a poll of the engine.
+	stateSendRounds = 2
+	// maxFallbackPolls is the maximum number of engines with stale reports that are polled
+	// at a time. When a poller fails, up to 52 other instances miss its updates at once,
+	// and an instance that receives no messages misses all updates.
+	maxFallbackPolls = 1
+	// maxInitialPolls is the maximum number of engines without any report that are polled
+	// at a time. An instance that has just started can then route within seconds; at the
+	// target size it reads 400 KB, once.
+	maxInitialPolls = 32
+	// minLoadChange is the minimum change in requests that is sent.
+	minLoadChange = 2
+	// minLoadChangeDivisor is the minimum change that is sent, as a divisor of the load last
+	// sent: a quarter. Smaller changes rarely affect the choice between two copies.
+	minLoadChangeDivisor = 4
 )
 
-// Plan is what to do now.
+// Plan has the polls and pushes that are due.
 type Plan struct {
-	Reads  []Server
+	Polls  []Server
 	Row    Push
 	Column Push
 }
 
-// Push is what to tell to whom.
+// Push is a message and its recipients.
 type Push struct {
 	To []galenastair.Peer
-	Told
+	Message
 }
 
-// told is what was last told of an engine in one direction.
-type told struct {
-	round   int
-	at      time.Time
-	load    int
-	waiting bool
-	digest  stateDigest
-	states  int
+// progress is what was last sent of an engine to the row or to the column.
+type progress struct {
+	lastRound      int
+	measuredAt     time.Time
+	load           int
+	waiting        bool
+	digest         stateDigest
+	stateSendsLeft int
 }
 
-// Plan decides for a region of entries that all route to all engines: without
-// it each instance would read each engine, 14,000 reads a period at 53 instances
-// and 270 engines, which is 80 times the budget.
-func (c *Core) Plan(now time.Time, d Duties) Plan {
-	c.settle(d)
-	period := max(tellPeriod(c.share.grid, len(c.engines)), c.shortest)
-	p := Plan{Reads: c.reads(now, period)}
-	if !c.due(now, period) {
+// Plan returns the polls and pushes that are due. All entry instances of a region route
+// to all its engines; if each instance polled each engine, this would be 14,000 polls per
+// interval at 53 instances and 270 engines, 80 times the budget.
+func (t *Tracker) Plan(now time.Time, assignment Duties) Plan {
+	t.updateAssignment(assignment)
+	interval := max(sendInterval(t.assigned.grid, len(t.engines)), t.minInterval)
+	p := Plan{Polls: t.duePolls(now, interval)}
+	if !t.roundDue(now, interval) {
 		return p
 	}
-	c.round = now
-	c.rounds++
-	p.Row = Push{c.share.grid.row, c.news(now, c.share.mine, rowOf)}
-	p.Column = Push{c.share.grid.column, c.news(now, c.share.ofRow, columnOf)}
+	t.lastRoundAt = now
+	t.roundCount++
+	p.Row = Push{t.assigned.grid.row, t.buildMessage(now, t.assigned.polled, rowProgressOf)}
+	p.Column = Push{t.assigned.grid.column, t.buildMessage(now, t.assigned.rowPolled, columnProgressOf)}
 	return p
 }
 
-// share is what this instance has to do in one epoch.
-type share struct {
-	valid bool
-	epoch galenastair.Epoch
-	grid  grid
-	all   []*known
-	mine  []*known
-	// ofRow are the engines that this instance and others of its row read.
-	ofRow []*known
+// localAssignment is this instance's part of the assignment in one epoch.
+type localAssignment struct {
+	valid         bool
+	epoch         galenastair.Epoch
+	grid          grid
+	sortedEngines []*trackedEngine
+	polled        []*trackedEngine
+	// rowPolled has the engines that this instance or another one of its row polls.
+	rowPolled []*trackedEngine
 }
 
-// settle works out the share anew when members, readers or engines changed.
-func (c *Core) settle(d Duties) {
-	if c.share.valid && c.share.epoch == d.Epoch() {
+// updateAssignment recomputes the local assignment if members, pollers or engines have changed.
+func (t *Tracker) updateAssignment(assignment Duties) {
+	if t.assigned.valid && t.assigned.epoch == assignment.Epoch() {
 		return
 	}
-	self := d.Self().ID
-	s := share{valid: true, epoch: d.Epoch(), grid: newGrid(d.Members(), self)}
-	s.all = slices.Collect(maps.Values(c.engines))
-	slices.SortFunc(s.all, func(a, b *known) int { return cmp.Compare(a.server.ID, b.server.ID) })
-	for _, k := range s.all {
-		reader, ok := d.Reader(k.server.ID)
-		k.mine = ok && reader.ID == self
-		if k.mine {
-			s.mine = append(s.mine, k)
+	self := assignment.Self().ID
+	s := localAssignment{valid: true, epoch: assignment.Epoch(), grid: newGrid(assignment.Members(), self)}
+	s.sortedEngines = slices.Collect(maps.Values(t.engines))
+	slices.SortFunc(s.sortedEngines, func(a, b *trackedEngine) int { return cmp.Compare(a.server.ID, b.server.ID) })
+	for _, e := range s.sortedEngines {
+		poller, ok := assignment.Reader(e.server.ID)
+		e.polledLocally = ok && poller.ID == self
+		if e.polledLocally {
+			s.polled = append(s.polled, e)
 		}
-		if k.mine || ok && s.grid.inRow(reader.ID) {
-			s.ofRow = append(s.ofRow, k)
+		if e.polledLocally || ok && s.grid.inRow(poller.ID) {
+			s.rowPolled = append(s.rowPolled, e)
 		}
 	}
-	c.share = s
+	t.assigned = s
 }
 
-// reads returns the engines to read: its own each period, and a few of others
-// whose news is missing.
-func (c *Core) reads(now time.Time, tell time.Duration) []Server {
-	period := max(readPeriod(len(c.share.mine)), c.shortest)
-	missing, first := 0, 0
-	var reads []Server
-	for _, k := range c.share.all {
-		if now.Sub(k.asked) < period && !k.asked.IsZero() {
+// duePolls returns the engines to poll: those assigned to this instance in each interval,
+// and a few others whose reports are missing or stale.
+func (t *Tracker) duePolls(now time.Time, roundInterval time.Duration) []Server {
+	interval := max(pollInterval(len(t.assigned.polled)), t.minInterval)
+	fallback, initial := 0, 0
+	var polls []Server
+	for _, e := range t.assigned.sortedEngines {
+		if now.Sub(e.polledAt) < interval && !e.polledAt.IsZero() {
 			continue
 		}
 		switch {
-		case k.mine:
-		case k.at.IsZero() && first < firstReads:
-			first++
-		case k.missing(now, silentRounds*tell) && missing < ownReads:
-			missing++
+		case e.polledLocally:
+		case e.measuredAt.IsZero() && initial < maxInitialPolls:
+			initial++
+		case e.isStale(now, staleRounds*roundInterval) && fallback < maxFallbackPolls:
+			fallback++
 		default:
 			continue
 		}
-		k.asked = now
-		reads = append(reads, k.server)
+		e.polledAt = now
+		polls = append(polls, e.server)
 	}
-	return reads
+	return polls
 }
 
-// missing says whether news of an engine has failed to come. A reader or relay
-// that died or cannot reach this instance shows by it, whatever the cause.
-func (k *known) missing(now time.Time, silence time.Duration) bool {
-	return k.lacksState || now.Sub(k.at) > silence
+// isStale reports whether the updates of an engine have stopped, or refer to a state that
+// this instance has not received. This detects a poller or relay that has failed or cannot
+// reach this instance, whatever the cause.
+func (e *trackedEngine) isStale(now time.Time, maxAge time.Duration) bool {
+	return e.missingState || now.Sub(e.measuredAt) > maxAge
 }
 
-// due says whether a round begins: each period, or within the shortest when a
-// state changed, since a model that came or went must not wait for the load.
-func (c *Core) due(now time.Time, period time.Duration) bool {
-	since := now.Sub(c.round)
-	if c.round.IsZero() || since >= period {
+// roundDue reports whether a round is due: after the interval, or already after the minimum
+// interval if a state has changed, so that loaded and unloaded models are known sooner
+// than loads.
+func (t *Tracker) roundDue(now time.Time, interval time.Duration) bool {
+	since := now.Sub(t.lastRoundAt)
+	if t.lastRoundAt.IsZero() || since >= interval {
 		return true
 	}
-	if since < c.shortest {
+	if since < t.minInterval {
 		return false
 	}
-	mine := func(k *known) bool { return !k.at.IsZero() && k.digest != k.row.digest }
-	ofRow := func(k *known) bool { return !k.at.IsZero() && k.digest != k.column.digest }
-	return slices.ContainsFunc(c.share.mine, mine) || slices.ContainsFunc(c.share.ofRow, ofRow)
+	polledChanged := func(e *trackedEngine) bool { return !e.measuredAt.IsZero() && e.digest != e.rowProgress.digest }
+	rowPolledChanged := func(e *trackedEngine) bool { return !e.measuredAt.IsZero() && e.digest != e.columnProgress.digest }
+	return slices.ContainsFunc(t.assigned.polled, polledChanged) || slices.ContainsFunc(t.assigned.rowPolled, rowPolledChanged)
 }
 
-// news returns what to tell of some engines in one direction.
-func (c *Core) news(now time.Time, engines []*known, direction func(*known) *told) Told {
-	var out Told
-	for _, k := range engines {
-		t := direction(k)
+// buildMessage returns the message on some engines for the row or the column.
+func (t *Tracker) buildMessage(now time.Time, engines []*trackedEngine, direction func(*trackedEngine) *progress) Message {
+	var out Message
+	for _, e := range engines {
+		p := direction(e)
 		switch {
-		case k.at.IsZero():
-		case t.worth(k, c.rounds):
-			out.News = append(out.News, t.tell(now, k, c.rounds))
-		case k.at.After(t.at):
-			// without it the figures would look old, and a good engine silent
-			t.at = k.at
-			out.Unchanged = append(out.Unchanged, hashEngine(k.server.ID))
-			out.UnchangedAge = max(out.UnchangedAge, now.Sub(k.at))
+		case e.measuredAt.IsZero():
+		case p.needsUpdate(e, t.roundCount):
+			out.Updates = append(out.Updates, p.nextUpdate(now, e, t.roundCount))
+		case e.measuredAt.After(p.measuredAt):
+			// otherwise the report would become stale although the engine responds
+			p.measuredAt = e.measuredAt
+			out.Unchanged = append(out.Unchanged, hashEngine(e.server.ID))
+			out.UnchangedAge = max(out.UnchangedAge, now.Sub(e.measuredAt))
 		}
 	}
 	return out
 }
 
-func rowOf(k *known) *told    { return &k.row }
-func columnOf(k *known) *told { return &k.column }
-
-// worth says whether an engine has changed since it was told, or must be told again.
-func (t *told) worth(k *known, round int) bool {
-	load := k.report.Running + k.report.Waiting
-	change := max(load-t.load, t.load-load)
-	return t.round == 0 ||
-		round-t.round >= refreshRounds ||
-		k.digest != t.digest || t.states > 0 ||
-		(k.report.Waiting > 0) != t.waiting ||
-		change >= muchFewer && change*muchShare >= t.load
+func rowProgressOf(e *trackedEngine) *progress    { return &e.rowProgress }
+func columnProgressOf(e *trackedEngine) *progress { return &e.columnProgress }
+
+// needsUpdate reports whether an engine has changed significantly since the last update,
+// or is due for a refresh.
+func (p *progress) needsUpdate(e *trackedEngine, round int) bool {
+	load := e.report.Running + e.report.Waiting
+	change := max(load-p.load, p.load-load)
+	return p.lastRound == 0 ||
+		round-p.lastRound >= refreshRounds ||
+		e.digest != p.digest || p.stateSendsLeft > 0 ||
+		(e.report.Waiting > 0) != p.waiting ||
+		change >= minLoadChange && change*minLoadChangeDivisor >= p.load
 }
 
-func (t *told) tell(now time.Time, k *known, round int) News {
-	if t.round == 0 || k.digest != t.digest {
-		t.states = stateRounds
+func (p *progress) nextUpdate(now time.Time, e *trackedEngine, round int) EngineUpdate {
+	if p.lastRound == 0 || e.digest != p.digest {
+		p.stateSendsLeft = stateSendRounds
 	}
-	t.round = round
-	t.at = k.at
-	t.load = k.report.Running + k.report.Waiting
-	t.waiting = k.report.Waiting > 0
-	t.digest = k.digest
-	n := News{
-		Engine:  hashEngine(k.server.ID),
-		Age:     now.Sub(k.at),
-		Running: k.report.Running,
-		Waiting: k.report.Waiting,
-		Digest:  k.digest,
+	p.lastRound = round
+	p.measuredAt = e.measuredAt
+	p.load = e.report.Running + e.report.Waiting
+	p.waiting = e.report.Waiting > 0
+	p.digest = e.digest
+	u := EngineUpdate{
+		Engine:  hashEngine(e.server.ID),
+		Age:     now.Sub(e.measuredAt),
+		Running: e.report.Running,
+		Waiting: e.report.Waiting,
+		Digest:  e.digest,
 	}
-	if t.states > 0 {
-		t.states--
-		state := k.report
-		n.State = &state
+	if p.stateSendsLeft > 0 {
+		p.stateSendsLeft--
+		state := e.report
+		u.State = &state
 	}
-	return n
+	return u
 }
--- a/report/reporter.go
+++ b/report/reporter.go
@@ -15,81 +15,81 @@
 )
 
 const (
-	// tick is how often the core is asked what to do; half of the shortest period.
-	tick = defaultShortest / 2
-	// atOnce bounds reads and pushes under way; a frozen engine holds one up for
-	// as long as its timeout and must not hold up the others.
-	atOnce = 32
-	// tellTimeout ends a push to an instance that hangs.
-	tellTimeout = time.Second
+	// tickInterval is the interval of calls of Tracker.Plan, half of the minimum interval.
+	tickInterval = defaultMinInterval / 2
+	// maxConcurrent is the maximum number of concurrent polls, and that of sends. An engine
+	// that hangs blocks one for the whole timeout and must not delay the others.
+	maxConcurrent = 32
+	// sendTimeout bounds the time that an unresponsive instance blocks a send.
+	sendTimeout = time.Second
 )
 
-// PathPrefix is where Handler expects to be mounted among the peers' services.
+// PathPrefix is the path at which Handler must be mounted.
 const PathPrefix = reportpb.ReportPathPrefix
 
-// Reader reads one engine.
-type Reader interface {
+// EngineClient requests an engine's report from its address.
+type EngineClient interface {
 	Report(ctx context.Context, server string) (galenastair.EngineReport, error)
 }
 
-// Ports are what a reporter works with; all are needed.
+// Dependencies are what a Reporter depends on; all are required.
 type Ports struct {
-	Engine Reader
-	// Duties and Servers return what holds now.
+	Engine EngineClient
+	// Assignment and Servers return the current assignment and list of engines.
 	Duties  func() Duties
 	Servers func() []Server
-	// Deliver takes each report that is younger than the last of its engine; its
-	// Age says how old the figures are. It is called one at a time, so that an
-	// older report never comes after a younger one, and must not block.
+	// Deliver is called for each report that is newer than the last one of its engine; Age
+	// is set to the report's age. Calls are serialised, so that an older report is never
+	// delivered after a newer one. Deliver must not block.
 	Deliver func(galenastair.EngineReport)
 }
 
-// Reporter reads engines and tells and hears of them.
+// Reporter polls engines and exchanges their reports with other instances.
 type Reporter struct {
-	ports    Ports
-	client   *http.Client
-	logger   log.Logger
-	clock    galenastair.Clock
-	shortest time.Duration
-
-	mu   sync.Mutex
-	core *Core
+	ports       Ports
+	client      *http.Client
+	logger      log.Logger
+	clock       galenastair.Clock
+	minInterval time.Duration
+
+	mu      sync.Mutex
+	tracker *Tracker
 }
 
-// Option changes how a reporter is made.
+// Option configures a Reporter.
 type Option func(*Reporter)
 
-// WithLogger says where failures are logged.
+// WithLogger sets the logger for failed polls and sends.
 func WithLogger(l log.Logger) Option { return func(r *Reporter) { r.logger = l } }
 
-// WithClock replaces the machine's clock.
+// WithClock sets the clock; the default is the system clock.
 func WithClock(c galenastair.Clock) Option { return func(r *Reporter) { r.clock = c } }
 
-// WithShortest sets the shortest period of reads and of news.
-func WithShortest(d time.Duration) Option { return func(r *Reporter) { r.shortest = d } }
+// WithMinInterval sets the minimum interval of polls and of rounds.
+func WithShortest(d time.Duration) Option { return func(r *Reporter) { r.minInterval = d } }
 
-// New returns a reporter that works once it runs.
+// New returns a reporter, which does nothing until Run is called.
 func New(p Ports, opts ...Option) *Reporter {
 	r := &Reporter{
-		ports:    p,
-		client:   &http.Client{Transport: httpclient.NewTransport(), Timeout: tellTimeout},
-		logger:   log.NewNopLogger(),
-		clock:    galenastair.SystemClock{},
-		shortest: defaultShortest,
+		ports:       p,
+		client:      &http.Client{Transport: httpclient.NewTransport(), Timeout: sendTimeout},
+		logger:      log.NewNopLogger(),
+		clock:       galenastair.SystemClock{},
+		minInterval: defaultMinInterval,
 	}
 	for _, opt := range opts {
 		opt(r)
 	}
-	r.core = NewCore(r.shortest)
+	r.tracker = NewTracker(r.minInterval)
 	return r
 }
 
-// Run works until the context ends and then waits for what is under way.
+// Run polls and sends until the context ends, and then waits for pending polls and sends.
 func (r *Reporter) Run(ctx context.Context) error {
 	var reads, pushes errgroup.Group
-	reads.SetLimit(atOnce)
-	pushes.SetLimit(atOnce)
-	t := time.NewTicker(min(tick, r.shortest))
+	reads.SetLimit(maxConcurrent)
+	pushes.SetLimit(maxConcurrent)
+	t := time.NewTicker(min(tickInterval, r.minInterval))
 	defer t.Stop()
 	for ctx.Err() == nil {
 		r.step(ctx, &reads, &pushes)
@@ -104,19 +104,20 @@
 	return ctx.Err()
 }
 
-// step begins what is due; what finds no room waits for its next turn.
+// step starts the polls and sends that are due. Those over the limit of concurrency are
+// dropped: a poll is due again after its interval, and a peer misses one round.
 func (r *Reporter) step(ctx context.Context, reads, pushes *errgroup.Group) {
 	p := r.plan()
-	for _, s := range p.Reads {
-		reads.TryGo(func() error { r.read(ctx, s); return nil })
+	for _, s := range p.Polls {
+		reads.TryGo(func() error { r.poll(ctx, s); return nil })
 	}
 	for _, push := range []Push{p.Row, p.Column} {
 		if push.empty() {
 			continue
 		}
-		req := encode(push.Told)
+		req := encodeMessage(push.Message)
 		for _, to := range push.To {
-			pushes.TryGo(func() error { r.tell(ctx, to, req); return nil })
+			pushes.TryGo(func() error { r.send(ctx, to, req); return nil })
 		}
 	}
 }
@@ -125,11 +126,11 @@
 	servers, duties := r.ports.Servers(), r.ports.Duties()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.core.SetServers(servers)
-	return r.core.Plan(r.clock.Now(), duties)
+	r.tracker.SetServers(servers)
+	return r.tracker.Plan(r.clock.Now(), duties)
 }
 
-func (r *Reporter) read(ctx context.Context, s Server) {
+func (r *Reporter) poll(ctx context.Context, s Server) {
 	rep, err := r.ports.Engine.Report(ctx, s.Address)
 	if err != nil {
 		if ctx.Err() == nil {
@@ -139,28 +140,28 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.core.Read(r.clock.Now(), s.ID, rep) {
+	if r.tracker.ApplyReport(r.clock.Now(), s.ID, rep) {
 		rep.BackendServer = s.ID
 		r.ports.Deliver(rep)
 	}
 }
 
-func (r *Reporter) tell(ctx context.Context, to galenastair.Peer, req *reportpb.TellRequest) {
+func (r *Reporter) send(ctx context.Context, to galenastair.Peer, req *reportpb.TellRequest) {
 	client := reportpb.NewReportProtobufClient("http://"+to.Address, r.client)
 	if _, err := client.Tell(ctx, req); err != nil && ctx.Err() == nil {
 		_ = r.logger.Log("event", "report", "peer", to.ID, "err", err)
 	}
 }
 
-// Handler serves the news of other instances at PathPrefix.
+// Handler serves messages of other instances at PathPrefix.
 func (r *Reporter) Handler() http.Handler { return reportpb.NewReportServer(r) }
 
-// Tell takes in news of another instance.
+// Tell applies a message of another instance.
 func (r *Reporter) Tell(_ context.Context, req *reportpb.TellRequest) (*reportpb.TellResponse, error) {
-	told := decode(req)
+	msg := decodeMessage(req)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, rep := range r.core.Heard(r.clock.Now(), told) {
+	for _, rep := range r.tracker.ApplyMessage(r.clock.Now(), msg) {
 		r.ports.Deliver(rep)
 	}
 	return &reportpb.TellResponse{}, nil
--- a/report/reporter_test.go
+++ b/report/reporter_test.go
@@ -15,7 +15,7 @@
 	"galenastair"
 )
 
-// countingListener counts the bytes of all its connections, both ways.
+// countingListener counts the bytes read and written on its connections.
 type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
@@ -43,16 +43,16 @@
 	return n, err
 }
 
-type pairDuties struct {
+type pairAssignment struct {
 	self    galenastair.Peer
 	members []galenastair.Peer
 }
 
-func (d pairDuties) Self() galenastair.Peer      { return d.self }
-func (d pairDuties) Members() []galenastair.Peer { return d.members }
-func (d pairDuties) Epoch() galenastair.Epoch    { return 1 }
-func (d pairDuties) Reader(galenastair.BackendServerID) (galenastair.Peer, bool) {
-	return d.members[0], true
+func (a pairAssignment) Self() galenastair.Peer      { return a.self }
+func (a pairAssignment) Members() []galenastair.Peer { return a.members }
+func (a pairAssignment) Epoch() galenastair.Epoch    { return 1 }
+func (a pairAssignment) Reader(galenastair.BackendServerID) (galenastair.Peer, bool) {
+	return a.members[0], true
 }
 
 type busyEngine struct{ running atomic.Int64 }
@@ -61,20 +61,20 @@
 	return galenastair.EngineReport{
 		BackendServer: "e1",
 		Running:       int(e.running.Add(10)),
-		Loaded:        []galenastair.LoadedWeight{loaded(1)},
+		Loaded:        []galenastair.LoadedWeight{loadedModel(1)},
 	}, nil
 }
 
-// deadEngine cannot be read from here.
-type deadEngine struct{}
+// unreachableEngine simulates an engine that the instance can't connect to.
+type unreachableEngine struct{}
 
-func (deadEngine) Report(context.Context, string) (galenastair.EngineReport, error) {
+func (unreachableEngine) Report(context.Context, string) (galenastair.EngineReport, error) {
 	return galenastair.EngineReport{}, galenastair.ErrNotSent
 }
 
-// The reader tells the other instance over HTTP; the bytes of a message are the
-// messageBytes that the pace is worked out from.
-func TestReporterTellsOverHTTP(t *testing.T) {
+// The poller sends its updates to the other instance over HTTP, and a message is about as
+// large as messageOverheadBytes, from which the interval of rounds is computed.
+func TestReporterSendsOverHTTP(t *testing.T) {
 	is := is.New(t)
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	var bytes atomic.Int64
@@ -92,10 +92,10 @@
 	delivered := make(chan galenastair.EngineReport, 1000)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 2)
-	for i, engine := range []Reader{&busyEngine{}, deadEngine{}} {
+	for i, engine := range []EngineClient{&busyEngine{}, unreachableEngine{}} {
 		r := New(Ports{
 			Engine:  engine,
-			Duties:  func() Duties { return pairDuties{peers[i], peers} },
+			Duties:  func() Duties { return pairAssignment{peers[i], peers} },
 			Servers: func() []Server { return []Server{{ID: "e1"}} },
 			Deliver: func(rep galenastair.EngineReport) {
 				if i == 1 {
@@ -115,7 +115,7 @@
 	}
 	each := bytes.Load() / messages
 	t.Logf("%d bytes a message", each)
-	is.True(each < messageBytes+200) // with the state in two of them
+	is.True(each < messageOverheadBytes+200) // two of the messages have the state
 	cancel()
 	<-ended
 	<-ended
