--- a/httpconn/client.go
+++ b/httpconn/client.go
@@ -16,154 +16,158 @@
 )
 
 const (
-	// dialTimeout is some hundred round trips between availability zones; an address
-	// without power answers nothing, and its callers wait meanwhile.
+	// dialTimeout is about a hundred round trips between availability zones. A machine that
+	// is down does not reply, so that callers wait for the whole timeout.
 	dialTimeout = 400 * time.Millisecond
-	// idleTimeout closes kept connections before a peer with common settings does.
+	// idleTimeout is shorter than the usual keep-alive timeouts of servers, so that idle
+	// connections are closed by this side first.
 	idleTimeout = 8 * time.Second
-	// idleMargin is how long before the peer's own announced timeout a connection is
-	// given up: a request written as the peer closes may or may not have run.
+	// idleMargin is subtracted from the keep-alive timeout that the peer announces: if the
+	// peer closes a connection while a request is written, the request may have run or not.
 	idleMargin = time.Second
-	// idlePerAddress bounds kept connections; more are needed only in bursts, and
-	// peers share their connections among all instances.
-	idlePerAddress = 6
-	// bufferBytes holds the head of an answer; bodies pass through in pieces.
-	bufferBytes = 3 << 10
+	// maxIdlePerAddress bounds the idle connections to an address. More are needed only in
+	// bursts, and all instances share the connections that a server accepts.
+	maxIdlePerAddress = 6
+	// readBufferBytes is enough for the headers of a response; bodies are read in parts.
+	readBufferBytes = 3 << 10
 )
 
-// Client keeps connections by address.
+// Pool is a pool of connections by address.
 type Client struct {
 	dialer net.Dialer
 
-	mu   sync.Mutex
-	idle map[string][]*Conn
-	open map[string]int
+	mu        sync.Mutex
+	idle      map[string][]*Conn
+	openCount map[string]int
 }
 
-// NewClient returns a client without connections.
+// NewPool returns an empty pool.
 func NewClient() *Client {
 	return &Client{
-		dialer: net.Dialer{Timeout: dialTimeout, KeepAlive: 5 * time.Second},
-		idle:   map[string][]*Conn{},
-		open:   map[string]int{},
+		dialer:    net.Dialer{Timeout: dialTimeout, KeepAlive: 5 * time.Second},
+		idle:      map[string][]*Conn{},
+		openCount: map[string]int{},
 	}
 }
 
-// Conn is one connection; one request at a time may use it.
+// Conn is a connection. It carries one request at a time.
 type Conn struct {
 	net.Conn
-	client  *Client
+	pool    *Client
 	address string
 	reader  *bufio.Reader
-	// Kept says that the connection has carried a request before.
-	Kept    bool
-	expires time.Time
-	closed  sync.Once
+	// Reused is set if the connection has carried a request before.
+	Kept        bool
+	expiresAt   time.Time
+	discardOnce sync.Once
 }
 
-// Get returns a kept connection that looks alive, or a new one.
-func (c *Client) Get(ctx context.Context, address string) (*Conn, error) {
+// Get returns an idle connection to the address that is not known to be closed, or dials
+// a new one.
+func (p *Client) Get(ctx context.Context, address string) (*Conn, error) {
 	for {
-		k := c.take(address)
-		if k == nil {
-			return c.dial(ctx, address)
+		c := p.popIdle(address)
+		if c == nil {
+			return p.dial(ctx, address)
 		}
-		if time.Now().Before(k.expires) && quiet(k.Conn) {
-			return k, nil
+		if time.Now().Before(c.expiresAt) && isReusable(c.Conn) {
+			return c, nil
 		}
-		k.Discard()
+		c.Discard()
 	}
 }
 
-func (c *Client) take(address string) *Conn {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	list := c.idle[address]
+func (p *Client) popIdle(address string) *Conn {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	list := p.idle[address]
 	if len(list) == 0 {
 		return nil
 	}
-	k := list[len(list)-1]
-	c.idle[address] = list[:len(list)-1]
-	return k
+	c := list[len(list)-1]
+	p.idle[address] = list[:len(list)-1]
+	return c
 }
 
-func (c *Client) dial(ctx context.Context, address string) (*Conn, error) {
-	n, err := c.dialer.DialContext(ctx, "tcp", address)
+func (p *Client) dial(ctx context.Context, address string) (*Conn, error) {
+	conn, err := p.dialer.DialContext(ctx, "tcp", address)
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return nil, fmt.Errorf("dial %s: %w: %w", address, galenastair.ErrAbsent, galenastair.ErrNotSent)
 	}
 	if err != nil {
 		return nil, eris.Wrapf(galenastair.ErrNotSent, "dial %s: %v", address, err)
 	}
-	c.mu.Lock()
-	c.open[address]++
-	c.mu.Unlock()
-	return &Conn{Conn: n, client: c, address: address, reader: bufio.NewReaderSize(n, bufferBytes)}, nil
+	p.mu.Lock()
+	p.openCount[address]++
+	p.mu.Unlock()
+	return &Conn{Conn: conn, pool: p, address: address, reader: bufio.NewReaderSize(conn, readBufferBytes)}, nil
 }
 
-// Release hands back a connection on which nothing was sent.
-func (k *Conn) Release() { k.client.keep(k, 0) }
+// Release returns the connection to the pool. No request may have been sent on it since Get.
+func (c *Conn) Release() { c.pool.putIdle(c, 0) }
 
-// keep takes a connection back whose answer has ended cleanly; peerIdle is the idle
-// timeout that the peer announced, or zero.
-func (c *Client) keep(k *Conn, peerIdle time.Duration) {
+// putIdle returns a connection to the pool whose last response was read completely, or
+// closes it if the pool is full. peerTimeout is the keep-alive timeout that the peer
+// announced, or zero.
+func (p *Client) putIdle(c *Conn, peerTimeout time.Duration) {
 	idle := idleTimeout
-	if peerIdle > 0 {
-		idle = min(idle, peerIdle-idleMargin)
+	if peerTimeout > 0 {
+		idle = min(idle, peerTimeout-idleMargin)
 	}
-	k.expires = time.Now().Add(idle)
-	c.mu.Lock()
-	full := len(c.idle[k.address]) >= idlePerAddress
+	c.expiresAt = time.Now().Add(idle)
+	p.mu.Lock()
+	full := len(p.idle[c.address]) >= maxIdlePerAddress
 	if !full && idle > 0 {
-		c.idle[k.address] = append(c.idle[k.address], k)
+		p.idle[c.address] = append(p.idle[c.address], c)
 	}
-	c.mu.Unlock()
+	p.mu.Unlock()
 	if full || idle <= 0 {
-		k.Discard()
+		c.Discard()
 	}
 }
 
-// Discard closes the connection.
-func (k *Conn) Discard() {
-	k.closed.Do(func() {
-		_ = k.Close()
-		k.client.mu.Lock()
-		defer k.client.mu.Unlock()
-		k.client.open[k.address]--
-		if k.client.open[k.address] <= 0 {
-			delete(k.client.open, k.address)
+// Discard closes the connection without returning it to the pool.
+func (c *Conn) Discard() {
+	c.discardOnce.Do(func() {
+		_ = c.Close()
+		c.pool.mu.Lock()
+		defer c.pool.mu.Unlock()
+		c.pool.openCount[c.address]--
+		if c.pool.openCount[c.address] <= 0 {
+			delete(c.pool.openCount, c.address)
 		}
 	})
 }
 
-// Open returns how many connections to an address are open.
-func (c *Client) Open(address string) int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.open[address]
+// OpenConnections returns the number of open connections to an address, idle or in use.
+func (p *Client) Open(address string) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.openCount[address]
 }
 
-// Prune closes kept connections that have expired; without it those to a backend
-// server that is gone would stay open for good.
-func (c *Client) Prune(now time.Time) {
+// CloseExpired closes idle connections that have expired. Without it, connections to a
+// backend server that is gone would stay open forever, as Get only closes expired
+// connections to the address that it is called with.
+func (p *Client) Prune(now time.Time) {
 	var expired []*Conn
-	c.mu.Lock()
-	for address, list := range c.idle {
+	p.mu.Lock()
+	for address, list := range p.idle {
 		live := list[:0]
-		for _, k := range list {
-			if now.Before(k.expires) {
-				live = append(live, k)
+		for _, c := range list {
+			if now.Before(c.expiresAt) {
+				live = append(live, c)
 			} else {
-				expired = append(expired, k)
+				expired = append(expired, c)
 			}
 		}
-		c.idle[address] = live
+		p.idle[address] = live
 		if len(live) == 0 {
-			delete(c.idle, address)
+			delete(p.idle, address)
 		}
 	}
-	c.mu.Unlock()
-	for _, k := range expired {
-		k.Discard()
+	p.mu.Unlock()
+	for _, c := range expired {
+		c.Discard()
 	}
 }
--- a/httpconn/doc.go
+++ b/httpconn/doc.go
@@ -1,8 +1,9 @@
-// Package httpconn carries single requests over HTTP/1.1 connections that it keeps.
+// Package httpconn sends single HTTP/1.1 requests over a pool of persistent connections.
 //
-// Unlike the transport of net/http it never sends a request a second time by itself,
-// tells whether any byte of a failed request can have left, and hands back only
-// connections on which nothing follows the answer. Sizes are bytes; all times are
-// durations. Errors wrap galenastair.ErrNotSent, ErrSilent, ErrAnswerCut or ErrCrossed.
-// A kept connection costs its two buffers, 6 KB together, and no goroutine.
+// Unlike http.Transport it never retries a request, tells whether any byte of a failed
+// request may have been sent, and reuses a connection only if the peer has sent nothing
+// after the response. Sizes are in bytes. Errors wrap galenastair.ErrNotSent,
+// ErrAnswerCut or ErrCrossed; when the context ends, its cause is returned, for example
+// galenastair.ErrSilent. An idle connection takes 6 KB of memory for its two buffers and
+// no goroutine.
 package httpconn
--- a/httpconn/exchange.go
+++ b/httpconn/exchange.go
@@ -15,7 +15,7 @@
 	"galenastair"
 )
 
-// Request is one request as it goes onto a connection.
+// Request is a request in the form in which it is written to a connection.
 type Request struct {
 	Method string
 	Target string
@@ -24,80 +24,81 @@
 	Body   []byte
 }
 
-// Answer is the head of an answer; its Body ends with io.EOF only where the framing
-// says so, and hands the connection back then.
-type Answer struct {
+// Response is the status and headers of a response. Its Body returns io.EOF only at the end
+// of the body according to its framing, and then returns the connection to the pool.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
 }
 
-// maxForeign bounds the answers of other requests that are read over before the
-// connection is given up: a peer sends at most one or two twice.
-const maxForeign = 3
+// maxForeignResponses is the number of responses to other requests after which a
+// connection is closed. A peer sends at most one or two responses twice.
+const maxForeignResponses = 3
 
-// Do sends a request and reads the head of its answer. Accept says whether a head
-// belongs to the request; others are read over to their end. Cancelling the context
-// closes the connection, also while the body is being read.
-func (k *Conn) Do(ctx context.Context, r Request, accept func(http.Header) bool) (*Answer, error) {
-	stop := context.AfterFunc(ctx, k.Discard)
-	if err := k.send(ctx, r); err != nil {
+// Do sends a request and reads the status and headers of its response. Responses for which
+// accept returns false belong to other requests; they are read to their end and dropped.
+// Cancelling the context closes the connection, also while the body is being read.
+func (c *Conn) Do(ctx context.Context, r Request, accept func(http.Header) bool) (*Response, error) {
+	stop := context.AfterFunc(ctx, c.Discard)
+	if err := c.writeRequest(ctx, r); err != nil {
 		stop()
-		k.Discard()
+		c.Discard()
 		return nil, err
 	}
-	for range maxForeign {
-		resp, err := k.head(r.Method) //nolint:bodyclose // its body is closed with the answer's, or with the connection
+	for range maxForeignResponses {
+		resp, err := c.readResponse(r.Method) //nolint:bodyclose // closed with the returned response's body, or with the connection
 		if err != nil {
 			stop()
-			k.Discard()
-			return nil, headError(ctx, err)
+			c.Discard()
+			return nil, readResponseError(ctx, err)
 		}
-		b := &body{conn: k, resp: resp, stop: stop, ctx: ctx}
+		b := &responseBody{conn: c, resp: resp, stop: stop, ctx: ctx}
 		if accept(resp.Header) {
-			return &Answer{Status: resp.StatusCode, Header: resp.Header, Body: b}, nil
+			return &Response{Status: resp.StatusCode, Header: resp.Header, Body: b}, nil
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil || resp.Close {
 			break
 		}
 	}
 	stop()
-	k.Discard()
+	c.Discard()
 	if err := ctx.Err(); err != nil {
 		return nil, context.Cause(ctx)
 	}
-	return nil, eris.Wrap(galenastair.ErrCrossed, "the answers on the connection were to other requests")
+	return nil, eris.Wrap(galenastair.ErrCrossed, "received only responses to other requests")
 }
 
-func (k *Conn) send(ctx context.Context, r Request) error {
+func (c *Conn) writeRequest(ctx context.Context, r Request) error {
 	var head bytes.Buffer
 	head.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
 	if err := r.Header.Write(&head); err != nil {
-		return eris.Wrapf(galenastair.ErrNotSent, "headers: %v", err)
+		return eris.Wrapf(galenastair.ErrNotSent, "encode headers: %v", err)
 	}
 	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut || r.Method == http.MethodPatch {
 		head.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
 	}
 	head.WriteString("\r\n")
 	head.Write(r.Body)
-	n, err := k.Write(head.Bytes())
+	n, err := c.Write(head.Bytes())
 	if err == nil {
 		return nil
 	}
 	if n == 0 {
 		return eris.Wrapf(galenastair.ErrNotSent, "write: %v", err)
 	}
-	// an early answer may stand before a reset; it is read like any other
-	if ctx.Err() == nil && k.reader.Buffered() > 0 {
+	// the peer may have responded early and reset the connection; the response is read as usual
+	if ctx.Err() == nil && c.reader.Buffered() > 0 {
 		return nil
 	}
 	return eris.Wrapf(galenastair.ErrAnswerCut, "write: %v", err)
 }
 
-// head reads the head of the next final answer.
-func (k *Conn) head(method string) (*http.Response, error) {
+// readResponse reads the next final response. It skips informational (1xx) responses
+// except 101 Switching Protocols.
+func (c *Conn) readResponse(method string) (*http.Response, error) {
 	for {
-		resp, err := http.ReadResponse(k.reader, &http.Request{Method: method})
+		resp, err := http.ReadResponse(c.reader, &http.Request{Method: method})
 		if err != nil {
 			return nil, err
 		}
@@ -107,18 +108,18 @@
 	}
 }
 
-func headError(ctx context.Context, err error) error {
+func readResponseError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return context.Cause(ctx)
 	}
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-		return eris.Wrap(galenastair.ErrAnswerCut, "closed before an answer")
+		return eris.Wrap(galenastair.ErrAnswerCut, "connection closed before a response")
 	}
-	return eris.Wrapf(galenastair.ErrAnswerCut, "no answer: %v", err)
+	return eris.Wrapf(galenastair.ErrAnswerCut, "read response: %v", err)
 }
 
-// body is the rest of an answer.
-type body struct {
+// responseBody returns the connection to the pool at the end of the body.
+type responseBody struct {
 	conn *Conn
 	resp *http.Response
 	stop func() bool
@@ -126,8 +127,8 @@
 	done bool
 }
 
-// Read maps every end that the framing does not give to galenastair.ErrAnswerCut.
-func (b *body) Read(p []byte) (int, error) {
+// Read returns galenastair.ErrAnswerCut if the body ends before its end by the framing.
+func (b *responseBody) Read(p []byte) (int, error) {
 	if b.done {
 		return 0, io.EOF
 	}
@@ -137,7 +138,7 @@
 		return n, nil
 	case errors.Is(err, io.EOF):
 		b.done = true
-		b.release()
+		b.finish()
 		return n, io.EOF
 	case b.ctx.Err() != nil:
 		return n, context.Cause(b.ctx)
@@ -146,19 +147,19 @@
 	}
 }
 
-// release keeps the connection if nothing follows the answer on it.
-func (b *body) release() {
-	// bytes behind a complete answer belong to no request
+// finish returns the connection to the pool unless the peer closes it or has sent more bytes.
+func (b *responseBody) finish() {
+	// bytes after a complete response belong to no request
 	if !b.stop() || b.resp.Close || b.conn.reader.Buffered() > 0 {
 		b.conn.Discard()
 		return
 	}
 	b.conn.Kept = true
-	b.conn.client.keep(b.conn, keepAlive(b.resp.Header))
+	b.conn.pool.putIdle(b.conn, keepAliveTimeout(b.resp.Header))
 }
 
-// Close ends the reading; before the end of the answer it closes the connection.
-func (b *body) Close() error {
+// Close closes the body. The connection is closed too if the body was not read to its end.
+func (b *responseBody) Close() error {
 	if !b.done {
 		b.done = true
 		b.stop()
@@ -167,8 +168,8 @@
 	return nil
 }
 
-// keepAlive returns the idle timeout that the peer announced, or zero.
-func keepAlive(h http.Header) time.Duration {
+// keepAliveTimeout returns the timeout of the Keep-Alive header, or zero.
+func keepAliveTimeout(h http.Header) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if n, err := strconv.Atoi(value); err == nil && strings.EqualFold(name, "timeout") {
--- a/httpconn/httpconn_test.go
+++ b/httpconn/httpconn_test.go
@@ -17,32 +17,32 @@
 	"galenastair"
 )
 
-// peer is a raw HTTP peer: for each connection, each request it reads is answered with
-// the next of its answers, byte for byte.
-type peer struct {
+// rawServer is an HTTP server that answers each request, on any connection, with the next
+// scripted response, byte for byte.
+type rawServer struct {
 	net.Listener
-	requests atomic.Int32
-	conns    atomic.Int32
-	closed   chan struct{}
+	requestCount atomic.Int32
+	connCount    atomic.Int32
+	closed       chan struct{}
 }
 
-// step is what a peer does with one request.
-type step struct {
-	answer string
-	// then closes the connection, or resets it.
+// scriptedResponse is the server's response to one request.
+type scriptedResponse struct {
+	raw string
+	// close and reset end the connection after the response.
 	close, reset bool
 }
 
-func startPeer(t *testing.T, steps ...step) *peer {
+func startRawServer(t *testing.T, steps ...scriptedResponse) *rawServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &peer{Listener: l, closed: make(chan struct{}, 8)}
-	next := make(chan step, len(steps))
-	for _, s := range steps {
-		next <- s
+	s := &rawServer{Listener: l, closed: make(chan struct{}, 8)}
+	next := make(chan scriptedResponse, len(steps))
+	for _, step := range steps {
+		next <- step
 	}
 	go func() {
 		for {
@@ -50,18 +50,18 @@
 			if err != nil {
 				return
 			}
-			p.conns.Add(1)
-			go p.serve(c, next)
+			s.connCount.Add(1)
+			go s.serve(c, next)
 		}
 	}()
 	t.Cleanup(func() { _ = l.Close() })
-	return p
+	return s
 }
 
-func (p *peer) serve(c net.Conn, next chan step) {
+func (s *rawServer) serve(c net.Conn, next chan scriptedResponse) {
 	defer func() {
 		_ = c.Close()
-		p.closed <- struct{}{}
+		s.closed <- struct{}{}
 	}()
 	r := bufio.NewReader(c)
 	for {
@@ -70,23 +70,23 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, req.Body)
-		p.requests.Add(1)
+		s.requestCount.Add(1)
 		select {
-		case s := <-next:
-			_, _ = io.WriteString(c, s.answer)
-			if s.reset {
+		case step := <-next:
+			_, _ = io.WriteString(c, step.raw)
+			if step.reset {
 				_ = c.(*net.TCPConn).SetLinger(0)
 			}
-			if s.close || s.reset {
+			if step.close || step.reset {
 				return
 			}
 		default:
-			// no answer: the peer hangs
+			// no response is left: the server hangs
 		}
 	}
 }
 
-func whole(id, body string) string {
+func okResponse(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + itoa(len(body)) + "\r\n\r\n" + body
 }
 
@@ -98,106 +98,106 @@
 	return digits
 }
 
-// ask sends one request with an id and returns the answer's body.
-func ask(ctx context.Context, c *Client, address, id string) (string, error) {
-	k, err := c.Get(ctx, address)
+// sendRequest sends a request and returns the body of the response with the given id.
+func sendRequest(ctx context.Context, pool *Client, address, id string) (string, error) {
+	conn, err := pool.Get(ctx, address)
 	if err != nil {
 		return "", err
 	}
-	a, err := k.Do(ctx, Request{Method: http.MethodPost, Target: "/x", Host: "a", Header: http.Header{}, Body: []byte("body")},
+	resp, err := conn.Do(ctx, Request{Method: http.MethodPost, Target: "/x", Host: "a", Header: http.Header{}, Body: []byte("body")},
 		func(h http.Header) bool { return h.Get("Id") == id })
 	if err != nil {
 		return "", err
 	}
-	defer a.Body.Close()
-	data, err := io.ReadAll(a.Body)
+	defer resp.Body.Close()
+	data, err := io.ReadAll(resp.Body)
 	return string(data), err
 }
 
-// A bid goes out on a kept connection that the backend server closes under it. It may
-// have run; the transport of net/http would send some such requests once more by itself.
-func TestRequestOnConnectionThatClosesIsSentOnce(t *testing.T) {
-	for name, s := range map[string]step{"closed": {close: true}, "reset": {reset: true}} {
+// Guards against sending a request twice when the backend server closes a reused connection
+// after receiving it. The request may have run; http.Transport would retry some of these.
+func TestNoRetryWhenConnectionCloses(t *testing.T) {
+	for name, s := range map[string]scriptedResponse{"closed": {close: true}, "reset": {reset: true}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			p := startPeer(t, step{answer: whole("1", "first")}, s, step{answer: whole("2", "again")})
-			c := NewClient()
-			_, err := ask(t.Context(), c, p.Addr().String(), "1")
+			server := startRawServer(t, scriptedResponse{raw: okResponse("1", "first")}, s, scriptedResponse{raw: okResponse("2", "again")})
+			pool := NewClient()
+			_, err := sendRequest(t.Context(), pool, server.Addr().String(), "1")
 			is.NoErr(err)
-			_, err = ask(t.Context(), c, p.Addr().String(), "2")
+			_, err = sendRequest(t.Context(), pool, server.Addr().String(), "2")
 			is.True(errors.Is(err, galenastair.ErrAnswerCut))
-			is.Equal(p.requests.Load(), int32(2))
+			is.Equal(server.requestCount.Load(), int32(2))
 		})
 	}
 }
 
-// A backend server closes an idle connection. The next request finds that out before it
-// is sent, and goes out on a new one.
-func TestConnectionClosedWhileIdleIsNotUsed(t *testing.T) {
+// A request must not be sent on an idle connection that the backend server has closed, but
+// on a new one.
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	is := is.New(t)
-	p := startPeer(t, step{answer: whole("1", "first"), close: true}, step{answer: whole("2", "second")})
-	c := NewClient()
-	_, err := ask(t.Context(), c, p.Addr().String(), "1")
+	server := startRawServer(t, scriptedResponse{raw: okResponse("1", "first"), close: true}, scriptedResponse{raw: okResponse("2", "second")})
+	pool := NewClient()
+	_, err := sendRequest(t.Context(), pool, server.Addr().String(), "1")
 	is.NoErr(err)
-	<-p.closed
-	body, err := ask(t.Context(), c, p.Addr().String(), "2")
+	<-server.closed
+	body, err := sendRequest(t.Context(), pool, server.Addr().String(), "2")
 	is.NoErr(err)
 	is.Equal(body, "second")
-	is.Equal(p.conns.Load(), int32(2))
+	is.Equal(server.connCount.Load(), int32(2))
 }
 
-// A backend server sends a second answer to a request that it has answered. It must
-// reach nobody: neither the caller of the first, nor that of the next request.
-func TestSecondAnswerReachesNobody(t *testing.T) {
+// Guards against delivering a duplicate response, which a backend server sends right after
+// the first one, to the caller of that request or of the next one.
+func TestDuplicateResponseIsDropped(t *testing.T) {
 	is := is.New(t)
-	p := startPeer(t, step{answer: whole("1", "first") + whole("1", "first")}, step{answer: whole("2", "second")})
-	c := NewClient()
-	body, err := ask(t.Context(), c, p.Addr().String(), "1")
+	server := startRawServer(t, scriptedResponse{raw: okResponse("1", "first") + okResponse("1", "first")}, scriptedResponse{raw: okResponse("2", "second")})
+	pool := NewClient()
+	body, err := sendRequest(t.Context(), pool, server.Addr().String(), "1")
 	is.NoErr(err)
 	is.Equal(body, "first")
-	body, err = ask(t.Context(), c, p.Addr().String(), "2")
+	body, err = sendRequest(t.Context(), pool, server.Addr().String(), "2")
 	is.NoErr(err)
 	is.Equal(body, "second")
 }
 
-// The extra answer comes late, where the next request's answer is expected: it is read
-// over by its id.
-func TestLateAnswerIsReadOver(t *testing.T) {
+// The duplicate response arrives late, where the response to the next request is expected.
+// It must be recognised by its id and skipped.
+func TestLateResponseIsSkipped(t *testing.T) {
 	is := is.New(t)
-	p := startPeer(t, step{answer: whole("1", "first")}, step{answer: whole("1", "late") + whole("2", "second")})
-	c := NewClient()
-	_, err := ask(t.Context(), c, p.Addr().String(), "1")
+	server := startRawServer(t, scriptedResponse{raw: okResponse("1", "first")}, scriptedResponse{raw: okResponse("1", "late") + okResponse("2", "second")})
+	pool := NewClient()
+	_, err := sendRequest(t.Context(), pool, server.Addr().String(), "1")
 	is.NoErr(err)
-	body, err := ask(t.Context(), c, p.Addr().String(), "2")
+	body, err := sendRequest(t.Context(), pool, server.Addr().String(), "2")
 	is.NoErr(err)
 	is.Equal(body, "second")
-	is.Equal(p.conns.Load(), int32(1))
+	is.Equal(server.connCount.Load(), int32(1))
 }
 
-// An answer that ends before its length, in the middle of a chunk, or with a reset
-// where it has no length, is cut. One without a length that ends with its connection is
-// whole.
-func TestCutAnswersAreCut(t *testing.T) {
+// A response that ends before its Content-Length, within a chunked body, or by a reset
+// without a Content-Length, is truncated. One without a Content-Length that ends with the
+// connection is complete.
+func TestTruncatedResponse(t *testing.T) {
 	chunked := "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for name, c := range map[string]struct {
-		step step
-		body string
-		cut  bool
+		step      scriptedResponse
+		body      string
+		truncated bool
 	}{
-		"short of its length":      {step{answer: "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nhalf", close: true}, "half", true},
-		"in a chunk":               {step{answer: chunked + "8\r\nhalf", close: true}, "half", true},
-		"without the last chunk":   {step{answer: chunked + "4\r\nhalf\r\n", close: true}, "half", true},
-		"reset without a length":   {step{answer: "HTTP/1.1 200 OK\r\nId: 1\r\nConnection: close\r\n\r\nhalf", reset: true}, "half", true},
-		"whole with its last":      {step{answer: chunked + "5\r\nwhole\r\n0\r\n\r\n"}, "whole", false},
-		"whole with its closing":   {step{answer: "HTTP/1.1 200 OK\r\nId: 1\r\nConnection: close\r\n\r\nwhole", close: true}, "whole", false},
-		"bytes that are no answer": {step{answer: "\x00\x01garbage\r\n\r\n", close: true}, "", true},
+		"short of Content-Length": {scriptedResponse{raw: "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nhalf", close: true}, "half", true},
+		"within a chunk":          {scriptedResponse{raw: chunked + "8\r\nhalf", close: true}, "half", true},
+		"without the last chunk":  {scriptedResponse{raw: chunked + "4\r\nhalf\r\n", close: true}, "half", true},
+		"reset without length":    {scriptedResponse{raw: "HTTP/1.1 200 OK\r\nId: 1\r\nConnection: close\r\n\r\nhalf", reset: true}, "half", true},
+		"complete chunked":        {scriptedResponse{raw: chunked + "5\r\nwhole\r\n0\r\n\r\n"}, "whole", false},
+		"complete until close":    {scriptedResponse{raw: "HTTP/1.1 200 OK\r\nId: 1\r\nConnection: close\r\n\r\nwhole", close: true}, "whole", false},
+		"malformed response":      {scriptedResponse{raw: "\x00\x01garbage\r\n\r\n", close: true}, "", true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			p := startPeer(t, c.step)
-			body, err := ask(t.Context(), NewClient(), p.Addr().String(), "1")
-			is.Equal(errors.Is(err, galenastair.ErrAnswerCut), c.cut)
-			if !c.cut {
+			server := startRawServer(t, c.step)
+			body, err := sendRequest(t.Context(), NewClient(), server.Addr().String(), "1")
+			is.Equal(errors.Is(err, galenastair.ErrAnswerCut), c.truncated)
+			if !c.truncated {
 				is.NoErr(err)
 				is.Equal(body, c.body)
 			}
@@ -205,59 +205,59 @@
 	}
 }
 
-// Nothing listens: the request was certainly not sent.
-func TestRefusedConnectionIsNotSent(t *testing.T) {
+// If nothing listens at the address, the error says that the request was not sent.
+func TestConnectionRefusedIsNotSent(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	address := l.Addr().String()
 	is.NoErr(l.Close())
-	_, err = ask(t.Context(), NewClient(), address, "1")
+	_, err = sendRequest(t.Context(), NewClient(), address, "1")
 	is.True(errors.Is(err, galenastair.ErrNotSent))
 	is.True(errors.Is(err, galenastair.ErrAbsent))
 }
 
-// A caller leaves while the backend server works: its connection closes at once, which
-// is what stops the work.
-func TestCancelClosesTheConnection(t *testing.T) {
+// When a caller disconnects, the connection to the backend server must be closed at once,
+// as this stops the backend server from working on the request.
+func TestCancelClosesConnection(t *testing.T) {
 	is := is.New(t)
-	p := startPeer(t)
+	server := startRawServer(t)
 	ctx, cancel := context.WithCancelCause(t.Context())
-	gone := errors.New("the caller left")
-	time.AfterFunc(30*time.Millisecond, func() { cancel(gone) })
+	errCallerLeft := errors.New("the caller left")
+	time.AfterFunc(30*time.Millisecond, func() { cancel(errCallerLeft) })
 	begun := time.Now()
-	_, err := ask(ctx, NewClient(), p.Addr().String(), "1")
-	is.True(errors.Is(err, gone))
+	_, err := sendRequest(ctx, NewClient(), server.Addr().String(), "1")
+	is.True(errors.Is(err, errCallerLeft))
 	select {
-	case <-p.closed:
+	case <-server.closed:
 	case <-time.After(2 * time.Second):
 		t.Fatal("the connection stayed open")
 	}
 	is.True(time.Since(begun) < 500*time.Millisecond)
 }
 
-// A peer announces how long it keeps an idle connection: it is given up before that.
-func TestAnnouncedTimeoutIsKept(t *testing.T) {
+// An idle connection must be closed before the keep-alive timeout that the peer announces.
+func TestKeepAliveTimeoutOfPeer(t *testing.T) {
 	is := is.New(t)
-	is.Equal(keepAlive(http.Header{"Keep-Alive": {"max=3, timeout=5"}}), 5*time.Second)
-	is.Equal(keepAlive(http.Header{"Keep-Alive": {"nonsense"}}), time.Duration(0))
-	p := startPeer(t, step{answer: strings.Replace(whole("1", "x"), "\r\n\r\n", "\r\nKeep-Alive: timeout=1\r\n\r\n", 1)}, step{answer: whole("2", "y")})
-	c := NewClient()
-	_, err := ask(t.Context(), c, p.Addr().String(), "1")
+	is.Equal(keepAliveTimeout(http.Header{"Keep-Alive": {"max=3, timeout=5"}}), 5*time.Second)
+	is.Equal(keepAliveTimeout(http.Header{"Keep-Alive": {"nonsense"}}), time.Duration(0))
+	server := startRawServer(t, scriptedResponse{raw: strings.Replace(okResponse("1", "x"), "\r\n\r\n", "\r\nKeep-Alive: timeout=1\r\n\r\n", 1)}, scriptedResponse{raw: okResponse("2", "y")})
+	pool := NewClient()
+	_, err := sendRequest(t.Context(), pool, server.Addr().String(), "1")
 	is.NoErr(err)
-	_, err = ask(t.Context(), c, p.Addr().String(), "2")
+	_, err = sendRequest(t.Context(), pool, server.Addr().String(), "2")
 	is.NoErr(err)
-	is.Equal(p.conns.Load(), int32(2))
+	is.Equal(server.connCount.Load(), int32(2))
 }
 
-// Kept connections to a backend server that is gone are closed in the end.
-func TestPrune(t *testing.T) {
+// Idle connections to a backend server that is gone must not stay open forever.
+func TestCloseExpired(t *testing.T) {
 	is := is.New(t)
-	p := startPeer(t, step{answer: whole("1", "x")})
-	c := NewClient()
-	_, err := ask(t.Context(), c, p.Addr().String(), "1")
+	server := startRawServer(t, scriptedResponse{raw: okResponse("1", "x")})
+	pool := NewClient()
+	_, err := sendRequest(t.Context(), pool, server.Addr().String(), "1")
 	is.NoErr(err)
-	is.Equal(c.Open(p.Addr().String()), 1)
-	c.Prune(time.Now().Add(2 * idleTimeout))
-	is.Equal(c.Open(p.Addr().String()), 0)
+	is.Equal(pool.Open(server.Addr().String()), 1)
+	pool.Prune(time.Now().Add(2 * idleTimeout))
+	is.Equal(pool.Open(server.Addr().String()), 0)
 }
--- a/httpconn/quiet.go
+++ b/httpconn/quiet.go
@@ -5,10 +5,11 @@
 	"syscall"
 )
 
-// quiet says whether nothing has come on an idle connection. An end or a reset means
-// that the peer closed it; bytes would be taken for the next request's answer.
-func quiet(n net.Conn) bool {
-	sc, ok := n.(syscall.Conn)
+// isReusable reports whether the peer has sent nothing on an idle connection. EOF or a
+// reset means that the peer has closed it; any bytes would be read as the response to the
+// next request.
+func isReusable(conn net.Conn) bool {
+	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return true
 	}
@@ -16,12 +17,12 @@
 	if err != nil {
 		return false
 	}
-	still := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		still = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
+		empty = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
 		return true
 	})
-	return err == nil && still
+	return err == nil && empty
 }
