--- a/logservice/catalogue.go
+++ b/logservice/catalogue.go
@@ -10,14 +10,15 @@
 	"galenastair"
 )
 
-// Catalogue returns every model and adapter that the weight store holds.
+// Catalogue returns all models and adapters of the weight store.
 func (c *Client) Catalogue(ctx context.Context) ([]galenastair.Weight, error) {
-	var answer CatalogueAnswer
-	err := c.call(ctx, http.MethodGet, "/catalogue", nil, &answer)
-	return answer.Weights, err
+	var resp CatalogueAnswer
+	err := c.callJSON(ctx, http.MethodGet, "/catalogue", nil, &resp)
+	return resp.Weights, err
 }
 
-// Load fetches a weight, as engines do; it returns when the load is done.
+// Load downloads a weight from the weight store, as engines do, and returns when the
+// download has ended.
 func (c *Client) Load(ctx context.Context, w galenastair.Weight) error {
 	body, err := json.Marshal(w)
 	if err != nil {
@@ -28,7 +29,7 @@
 		return err
 	}
 	if status != http.StatusOK {
-		return eris.Wrapf(errStatus, "load of %s: status %d", w.Name, status)
+		return eris.Wrapf(errStatus, "load %s: status %d", w.Name, status)
 	}
 	return nil
 }
--- a/logservice/client.go
+++ b/logservice/client.go
@@ -14,33 +14,33 @@
 )
 
 const (
-	// defaultTimeout ends a call to a platform that hangs; well under a lease,
-	// so that a member can still try another way.
+	// defaultTimeout is well below the duration of a lease, so that a member still has time
+	// to try another path after a timeout.
 	defaultTimeout = 3 * time.Second
-	// maxAnswer bounds the memory that one answer can take.
-	maxAnswer = 16 << 20
+	// maxResponseBytes bounds the memory of a response.
+	maxResponseBytes = 16 << 20
 )
 
-// errStatus says that the platform answered with an error status.
-var errStatus = eris.New("the platform answered with an error")
+// errStatus is returned for responses with an error status.
+var errStatus = eris.New("platform returned an error status")
 
-// Client speaks to one address of the platform.
+// Client is a client of the platform at one address.
 type Client struct {
-	base    string
-	http    *http.Client
-	timeout time.Duration
-	list    listCache
+	base      string
+	http      *http.Client
+	timeout   time.Duration
+	listCache cachedList
 }
 
-// Option changes how a client is made.
+// Option configures a Client.
 type Option func(*Client)
 
-// WithTimeout sets after how long a call without an answer is given up.
+// WithTimeout sets the timeout of a call. Read adds the time that it may wait for records.
 func WithTimeout(d time.Duration) Option {
 	return func(c *Client) { c.timeout = d }
 }
 
-// New returns a client of the platform at an address of the form IP:port.
+// New returns a client of the platform at address, which has the form IP:port.
 func New(address string, opts ...Option) *Client {
 	c := &Client{
 		base:    "http://" + address,
@@ -53,13 +53,13 @@
 	return c
 }
 
-// noRedirect keeps an append from being sent a second time to another place.
+// noRedirect prevents a redirect from sending an append a second time to another address.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 // Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// do sends one request and returns the status and the whole body.
+// do sends a request and returns the response's status and body.
 func (c *Client) do(ctx context.Context, method, path string, body []byte) (int, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
@@ -70,12 +70,12 @@
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
-	return resp.StatusCode, answer, err
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
+	return resp.StatusCode, data, err
 }
 
-// call sends a JSON request and reads a JSON answer into out unless it is nil.
-func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
+// callJSON sends in as JSON and decodes the JSON response into out; either may be nil.
+func (c *Client) callJSON(ctx context.Context, method, path string, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	var body []byte
@@ -86,7 +86,7 @@
 		}
 		body = b
 	}
-	status, answer, err := c.do(ctx, method, path, body)
+	status, data, err := c.do(ctx, method, path, body)
 	if err != nil {
 		return eris.Wrapf(err, "%s %s", method, path)
 	}
@@ -96,5 +96,5 @@
 	if out == nil {
 		return nil
 	}
-	return eris.Wrapf(json.Unmarshal(answer, out), "%s %s", method, path)
+	return eris.Wrapf(json.Unmarshal(data, out), "%s %s", method, path)
 }
--- a/logservice/client_test.go
+++ b/logservice/client_test.go
@@ -16,7 +16,7 @@
 
 const stream = galenastair.ConfigurationStream
 
-func start(t *testing.T) (*standin.Platform, *logservice.Client) {
+func startPlatform(t *testing.T) (*standin.Platform, *logservice.Client) {
 	p := standin.New(standin.WithCatalogue(standin.Catalogue(2, 3, 20, 1)))
 	p.Switch(func(s *standin.Switches) { s.ListLag = 0 })
 	server := httptest.NewServer(p.Handler())
@@ -29,27 +29,27 @@
 	return p, c
 }
 
-// An operator reads that a contract was refused, publishes it again, and finds
-// it twice. The log acted but its answer was lost, or came too late. Seen failing
-// with every error mapped to ErrAppendRefused, and with each to ErrAppendUnknown.
-func TestAppendSaysWhetherItCanHaveActed(t *testing.T) {
-	p, c := start(t)
-	gone := httptest.NewServer(nil)
-	gone.Close()
+// Guards against an operator publishing a contract twice because of an error that says that
+// the append was refused, although the log has appended the record and only its response
+// was lost or late. Fails if all errors map to ErrAppendRefused, or all to ErrAppendUnknown.
+func TestAppendErrorTellsWhetherAppended(t *testing.T) {
+	p, c := startPlatform(t)
+	closed := httptest.NewServer(nil)
+	closed.Close()
 	tests := []struct {
 		name     string
 		client   *logservice.Client
 		switches standin.Switches
 		want     error
-		acted    bool
+		appended bool
 	}{
-		{"answered", c, standin.Switches{}, nil, true},
-		{"answer lost", c, standin.Switches{LostAnswers: 1}, galenastair.ErrAppendUnknown, true},
-		{"slow beyond the timeout", c, standin.Switches{AppendDelay: 200 * time.Millisecond}, galenastair.ErrAppendUnknown, true},
+		{"response received", c, standin.Switches{}, nil, true},
+		{"response lost", c, standin.Switches{LostAnswers: 1}, galenastair.ErrAppendUnknown, true},
+		{"response after the timeout", c, standin.Switches{AppendDelay: 200 * time.Millisecond}, galenastair.ErrAppendUnknown, true},
 		{"outage that hangs", c, standin.Switches{Outage: standin.Hang}, galenastair.ErrAppendUnknown, false},
 		{"outage that refuses", c, standin.Switches{Outage: standin.Refuse}, galenastair.ErrAppendRefused, false},
-		{"over the limit", c, standin.Switches{AppendsPerSecond: 0.001}, galenastair.ErrAppendRefused, false},
-		{"refused connection", logservice.New(gone.Listener.Addr().String()), standin.Switches{}, galenastair.ErrAppendRefused, false},
+		{"over the rate limit", c, standin.Switches{AppendsPerSecond: 0.001}, galenastair.ErrAppendRefused, false},
+		{"connection refused", logservice.New(closed.Listener.Addr().String()), standin.Switches{}, galenastair.ErrAppendRefused, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -66,19 +66,19 @@
 			is.True(errors.Is(err, tt.want))
 			p.Switch(func(s *standin.Switches) { *s = standin.Switches{} })
 			wait := time.Duration(0)
-			if tt.acted {
+			if tt.appended {
 				wait = time.Second
 			}
 			after, err := c.Read(ctx, stream, before.Next, wait)
 			is.NoErr(err)
-			is.Equal(len(after.Records) == 1, tt.acted)
+			is.Equal(len(after.Records) == 1, tt.appended)
 		})
 	}
 }
 
-func TestReadWaitsExpiresAndFails(t *testing.T) {
+func TestReadLongPollExpiryAndOutage(t *testing.T) {
 	is := is.New(t)
-	p, c := start(t)
+	p, c := startPlatform(t)
 	ctx := context.Background()
 	got := make(chan galenastair.Batch, 1)
 	go func() {
@@ -101,9 +101,9 @@
 	is.True(errors.Is(err, galenastair.ErrLogUnavailable))
 }
 
-func TestListShowsLeavingAndDropsTheSilent(t *testing.T) {
+func TestListIncludesLeavingAndDropsSilent(t *testing.T) {
 	is := is.New(t)
-	p, c := start(t)
+	p, c := startPlatform(t)
 	ctx := context.Background()
 	in := galenastair.ListedInstance{ID: "e1", Role: galenastair.RoleEngine, Address: "127.0.0.1:1"}
 	is.NoErr(c.Announce(ctx, in))
--- a/logservice/doc.go
+++ b/logservice/doc.go
@@ -1,28 +1,31 @@
-// Package logservice speaks to the platform over HTTP: its append-only log, its
-// lagging list of instances and its catalogue of weights.
+// Package logservice is an HTTP client of the platform: its append-only log, its
+// eventually consistent list of instances and its catalogue of weights.
 //
-// All bodies are JSON with Pascal-case names. Durations are whole nanoseconds in
-// bodies and Go's notation ("2s") in queries; memory is in bytes.
+// Except for records, bodies are JSON with field names in Pascal case. Durations are
+// integers in nanoseconds in bodies, and in the format of time.Duration ("2s") in query
+// parameters; memory is in bytes.
 //
-//	POST   /streams/NAME/records               body: the record -> AppendAnswer
-//	GET    /streams/NAME/records?from=N&wait=2s                 -> ReadAnswer
+//	POST   /streams/NAME/records               body: the record -> AppendResponse
+//	GET    /streams/NAME/records?from=N&wait=2s                 -> ReadResponse
 //	POST   /instances                          body: galenastair.ListedInstance
 //	DELETE /instances/ID
-//	GET    /instances                                           -> ListAnswer,
-//	       or 304 where If-None-Match names the ETag of the present list
-//	GET    /catalogue                                           -> CatalogueAnswer
+//	GET    /instances                                           -> ListResponse,
+//	       or 304 if If-None-Match is the ETag of the current list
+//	GET    /catalogue                                           -> CatalogueResponse
+//	POST   /loads                              body: galenastair.Weight
 //
-// A POST to /instances registers and is also the heartbeat; an instance that
-// sends none for a while drops off the list. Offsets of a stream start at 1.
+// A POST to /instances registers an instance and is its heartbeat as well; an instance
+// without heartbeats for some time is removed from the list. Offsets of a stream start
+// at 1.
 //
-// Errors of an append: a 4xx or a 503 is said before acting and maps to
-// ErrAppendRefused, as does a request of which no byte was sent; all else maps
-// to ErrAppendUnknown. Errors of a read: 410 maps to ErrExpired, all else to
-// ErrLogUnavailable.
+// Errors of an append: the platform returns a 4xx status or 503 only if it has not
+// appended the record. These map to ErrAppendRefused, as does a request of which no byte
+// was sent; all other errors map to ErrAppendUnknown. Errors of a read: 410 maps to
+// ErrExpired, all others to ErrLogUnavailable.
 //
-// Size: an instance polls its control stream by one long poll each 2 s when
-// nothing happens (about 350 bytes with headers, 175 B/s), registers each second
-// (about 400 B/s) and reads the list each second (about 300 bytes while it is
-// unchanged; 150 bytes an instance when it changed, 50 KB at 330 instances a
-// region, some 100 times a day or 60 B/s).
+// Traffic: an idle instance sends a long poll of its control stream every 2 s (about
+// 350 bytes with headers, 175 B/s), a heartbeat every second (about 400 B/s) and a
+// request for the list every second (about 300 bytes if the list is unchanged). A
+// changed list takes 150 bytes per instance, which is 50 KB in a region of 330
+// instances, about 100 times a day or 60 B/s.
 package logservice
--- a/logservice/list.go
+++ b/logservice/list.go
@@ -14,28 +14,29 @@
 	"galenastair"
 )
 
-// HeartbeatPeriod is how often a registered instance shows that it lives; the
-// platform drops one that is silent for several periods.
-const HeartbeatPeriod = time.Second
+// HeartbeatInterval is the interval of heartbeats. The platform removes an instance from
+// the list if it misses several heartbeats in a row.
+const HeartbeatInterval = time.Second
 
-// listCache is the last list that was read, with the tag that the platform gave it.
-type listCache struct {
+// cachedList is the last list received and its ETag.
+type cachedList struct {
 	mu        sync.Mutex
-	tag       string
+	etag      string
 	instances []galenastair.ListedInstance
 }
 
-// List returns the platform's lagging list of live and leaving instances.
+// List returns the platform's list of running and leaving instances, which is eventually
+// consistent.
 //
-// The list is asked for with the tag of the last one, so that an unchanged list
-// costs a few hundred bytes and not 48 KB, as that of a region of the target does:
-// each instance reads it every second, and 6 KB a second is all it may spend. A
-// platform that gives no tags is read whole each time.
+// The request has the ETag of the last list in If-None-Match, so that an unchanged list
+// costs a few hundred bytes instead of 48 KB for a region of the target size: each
+// instance requests the list every second and may spend 6 KB/s on all control traffic.
+// If the platform sends no ETag, each response has the full list.
 func (c *Client) List(ctx context.Context) ([]galenastair.ListedInstance, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	c.list.mu.Lock()
-	defer c.list.mu.Unlock()
+	c.listCache.mu.Lock()
+	defer c.listCache.mu.Unlock()
 	resp, err := c.getList(ctx)
 	if err != nil {
 		return nil, eris.Wrap(err, "GET /instances")
@@ -43,22 +44,22 @@
 	defer resp.Body.Close()
 	switch resp.StatusCode {
 	case http.StatusNotModified:
-		return c.list.instances, nil
+		return c.listCache.instances, nil
 	case http.StatusOK:
 	default:
 		return nil, eris.Wrapf(errStatus, "GET /instances: status %d", resp.StatusCode)
 	}
-	// read to its end, as net/http closes the connection of a body that is not
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	// net/http only reuses a connection whose response body was read to the end
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return nil, eris.Wrap(err, "GET /instances")
 	}
-	var answer ListAnswer
-	if err := json.Unmarshal(body, &answer); err != nil {
+	var list ListAnswer
+	if err := json.Unmarshal(body, &list); err != nil {
 		return nil, eris.Wrap(err, "GET /instances")
 	}
-	c.list.tag, c.list.instances = resp.Header.Get("ETag"), answer.Instances
-	return answer.Instances, nil
+	c.listCache.etag, c.listCache.instances = resp.Header.Get("ETag"), list.Instances
+	return list.Instances, nil
 }
 
 func (c *Client) getList(ctx context.Context) (*http.Response, error) {
@@ -66,26 +67,27 @@
 	if err != nil {
 		return nil, err
 	}
-	if c.list.tag != "" {
-		req.Header.Set("If-None-Match", c.list.tag)
+	if c.listCache.etag != "" {
+		req.Header.Set("If-None-Match", c.listCache.etag)
 	}
 	return c.http.Do(req)
 }
 
-// Announce registers an instance or renews its registration once.
+// Heartbeat registers an instance or renews its registration.
 func (c *Client) Announce(ctx context.Context, in galenastair.ListedInstance) error {
-	return c.call(ctx, http.MethodPost, "/instances", in, nil)
+	return c.callJSON(ctx, http.MethodPost, "/instances", in, nil)
 }
 
-// Withdraw takes an instance off the list.
+// Deregister removes an instance from the list.
 func (c *Client) Withdraw(ctx context.Context, id string) error {
-	return c.call(ctx, http.MethodDelete, "/instances/"+url.PathEscape(id), nil, nil)
+	return c.callJSON(ctx, http.MethodDelete, "/instances/"+url.PathEscape(id), nil, nil)
 }
 
-// Register announces what self returns each period until the context ends; a
-// failed heartbeat is reported and tried again, as the platform can be down.
+// Register sends a heartbeat for the instance that self returns every HeartbeatInterval
+// until the context ends. A failed heartbeat is passed to report and does not end
+// Register, as the platform may be down for some time.
 func (c *Client) Register(ctx context.Context, self func() galenastair.ListedInstance, report func(error)) error {
-	tick := time.NewTicker(HeartbeatPeriod)
+	tick := time.NewTicker(HeartbeatInterval)
 	defer tick.Stop()
 	for {
 		if err := c.Announce(ctx, self()); err != nil && ctx.Err() == nil {
--- a/logservice/list_test.go
+++ b/logservice/list_test.go
@@ -9,20 +9,21 @@
 	"github.com/matryer/is"
 )
 
-// At the target a region's list has 48 KB, read each second by each instance.
-// Unchanged, it must cost a few hundred bytes, and still be the whole list.
-func TestUnchangedListIsNotReadAgain(t *testing.T) {
+// The list of a region of the target size has 48 KB, and each instance requests it every
+// second. If it is unchanged, the response must have no body, and List must return the
+// full list.
+func TestUnchangedListIsNotSentAgain(t *testing.T) {
 	is := is.New(t)
-	bodies := 0
-	tag := `"1"`
+	bodyCount := 0
+	etag := `"1"`
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set("ETag", tag)
-		if r.Header.Get("If-None-Match") == tag {
+		w.Header().Set("ETag", etag)
+		if r.Header.Get("If-None-Match") == etag {
 			w.WriteHeader(http.StatusNotModified)
 			return
 		}
-		bodies++
-		_, _ = w.Write([]byte(`{"Instances":[{"ID":"engine-` + tag[1:2] + `"}]}`))
+		bodyCount++
+		_, _ = w.Write([]byte(`{"Instances":[{"ID":"engine-` + etag[1:2] + `"}]}`))
 	}))
 	defer s.Close()
 	c := New(s.Listener.Addr().String())
@@ -32,8 +33,8 @@
 		is.NoErr(err)
 		is.Equal(listed[0].ID, "engine-1")
 	}
-	is.Equal(bodies, 1)
-	tag = `"2"`
+	is.Equal(bodyCount, 1)
+	etag = `"2"`
 	listed, err := c.List(context.Background())
 	is.NoErr(err)
 	is.Equal(listed[0].ID, "engine-2")
--- a/logservice/log.go
+++ b/logservice/log.go
@@ -18,7 +18,8 @@
 	return "/streams/" + url.PathEscape(string(s)) + "/records"
 }
 
-// Append adds one record; an error that is not ErrAppendRefused leaves its effect unknown.
+// Append appends a record to a stream. Its error wraps ErrAppendRefused if the record has
+// not been appended; with any other error it may have been.
 func (c *Client) Append(ctx context.Context, s galenastair.Stream, data []byte) (galenastair.Offset, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -30,25 +31,26 @@
 	if err != nil {
 		return 0, eris.Wrapf(galenastair.ErrAppendUnknown, "%v", err)
 	}
-	if refusesAppend(status) {
+	if isAppendRefused(status) {
 		return 0, eris.Wrapf(galenastair.ErrAppendRefused, "status %d", status)
 	}
 	if status != http.StatusOK {
 		return 0, eris.Wrapf(galenastair.ErrAppendUnknown, "status %d", status)
 	}
-	var answer AppendAnswer
-	if err := json.Unmarshal(body, &answer); err != nil || answer.Offset <= 0 {
-		return 0, eris.Wrapf(galenastair.ErrAppendUnknown, "unreadable answer: %v", err)
+	var resp AppendAnswer
+	if err := json.Unmarshal(body, &resp); err != nil || resp.Offset <= 0 {
+		return 0, eris.Wrapf(galenastair.ErrAppendUnknown, "invalid response: %v", err)
 	}
-	return answer.Offset, nil
+	return resp.Offset, nil
 }
 
-// refusesAppend says whether a status is given only before acting.
-func refusesAppend(status int) bool {
+// isAppendRefused reports whether the status says that the record has not been appended.
+func isAppendRefused(status int) bool {
 	return status >= 400 && status < 500 || status == http.StatusServiceUnavailable
 }
 
-// Read returns records from an offset on, waiting up to wait for the first.
+// Read returns the records of a stream from the given offset. If there are none yet, the
+// platform waits up to wait for the first.
 func (c *Client) Read(ctx context.Context, s galenastair.Stream, from galenastair.Offset, wait time.Duration) (galenastair.Batch, error) {
 	from = max(from, 1)
 	ctx, cancel := context.WithTimeout(ctx, wait+c.timeout)
@@ -64,22 +66,22 @@
 	if status != http.StatusOK {
 		return galenastair.Batch{}, eris.Wrapf(galenastair.ErrLogUnavailable, "status %d", status)
 	}
-	var answer ReadAnswer
-	if err := json.Unmarshal(body, &answer); err != nil {
-		return galenastair.Batch{}, eris.Wrapf(galenastair.ErrLogUnavailable, "unreadable answer: %v", err)
+	var resp ReadAnswer
+	if err := json.Unmarshal(body, &resp); err != nil {
+		return galenastair.Batch{}, eris.Wrapf(galenastair.ErrLogUnavailable, "invalid response: %v", err)
 	}
-	if err := inOrder(answer.Records, from); err != nil {
+	if err := checkOffsets(resp.Records, from); err != nil {
 		return galenastair.Batch{}, err
 	}
-	return galenastair.Batch{Records: answer.Records, First: answer.First, Next: answer.Next}, nil
+	return galenastair.Batch{Records: resp.Records, First: resp.First, Next: resp.Next}, nil
 }
 
-// inOrder guards against a gap or a doubled record: a fold over it would differ
-// from that of the other instances and never meet theirs again.
-func inOrder(records []galenastair.LogRecord, from galenastair.Offset) error {
+// checkOffsets returns an error if records are missing or duplicated: the state that this
+// instance derives from the log would permanently diverge from that of the others.
+func checkOffsets(records []galenastair.LogRecord, from galenastair.Offset) error {
 	for i, r := range records {
 		if want := from + galenastair.Offset(i); r.Offset != want {
-			return eris.Wrapf(galenastair.ErrLogUnavailable, "offset %d where %d was due", r.Offset, want)
+			return eris.Wrapf(galenastair.ErrLogUnavailable, "got offset %d, want %d", r.Offset, want)
 		}
 	}
 	return nil
--- a/logservice/wire.go
+++ b/logservice/wire.go
@@ -2,24 +2,24 @@
 
 import "galenastair"
 
-// AppendAnswer tells where a record was appended.
+// AppendResponse has the offset of an appended record.
 type AppendAnswer struct {
 	Offset galenastair.Offset
 }
 
-// ReadAnswer holds the records of one read.
+// ReadResponse has the records of a read.
 type ReadAnswer struct {
 	First   galenastair.Offset
 	Next    galenastair.Offset
 	Records []galenastair.LogRecord
 }
 
-// ListAnswer holds the list of instances as of some moments ago.
+// ListResponse has the list of instances, which may be some seconds old.
 type ListAnswer struct {
 	Instances []galenastair.ListedInstance
 }
 
-// CatalogueAnswer holds the models and adapters of the weight store.
+// CatalogueResponse has the models and adapters of the weight store.
 type CatalogueAnswer struct {
 	Weights []galenastair.Weight
 }
