--- a/cmd/galenastair/cmd_explain.go
+++ b/cmd/galenastair/cmd_explain.go
@@ -15,7 +15,7 @@
 
 var cmdExplain = command{
 	name:    "explain",
-	summary: "tell one request's way from the instances' logs, how all of them ended, or what was lost",
+	summary: "show from the instances' logs how one request was handled, how all requests ended, or why requests failed",
 	usage:   "-id ID FILE... | -all FILE... | -losses FILE...",
 	run:     runExplain,
 }
@@ -23,13 +23,13 @@
 func runExplain(_ context.Context, args []string, out, errOut io.Writer) error {
 	f := flag.NewFlagSet("explain", flag.ContinueOnError)
 	f.SetOutput(errOut)
-	id := f.String("id", "", "the request's id")
-	all := f.Bool("all", false, "count how all requests ended, and name those that nothing explains")
+	id := f.String("id", "", "the request's ID")
+	all := f.Bool("all", false, "count how all requests ended, and list those whose end the logs don't explain")
 	losses := f.Bool("losses", false, "group the requests that were not answered by cause, time, model and organisation")
 	if err := parseFlags(f, args); err != nil {
 		return err
 	}
-	if chosen(*id != "", *all, *losses) != 1 || f.NArg() == 0 {
+	if countTrue(*id != "", *all, *losses) != 1 || f.NArg() == 0 {
 		return usageError("explain", "give one of -id, -all and -losses, and a FILE")
 	}
 	var lines []explain.Line
@@ -38,30 +38,30 @@
 		if err != nil {
 			return err
 		}
-		lines = append(lines, readLines(text)...)
+		lines = append(lines, parseLines(text)...)
 	}
 	if *all {
-		return explain.Count(lines).WriteText(out)
+		return explain.NewAudit(lines).WriteText(out)
 	}
 	if *losses {
-		return explain.Lose(lines).WriteText(out)
+		return explain.NewFailureReport(lines).WriteText(out)
 	}
-	story := explain.Find(lines, *id)
-	if len(story.Request) == 0 {
-		return eris.Errorf("no line names request %s; are these the logs of all instances, and of that time?", *id)
+	trace := explain.NewTrace(lines, *id)
+	if len(trace.Request) == 0 {
+		return eris.Errorf("no log line has request=%s; check that the files cover all instances and the time of the request", *id)
 	}
-	for _, l := range story.Beliefs {
+	for _, l := range trace.StateChanges {
 		fmt.Fprintln(out, "before  ", l)
 	}
-	for _, l := range story.Request {
+	for _, l := range trace.Request {
 		fmt.Fprintln(out, "request ", l)
 	}
-	fmt.Fprintln(out, "cause:  ", story.Cause())
+	fmt.Fprintln(out, "cause:  ", trace.Cause())
 	return nil
 }
 
-// chosen counts the flags that were given.
-func chosen(flags ...bool) int {
+// countTrue returns how many of the flags are set.
+func countTrue(flags ...bool) int {
 	n := 0
 	for _, f := range flags {
 		if f {
@@ -71,9 +71,9 @@
 	return n
 }
 
-// readLines reads the lines one by one, so that one that was cut, or is not ours, costs
-// no other.
-func readLines(text []byte) []explain.Line {
+// parseLines parses each line on its own, so that a line that is truncated or no logfmt is
+// skipped without an effect on the others: the logfmt decoder stops at the first error.
+func parseLines(text []byte) []explain.Line {
 	var out []explain.Line
 	for line := range bytes.Lines(text) {
 		read, err := explain.Read(bytes.NewReader(line))
--- a/explain/audit.go
+++ b/explain/audit.go
@@ -9,33 +9,37 @@
 	"time"
 )
 
-// Audit sums up how the requests in some logs ended, and finds those that nothing explains.
+// Audit counts how the requests in a set of logs ended, and lists those whose end the logs
+// don't explain.
 type Audit struct {
-	// Requests counts those that are named, Served those that got a backend server's answer.
+	// Requests is the number of request IDs in the logs.
 	Requests int
-	Served   int
-	// Reasons counts the others by their ending's code; those that left the caller itself
-	// are among them.
+	// Answered is the number of requests that got an answer of a backend server.
+	Answered int
+	// Reasons counts the requests that ended without such an answer, by final event and
+	// code. Requests whose caller closed the connection are included.
 	Reasons map[string]int
-	// Cut are requests whose instance was started again before they ended.
-	Cut []string
-	// Unexplained are requests without an ending, though their instance went on.
+	// Interrupted lists the requests that had not ended when their instance restarted.
+	Interrupted []string
+	// Unexplained lists the requests without a final event whose instance did not restart
+	// afterwards.
 	Unexplained []string
-	// LeftOut is how many lines the instances say that they left out.
-	LeftOut int
+	// DroppedLines is how many log lines the instances report that they dropped.
+	DroppedLines int
 }
 
-// ended is how a request ended at one instance.
-type ended struct {
-	instance string
-	last     time.Time
-	ending   string
-	code     string
+// requestState is what the lines read so far say about one request: the instance and time of
+// its latest line, and its final event and code once there is one.
+type requestState struct {
+	instance   string
+	lastSeen   time.Time
+	finalEvent string
+	code       string
 }
 
-// Count audits lines.
-func Count(lines []Line) Audit {
-	requests := map[string]*ended{}
+// NewAudit counts how the requests in the given log lines ended.
+func NewAudit(lines []Line) Audit {
+	requests := map[string]*requestState{}
 	starts := map[string][]time.Time{}
 	a := Audit{Reasons: map[string]int{}}
 	for _, l := range lines {
@@ -45,53 +49,53 @@
 		case l.Event == "log lines left out":
 			n, err := strconv.Atoi(l.Get("lines"))
 			if err == nil {
-				a.LeftOut += n
+				a.DroppedLines += n
 			}
 		case l.Request != "":
-			take(requests, l)
+			updateState(requests, l)
 		}
 	}
 	for id, r := range requests {
 		a.add(id, r, starts[r.instance])
 	}
-	slices.Sort(a.Cut)
+	slices.Sort(a.Interrupted)
 	slices.Sort(a.Unexplained)
 	return a
 }
 
-func take(requests map[string]*ended, l Line) {
+func updateState(requests map[string]*requestState, l Line) {
 	r := requests[l.Request]
 	if r == nil {
-		r = &ended{}
+		r = &requestState{}
 		requests[l.Request] = r
 	}
-	if l.At.After(r.last) {
-		r.instance, r.last = l.Instance, l.At
+	if l.At.After(r.lastSeen) {
+		r.instance, r.lastSeen = l.Instance, l.At
 	}
 	switch l.Event {
 	case "answered", "refused", "broken off":
-		r.ending, r.code = l.Event, l.Get("code")
+		r.finalEvent, r.code = l.Event, l.Get("code")
 	}
 }
 
-func (a *Audit) add(id string, r *ended, starts []time.Time) {
+func (a *Audit) add(id string, r *requestState, starts []time.Time) {
 	a.Requests++
 	switch {
-	case r.ending == "answered":
-		a.Served++
-	case r.ending != "":
-		a.Reasons[r.ending+" "+cmp.Or(r.code, "-")]++
-	case slices.ContainsFunc(starts, r.last.Before):
-		a.Cut = append(a.Cut, id)
+	case r.finalEvent == "answered":
+		a.Answered++
+	case r.finalEvent != "":
+		a.Reasons[r.finalEvent+" "+cmp.Or(r.code, "-")]++
+	case slices.ContainsFunc(starts, r.lastSeen.Before):
+		a.Interrupted = append(a.Interrupted, id)
 	default:
 		a.Unexplained = append(a.Unexplained, id)
 	}
 }
 
-// mostNamed is how many unexplained requests are named.
-const mostNamed = 10
+// maxListedRequests is how many unexplained requests WriteText lists.
+const maxListedRequests = 10
 
-// WriteText writes the audit, the most frequent reason first.
+// WriteText writes the audit as a table, with the reasons sorted by descending count.
 func (a Audit) WriteText(w io.Writer) error {
 	reasons := make([]string, 0, len(a.Reasons))
 	for r := range a.Reasons {
@@ -100,12 +104,12 @@
 	slices.SortFunc(reasons, func(x, y string) int {
 		return cmp.Or(a.Reasons[y]-a.Reasons[x], cmp.Compare(x, y))
 	})
-	text := fmt.Sprintf("requests     %6d\nanswered     %6d\n", a.Requests, a.Served)
+	text := fmt.Sprintf("requests     %6d\nanswered     %6d\n", a.Requests, a.Answered)
 	for _, r := range reasons {
 		text += fmt.Sprintf("%-24s %6d\n", r, a.Reasons[r])
 	}
-	text += fmt.Sprintf("instance ended %4d\nunexplained  %6d\nlines left out %4d\n", len(a.Cut), len(a.Unexplained), a.LeftOut)
-	for _, id := range a.Unexplained[:min(mostNamed, len(a.Unexplained))] {
+	text += fmt.Sprintf("instance ended %4d\nunexplained  %6d\nlines left out %4d\n", len(a.Interrupted), len(a.Unexplained), a.DroppedLines)
+	for _, id := range a.Unexplained[:min(maxListedRequests, len(a.Unexplained))] {
 		text += "unexplained request " + id + "\n"
 	}
 	_, err := io.WriteString(w, text)
--- a/explain/audit_test.go
+++ b/explain/audit_test.go
@@ -18,21 +18,21 @@
 ts=2026-01-01T10:00:06Z instance=n1 event="log lines left out" lines=7 total=7
 `
 
-// On call, an engineer asks whether the logs explain all that was not served. One request
-// ended with its instance's process; one has no ending though its instance went on, and is
-// named.
-func TestAudit(t *testing.T) {
+// Guards against an audit that miscounts how requests ended. r3 has no final event because its
+// instance restarted, so it counts as interrupted; r4 has none although its instance did not
+// restart, so it is listed as unexplained.
+func TestNewAudit(t *testing.T) {
 	is := is.New(t)
 	lines, err := Read(strings.NewReader(auditLogs))
 	is.NoErr(err)
-	a := Count(lines)
+	a := NewAudit(lines)
 	is.Equal(a.Requests, 5)
-	is.Equal(a.Served, 1)
+	is.Equal(a.Answered, 1)
 	is.Equal(a.Reasons["refused RateExceeded"], 1)
 	is.Equal(a.Reasons["broken off Timeout"], 1)
-	is.Equal(a.Cut, []string{"r3"})
+	is.Equal(a.Interrupted, []string{"r3"})
 	is.Equal(a.Unexplained, []string{"r4"})
-	is.Equal(a.LeftOut, 7)
+	is.Equal(a.DroppedLines, 7)
 	var text strings.Builder
 	is.NoErr(a.WriteText(&text))
 	is.True(strings.Contains(text.String(), "unexplained request r4"))
--- a/explain/calls.go
+++ b/explain/calls.go
@@ -11,35 +11,36 @@
 	"time"
 )
 
-// callsEvent is the line in which an instance counts its calls to the store.
-const callsEvent = "store calls"
+// storeCallsEvent is the event with which an instance logs counts of its calls to the store.
+const storeCallsEvent = "store calls"
 
-// callsPeriod is by what time calls are grouped; instances log them as often.
-const callsPeriod = 10 * time.Second
+// storeCallsInterval is the interval by which calls are grouped. It equals the interval at
+// which instances log them.
+const storeCallsInterval = 10 * time.Second
 
-// mostCallers is how many instances are named.
-const mostCallers = 10
+// maxListedInstances is how many instances WriteText lists.
+const maxListedInstances = 10
 
-// Calls is what the instances have asked the platform's store.
-type Calls struct {
-	// ByCall counts by call, topic and outcome, with slashes between.
+// StoreCalls counts the calls of the instances to the platform's store.
+type StoreCalls struct {
+	// ByCall counts by call, topic and outcome, joined with slashes.
 	ByCall     map[string]int
 	ByInstance map[string]int
-	When       map[time.Time]int
+	ByTime     map[time.Time]int
 }
 
-// CountCalls adds up what the instances logged of their calls.
-func CountCalls(lines []Line) Calls {
-	c := Calls{ByCall: map[string]int{}, ByInstance: map[string]int{}, When: map[time.Time]int{}}
+// CountStoreCalls sums the counts that the instances logged.
+func CountStoreCalls(lines []Line) StoreCalls {
+	c := StoreCalls{ByCall: map[string]int{}, ByInstance: map[string]int{}, ByTime: map[time.Time]int{}}
 	for _, l := range lines {
-		if l.Event == callsEvent {
+		if l.Event == storeCallsEvent {
 			c.add(l)
 		}
 	}
 	return c
 }
 
-func (c Calls) add(l Line) {
+func (c StoreCalls) add(l Line) {
 	for _, f := range l.Fields {
 		n, err := strconv.Atoi(f.Value)
 		if err != nil || !strings.Contains(f.Name, "/") {
@@ -47,21 +48,21 @@
 		}
 		c.ByCall[f.Name] += n
 		c.ByInstance[l.Instance] += n
-		c.When[l.At.Truncate(callsPeriod)] += n
+		c.ByTime[l.At.Truncate(storeCallsInterval)] += n
 	}
 }
 
-// WriteText writes a table of the calls, the most frequent first, when they were logged, and
-// the instances that made the most.
-func (c Calls) WriteText(w io.Writer) error {
+// WriteText writes the calls sorted by descending count, the number of calls by time, and the
+// instances that made the most calls.
+func (c StoreCalls) WriteText(w io.Writer) error {
 	var b strings.Builder
-	for _, name := range mostFirst(c.ByCall) {
+	for _, name := range namesByCount(c.ByCall) {
 		fmt.Fprintf(&b, "%7d  %s\n", c.ByCall[name], name)
 	}
-	fmt.Fprintf(&b, "when: %s\n", timeline(c.When))
-	callers := mostFirst(c.ByInstance)
-	fmt.Fprintf(&b, "%d instances; most by:", len(callers))
-	for _, name := range callers[:min(mostCallers, len(callers))] {
+	fmt.Fprintf(&b, "when: %s\n", formatTimeline(c.ByTime))
+	instances := namesByCount(c.ByInstance)
+	fmt.Fprintf(&b, "%d instances; most by:", len(instances))
+	for _, name := range instances[:min(maxListedInstances, len(instances))] {
 		fmt.Fprintf(&b, " %s %d", name, c.ByInstance[name])
 	}
 	b.WriteByte('\n')
@@ -69,7 +70,7 @@
 	return err
 }
 
-func mostFirst(counts map[string]int) []string {
+func namesByCount(counts map[string]int) []string {
 	return slices.SortedFunc(maps.Keys(counts), func(a, b string) int {
 		return cmp.Or(counts[b]-counts[a], cmp.Compare(a, b))
 	})
--- a/explain/doc.go
+++ b/explain/doc.go
@@ -1,4 +1,4 @@
-// Package explain reads the instances' logs and tells one request's way through them:
-// its own lines in order of time, and what the instance that carried it had lost,
-// regained or changed shortly before.
+// Package explain analyses the logs of the instances. A Trace holds the log lines of one
+// request in chronological order, and the state changes of the instances that handled it
+// shortly before. Audit, FailureReport and StoreCalls are summaries over all requests.
 package explain
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -6,92 +6,96 @@
 	"time"
 )
 
-// before is how long before a request what its instance had lost or changed may bear
-// on it.
-const before = 15 * time.Second
+// stateWindow is how long before a request's last log line a state change of its instance
+// still counts as relevant to it.
+const stateWindow = 15 * time.Second
 
-// beliefs are the events that change what an instance goes by.
-var beliefs = []string{
+// stateEvents are the events that log a change of the state on which an instance bases its
+// decisions about requests.
+var stateEvents = []string{
 	"start", "stopping", "dependency lost", "dependency regained", "configuration", "configuration unreadable", "quota",
 	"leader", "lease", "term", "note", "charge", "limit named", "limit share", "fetch", "absent", "backend server leaving", "backend server expired", "backend server gone", "history gone", "engine state",
 }
 
-// Story is one request's way.
-type Story struct {
+// Trace holds the log lines about one request.
+type Trace struct {
 	Request []Line
-	// Beliefs are what the instances that carried it had learned shortly before.
-	Beliefs []Line
+	// StateChanges are the state changes that the instances that handled the request
+	// logged in the stateWindow before its last line.
+	StateChanges []Line
 }
 
-// Find picks the lines that tell one request's way.
-func Find(lines []Line, id string) Story {
-	var s Story
+// NewTrace selects the lines about the request with the given ID. Without a line that names
+// the request, the trace is empty.
+func NewTrace(lines []Line, id string) Trace {
+	var t Trace
 	instances := map[string]bool{}
 	for _, l := range lines {
 		if l.Request == id {
-			s.Request = append(s.Request, l)
+			t.Request = append(t.Request, l)
 			instances[l.Instance] = true
 		}
 	}
-	if len(s.Request) == 0 {
-		return s
+	if len(t.Request) == 0 {
+		return t
 	}
 	byTime := func(a, b Line) int { return a.At.Compare(b.At) }
-	slices.SortStableFunc(s.Request, byTime)
-	last := s.Request[len(s.Request)-1].At
+	slices.SortStableFunc(t.Request, byTime)
+	last := t.Request[len(t.Request)-1].At
 	for _, l := range lines {
-		if instances[l.Instance] && slices.Contains(beliefs, l.Event) && !l.At.After(last) && last.Sub(l.At) <= before {
-			s.Beliefs = append(s.Beliefs, l)
+		if instances[l.Instance] && slices.Contains(stateEvents, l.Event) && !l.At.After(last) && last.Sub(l.At) <= stateWindow {
+			t.StateChanges = append(t.StateChanges, l)
 		}
 	}
-	slices.SortStableFunc(s.Beliefs, byTime)
-	return s
+	slices.SortStableFunc(t.StateChanges, byTime)
+	return t
 }
 
-// Ending returns the line with which the request ended; false if none was kept.
-func (s Story) Ending() (Line, bool) {
-	i := slices.IndexFunc(s.Request, func(l Line) bool {
+// FinalLine returns the line that logs the end of the request, or false if there is none.
+func (t Trace) FinalLine() (Line, bool) {
+	i := slices.IndexFunc(t.Request, func(l Line) bool {
 		return l.Event == "answered" || l.Event == "refused" || l.Event == "broken off"
 	})
 	if i < 0 {
 		return Line{}, false
 	}
-	return s.Request[i], true
+	return t.Request[i], true
 }
 
-// Cause says in one sentence why the request ended as it did.
-func (s Story) Cause() string {
-	end, ok := s.Ending()
+// Cause returns one sentence on why the request ended as it did.
+func (t Trace) Cause() string {
+	final, ok := t.FinalLine()
 	if !ok {
-		return "its ending was not logged: was it left out (event=\"log lines left out\"), or did the instance end?"
+		return "its end was not logged: the line was dropped (event=\"log lines left out\"), or the instance stopped before"
 	}
-	code := cmp.Or(end.Get("code"), "-")
-	return end.Event + ", status " + end.Get("status") + ", code " + code + ", " + advice(end)
+	code := cmp.Or(final.Get("code"), "-")
+	return final.Event + ", status " + final.Get("status") + ", code " + code + ", " + hint(final)
 }
 
-// advice names what the code means for whoever is on call.
-func advice(end Line) string {
-	switch end.Get("code") {
+// hint returns what the refusal code of a final line means, and which log lines to look at
+// next. For a code that it does not know, it returns the cause that the line gives.
+func hint(final Line) string {
+	switch final.Get("code") {
 	case "":
-		return "the backend server's own answer was passed on"
+		return "the backend server's own answer was forwarded"
 	case "RateExceeded":
-		return "the organisation was over its quota, or no lender answered: look for 'dependency lost' with a peer, and at the quota lines"
+		return "the organisation exceeded its quota, or the lender did not answer: look for 'dependency lost' with a peer, and at the quota lines"
 	case "Configuration", "NoConfiguration":
-		return "this instance had no fresh configuration: look for 'dependency lost' with a topic, and at the age"
+		return "the instance had no up-to-date configuration: look for 'dependency lost' with a topic, and at the age"
 	case "NoBackendServer":
-		return "no backend server held the model or was left to try: look at 'need', 'order' and 'backend server gone'"
+		return "no backend server had the model loaded, or all had been tried: look at 'need', 'order' and 'backend server gone'"
 	case "Overloaded":
-		return "the backend servers had no room in its time: look at foretold, candidates and 'limit'"
+		return "no backend server had capacity within the request's time-out: look at foretold, candidates and 'limit'"
 	case "BackendServer", "AnswerCut":
-		return "the backend server failed after it had the request: look at the server of the last 'route' line"
+		return "the backend server failed after it had received the request: look at the server of the last 'route' line"
 	case "Timeout":
-		return "its time ran out at the server of the last 'route' line"
+		return "the request timed out at the server of the last 'route' line"
 	case "CallerLeft":
 		return "the caller closed its connection"
 	case "KeyUnknown", "KeyMissing":
-		return "its key is in no contract of the version"
+		return "no contract of the configuration version contains the key"
 	case "Stopping":
-		return "this instance was about to end"
+		return "the instance was shutting down"
 	}
-	return end.Get("cause")
+	return final.Get("cause")
 }
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -15,20 +15,20 @@
 ts=2026-01-01T10:00:03Z instance=n1 event=answered request=r2 status=200 code= cause=null
 `
 
-// An engineer has a request's id and the logs of all instances: its lines come in order,
-// with what its own instance had lost before, and nothing of the others.
-func TestFind(t *testing.T) {
+// Guards against a trace that is out of chronological order, or that contains state changes of
+// instances that did not handle the request.
+func TestNewTrace(t *testing.T) {
 	is := is.New(t)
 	lines, err := Read(strings.NewReader(strings.Replace(logs, "not a line of ours = = \"\n", "", 1)))
 	is.NoErr(err)
-	s := Find(lines, "r1")
+	s := NewTrace(lines, "r1")
 	is.Equal(len(s.Request), 2)
 	is.Equal(s.Request[0].Event, "route")
-	is.Equal(len(s.Beliefs), 1)
-	is.Equal(s.Beliefs[0].Event, "dependency lost")
+	is.Equal(len(s.StateChanges), 1)
+	is.Equal(s.StateChanges[0].Event, "dependency lost")
 	is.True(strings.Contains(s.Cause(), "RateExceeded"))
 	is.True(strings.Contains(s.Request[0].String(), "server=s1"))
-	is.True(strings.Contains(Find(lines, "r2").Cause(), "own answer"))
-	is.Equal(len(Find(lines, "none").Request), 0)
-	is.True(strings.Contains(Find(lines, "none").Cause(), "not logged"))
+	is.True(strings.Contains(NewTrace(lines, "r2").Cause(), "own answer"))
+	is.Equal(len(NewTrace(lines, "none").Request), 0)
+	is.True(strings.Contains(NewTrace(lines, "none").Cause(), "not logged"))
 }
--- a/explain/line.go
+++ b/explain/line.go
@@ -9,23 +9,23 @@
 	"github.com/rotisserie/eris"
 )
 
-// Line is one log line.
+// Line is one logfmt log line.
 type Line struct {
 	At       time.Time
 	Instance string
 	Event    string
 	Request  string
-	// Fields are all others, in the order in which they stand.
+	// Fields are the other fields, in the order of the line.
 	Fields []Field
 }
 
-// Field is one name and its value.
+// Field is one key and its value.
 type Field struct {
 	Name  string
 	Value string
 }
 
-// Get returns a field's value; empty if it has none.
+// Get returns the value of a field, or the empty string if the line lacks it.
 func (l Line) Get(name string) string {
 	for _, f := range l.Fields {
 		if f.Name == name {
@@ -35,7 +35,7 @@
 	return ""
 }
 
-// String shows the line for people.
+// String formats the line for display, without fields that are empty or null.
 func (l Line) String() string {
 	var b strings.Builder
 	b.WriteString(l.At.Format("15:04:05.000000") + "  " + l.Instance + "  " + l.Event)
@@ -47,7 +47,7 @@
 	return b.String()
 }
 
-// Read reads a log; what is no line of it is passed over.
+// Read parses a log. Records without an event are skipped.
 func Read(r io.Reader) ([]Line, error) {
 	d := logfmt.NewDecoder(r)
 	var out []Line
@@ -66,7 +66,7 @@
 func (l *Line) set(name, value string) {
 	switch name {
 	case "ts":
-		// a line without a readable time still tells its event
+		// A line with an invalid timestamp is kept with the zero time, as its event is still useful.
 		l.At, _ = time.Parse(time.RFC3339Nano, value)
 	case "instance":
 		l.Instance = value
--- a/explain/losses.go
+++ b/explain/losses.go
@@ -12,120 +12,125 @@
 	"time"
 )
 
-// Losses says of the requests that were not answered which cause they ended by, when, and
-// whose they were; and for each organisation what it got and was refused against its rate.
-type Losses struct {
-	Causes        []Cause
-	Organisations []Use
+// FailureReport groups the requests that were not answered by cause, and compares what each
+// organisation was granted and refused with its rate.
+type FailureReport struct {
+	Groups []FailureGroup
+	Usage  []OrganisationUsage
 }
 
-// Cause is one way in which requests ended without an answer.
-type Cause struct {
-	// Ending is the event and the code, and Why its cause without names and numbers.
-	Ending string
-	Why    string
-	Count  int
-	// When counts them by period, Models and Organisations by whose they were.
-	When          map[time.Time]int
-	Models        map[string]int
-	Organisations map[string]int
+// FailureGroup counts the requests that failed with the same result and cause.
+type FailureGroup struct {
+	// Result is the final event and its code.
+	Result string
+	// Cause is the logged cause, with names and numbers replaced by "#".
+	Cause string
+	Count int
+	// ByTime counts the requests by failureInterval.
+	ByTime         map[time.Time]int
+	ByModel        map[string]int
+	ByOrganisation map[string]int
 }
 
-// Use is what an organisation got in tokens, by period.
-type Use struct {
+// OrganisationUsage is how many tokens an organisation was granted and refused, by
+// failureInterval.
+type OrganisationUsage struct {
 	Organisation string
-	// Rate is its contract's, in tokens a second, as the last line before the end said.
-	Rate     float64
-	Admitted map[time.Time]float64
-	Refused  map[time.Time]float64
+	// Rate is the contract's rate in tokens per second, from the last quota line in the logs.
+	Rate           float64
+	AdmittedTokens map[time.Time]float64
+	RefusedTokens  map[time.Time]float64
 }
 
-// lossPeriod is the time by which losses are counted: a change of the duty or a load takes
-// some of them.
-const lossPeriod = 2 * time.Second
+// failureInterval is the interval by which failures are counted. A change of owner or a model
+// load takes several intervals, so the counts show how long its effect lasted.
+const failureInterval = 2 * time.Second
 
-// Lose groups lines of requests that were not answered, the most frequent cause first.
-// Requests that the caller left, or that no configuration allows, are no losses.
-func Lose(lines []Line) Losses {
-	causes := map[string]*Cause{}
-	uses := map[string]*Use{}
+// NewFailureReport groups the requests that were not answered, sorted by descending count.
+// Requests whose caller closed the connection, or that no configuration permits, are not
+// counted as failures.
+func NewFailureReport(lines []Line) FailureReport {
+	groups := map[string]*FailureGroup{}
+	usage := map[string]*OrganisationUsage{}
 	for _, l := range lines {
 		switch l.Event {
 		case "quota":
-			use(uses, l.Get("organisation")).Rate = number(l, "rate")
+			usageOf(usage, l.Get("organisation")).Rate = floatField(l, "rate")
 		case "answered", "refused", "broken off":
-			count(uses, l)
-			lose(causes, l)
+			addUsage(usage, l)
+			addFailure(groups, l)
 		}
 	}
-	out := Losses{}
-	for _, c := range causes {
-		out.Causes = append(out.Causes, *c)
+	out := FailureReport{}
+	for _, g := range groups {
+		out.Groups = append(out.Groups, *g)
 	}
-	slices.SortFunc(out.Causes, func(a, b Cause) int {
-		return cmp.Or(b.Count-a.Count, cmp.Compare(a.Ending+a.Why, b.Ending+b.Why))
+	slices.SortFunc(out.Groups, func(a, b FailureGroup) int {
+		return cmp.Or(b.Count-a.Count, cmp.Compare(a.Result+a.Cause, b.Result+b.Cause))
 	})
-	for _, name := range slices.Sorted(maps.Keys(uses)) {
-		out.Organisations = append(out.Organisations, *uses[name])
+	for _, name := range slices.Sorted(maps.Keys(usage)) {
+		out.Usage = append(out.Usage, *usage[name])
 	}
 	return out
 }
 
-func lose(causes map[string]*Cause, l Line) {
+func addFailure(groups map[string]*FailureGroup, l Line) {
 	code := l.Get("code")
 	if l.Event == "answered" || slices.Contains([]string{"CallerLeft", "NotFound", "KeyUnknown", "KeyMissing"}, code) {
 		return
 	}
-	ending, why := l.Event+" "+cmp.Or(code, "-"), reason(l.Get("cause"))
-	c := causes[ending+why]
-	if c == nil {
-		c = &Cause{Ending: ending, Why: why, When: map[time.Time]int{}, Models: map[string]int{}, Organisations: map[string]int{}}
-		causes[ending+why] = c
+	result, cause := l.Event+" "+cmp.Or(code, "-"), normalizeCause(l.Get("cause"))
+	g := groups[result+cause]
+	if g == nil {
+		g = &FailureGroup{Result: result, Cause: cause, ByTime: map[time.Time]int{}, ByModel: map[string]int{}, ByOrganisation: map[string]int{}}
+		groups[result+cause] = g
 	}
-	c.Count++
-	c.When[l.At.Truncate(lossPeriod)]++
-	c.Models[cmp.Or(l.Get("model"), "-")]++
-	c.Organisations[cmp.Or(l.Get("organisation"), "-")]++
+	g.Count++
+	g.ByTime[l.At.Truncate(failureInterval)]++
+	g.ByModel[cmp.Or(l.Get("model"), "-")]++
+	g.ByOrganisation[cmp.Or(l.Get("organisation"), "-")]++
 }
 
-// varying are the words of a cause that name something, or count it.
-var varying = regexp.MustCompile(`\S*\d\S*`)
+// variableWord matches the words of a cause that contain a digit: names, addresses and counts,
+// which would split one cause into many groups.
+var variableWord = regexp.MustCompile(`\S*\d\S*`)
 
-// mostReason is how many bytes of a cause are kept.
-const mostReason = 90
+// maxCauseBytes is how many bytes of a cause are used.
+const maxCauseBytes = 90
 
-func reason(cause string) string {
-	out := varying.ReplaceAllString(cause, "#")
-	return out[:min(len(out), mostReason)]
+func normalizeCause(cause string) string {
+	out := variableWord.ReplaceAllString(cause, "#")
+	return out[:min(len(out), maxCauseBytes)]
 }
 
-func use(uses map[string]*Use, organisation string) *Use {
-	u := uses[organisation]
+func usageOf(usage map[string]*OrganisationUsage, organisation string) *OrganisationUsage {
+	u := usage[organisation]
 	if u == nil {
-		u = &Use{Organisation: organisation, Admitted: map[time.Time]float64{}, Refused: map[time.Time]float64{}}
-		uses[organisation] = u
+		u = &OrganisationUsage{Organisation: organisation, AdmittedTokens: map[time.Time]float64{}, RefusedTokens: map[time.Time]float64{}}
+		usage[organisation] = u
 	}
 	return u
 }
 
-// count adds a request's tokens to what its organisation got, or was refused over its rate,
-// when it began.
-func count(uses map[string]*Use, l Line) {
+// addUsage adds the tokens of a request to those that its organisation was granted, or was
+// refused because of its rate, in the interval in which the request began. Requests that were
+// never sent to a backend server count as neither.
+func addUsage(usage map[string]*OrganisationUsage, l Line) {
 	name := l.Get("organisation")
 	if name == "" {
 		return
 	}
 	total, _ := time.ParseDuration(l.Get("total"))
-	at := l.At.Add(-total).Truncate(lossPeriod)
+	at := l.At.Add(-total).Truncate(failureInterval)
 	switch {
 	case l.Get("code") == "RateExceeded":
-		use(uses, name).Refused[at] += number(l, "tokens")
+		usageOf(usage, name).RefusedTokens[at] += floatField(l, "tokens")
 	case l.Get("sends") != "0":
-		use(uses, name).Admitted[at] += number(l, "tokens")
+		usageOf(usage, name).AdmittedTokens[at] += floatField(l, "tokens")
 	}
 }
 
-func number(l Line, field string) float64 {
+func floatField(l Line, field string) float64 {
 	n, err := strconv.ParseFloat(l.Get(field), 64)
 	if err != nil {
 		return 0
@@ -133,22 +138,22 @@
 	return n
 }
 
-// WriteText writes a table of the causes, and one of the organisations of which requests
-// were refused: per period what was admitted and refused, in percent of the rate.
-func (l Losses) WriteText(w io.Writer) error {
+// WriteText writes the groups, and the usage of each organisation that had requests refused
+// because of its rate: the tokens admitted and refused per interval, in percent of the rate.
+func (l FailureReport) WriteText(w io.Writer) error {
 	var b strings.Builder
-	for _, c := range l.Causes {
-		fmt.Fprintf(&b, "%6d  %s: %s\n        %s\n        models %s; organisations %s\n", c.Count, c.Ending, c.Why, timeline(c.When),
-			foremost(c.Models), foremost(c.Organisations))
+	for _, g := range l.Groups {
+		fmt.Fprintf(&b, "%6d  %s: %s\n        %s\n        models %s; organisations %s\n", g.Count, g.Result, g.Cause, formatTimeline(g.ByTime),
+			formatTop(g.ByModel), formatTop(g.ByOrganisation))
 	}
-	for _, u := range l.Organisations {
-		if len(u.Refused) == 0 || u.Rate <= 0 {
+	for _, u := range l.Usage {
+		if len(u.RefusedTokens) == 0 || u.Rate <= 0 {
 			continue
 		}
-		fmt.Fprintf(&b, "organisation %s, rate %.0f: admitted/refused, in percent of it\n       ", u.Organisation, u.Rate)
-		for _, at := range slices.SortedFunc(maps.Keys(u.Refused), time.Time.Compare) {
-			percent := 100 / (u.Rate * lossPeriod.Seconds())
-			fmt.Fprintf(&b, " %s %.0f/%.0f", at.Format("15:04:05"), u.Admitted[at]*percent, u.Refused[at]*percent)
+		fmt.Fprintf(&b, "organisation %s, rate %.0f: admitted/refused, in percent of the rate\n       ", u.Organisation, u.Rate)
+		for _, at := range slices.SortedFunc(maps.Keys(u.RefusedTokens), time.Time.Compare) {
+			percent := 100 / (u.Rate * failureInterval.Seconds())
+			fmt.Fprintf(&b, " %s %.0f/%.0f", at.Format("15:04:05"), u.AdmittedTokens[at]*percent, u.RefusedTokens[at]*percent)
 		}
 		b.WriteByte('\n')
 	}
@@ -156,7 +161,7 @@
 	return err
 }
 
-func timeline(when map[time.Time]int) string {
+func formatTimeline(when map[time.Time]int) string {
 	var out []string
 	for _, at := range slices.SortedFunc(maps.Keys(when), time.Time.Compare) {
 		out = append(out, at.Format("15:04:05")+" "+strconv.Itoa(when[at]))
@@ -164,15 +169,15 @@
 	return strings.Join(out, ", ")
 }
 
-// mostForemost is how many models or organisations of a cause are named.
-const mostForemost = 3
+// maxTopNames is how many models or organisations of a group WriteText lists.
+const maxTopNames = 3
 
-func foremost(counts map[string]int) string {
+func formatTop(counts map[string]int) string {
 	names := slices.SortedFunc(maps.Keys(counts), func(a, b string) int {
 		return cmp.Or(counts[b]-counts[a], cmp.Compare(a, b))
 	})
 	var out []string
-	for _, n := range names[:min(mostForemost, len(names))] {
+	for _, n := range names[:min(maxTopNames, len(names))] {
 		out = append(out, n+" "+strconv.Itoa(counts[n]))
 	}
 	return strings.Join(out, ", ")
--- a/explain/losses_test.go
+++ b/explain/losses_test.go
@@ -16,17 +16,18 @@
 ts=2026-01-01T10:00:07Z instance=n2 event=refused request=r6 organisation=o2 status=499 code=CallerLeft sends=1 total=1ms model=m3 tokens=800 cause="the caller left"
 `
 
-// On call, an engineer asks where a bad hour was lost: which cause cost most, when and whose
-// requests, and whether an organisation was refused below its rate.
-func TestLose(t *testing.T) {
+// Guards against a report that hides the most frequent cause: causes that differ in names only
+// form one group, and requests whose caller left count as no failure. The usage table shows
+// whether an organisation was refused below its rate.
+func TestNewFailureReport(t *testing.T) {
 	is := is.New(t)
 	lines, err := Read(strings.NewReader(lossLogs))
 	is.NoErr(err)
-	l := Lose(lines)
-	is.Equal(len(l.Causes), 3)
-	is.Equal(l.Causes[0].Ending, "refused NoBackendServer")
-	is.Equal(l.Causes[0].Count, 2)
-	is.Equal(l.Causes[1].Why, "# ran out of time")
+	l := NewFailureReport(lines)
+	is.Equal(len(l.Groups), 3)
+	is.Equal(l.Groups[0].Result, "refused NoBackendServer")
+	is.Equal(l.Groups[0].Count, 2)
+	is.Equal(l.Groups[1].Cause, "# ran out of time")
 	var text strings.Builder
 	is.NoErr(l.WriteText(&text))
 	is.True(strings.Contains(text.String(), "10:00:04 2"))
