--- a/settings/doc.go
+++ b/settings/doc.go
@@ -1,5 +1,5 @@
-// Package settings reads and checks the settings file of one instance. It is
-// INI with names in Pascal case; unknown, doubled or unreadable entries are
-// refused, with a stable code, the line and the accepted form, and nothing of
-// the file is used.
+// Package settings parses and validates the settings file of one instance, an INI
+// file with keys in Pascal case. Unknown, duplicate and invalid entries are
+// reported with a stable code, the line and the accepted form, and a file with
+// any such entry is rejected as a whole.
 package settings
--- a/settings/field.go
+++ b/settings/field.go
@@ -14,10 +14,9 @@
 	"galenastair/inifile"
 )
 
-// errForm says that a value is not in the accepted form.
-var errForm = eris.New("not in the accepted form")
+var errInvalidValue = eris.New("not in the accepted form")
 
-// field ties one key of the file to the setting that it gives.
+// field maps one key of the file to the setting that it sets.
 type field struct {
 	section  string
 	key      string
@@ -29,36 +28,36 @@
 type fields []field
 
 func (s *Settings) fields() fields {
-	in, pl, ca, en, ws, st := &s.Instance, &s.Platform, &s.Callers, &s.Engines, &s.WeightStore, &s.Stop
+	instance, platform, callers, engines, weights, stop := &s.Instance, &s.Platform, &s.Callers, &s.Engines, &s.WeightStore, &s.Stop
 	return fields{
-		name("Instance", "ID", true, &in.ID),
-		name("Instance", "Region", false, &in.Region),
-		name("Instance", "AvailabilityZone", true, &in.AvailabilityZone),
-		address("Instance", "CallerAddress", &in.CallerAddress),
-		address("Instance", "OperatorAddress", &in.OperatorAddress),
-		address("Instance", "PeerAddress", &in.PeerAddress),
-		optional(address("Instance", "PeerListenAddress", &in.PeerListenAddress)),
-		text("Instance", "History", &in.History),
-		address("Platform", "LogAddress", &pl.LogAddress),
-		address("Platform", "InstanceListAddress", &pl.InstanceListAddress),
-		address("Platform", "WeightStoreAddress", &pl.WeightStoreAddress),
-		duration("Platform", "ListPeriod", &pl.ListPeriod, 100*time.Millisecond, time.Minute),
-		duration("Platform", "Retention", &pl.Retention, time.Second, 8760*time.Hour),
-		whole("Callers", "MaxHeaderBytes", &ca.HeaderBytes, 1024, 1<<20),
-		whole("Callers", "MaxBodyBytes", &ca.BodyBytes, 1024, 1<<30),
-		duration("Callers", "ReadHeaderTimeout", &ca.ReadHeader, 100*time.Millisecond, time.Minute),
-		duration("Callers", "RequestTimeout", &ca.Request, time.Second, time.Hour),
-		duration("Callers", "PingPeriod", &ca.Ping, 100*time.Millisecond, time.Minute),
-		whole("Callers", "DefaultOutputTokens", &ca.DefaultOutput, 1, 1<<20),
-		whole("Callers", "MaxOutputTokens", &ca.MaxOutput, 1, 1<<20),
-		names("Engines", "CheckFence", &en.CheckFence),
-		duration("Engines", "ProgressTimeout", &en.Progress, 100*time.Millisecond, 10*time.Minute),
-		duration("Engines", "ReportPeriod", &en.ReportPeriod, 50*time.Millisecond, time.Minute),
-		decimal("WeightStore", "LoadsPerSecond", &ws.LoadsPerSecond, 0.01, 10000),
-		whole("WeightStore", "LoadsInFlight", &ws.LoadsInFlight, 1, 10000),
-		whole("WeightStore", "AdapterLoadsInFlight", &ws.AdapterLoadsInFlight, 1, 10000),
-		duration("Stop", "Notice", &st.Notice, 0, time.Minute),
-		duration("Stop", "Timeout", &st.Timeout, time.Second, time.Hour),
+		name("Instance", "ID", true, &instance.ID),
+		name("Instance", "Region", false, &instance.Region),
+		name("Instance", "AvailabilityZone", true, &instance.AvailabilityZone),
+		address("Instance", "CallerAddress", &instance.CallerAddress),
+		address("Instance", "OperatorAddress", &instance.OperatorAddress),
+		address("Instance", "PeerAddress", &instance.PeerAddress),
+		optional(address("Instance", "PeerListenAddress", &instance.PeerListenAddress)),
+		filePath("Instance", "History", &instance.History),
+		address("Platform", "LogAddress", &platform.LogAddress),
+		address("Platform", "InstanceListAddress", &platform.InstanceListAddress),
+		address("Platform", "WeightStoreAddress", &platform.WeightStoreAddress),
+		duration("Platform", "ListPeriod", &platform.ListPeriod, 100*time.Millisecond, time.Minute),
+		duration("Platform", "Retention", &platform.Retention, time.Second, 8760*time.Hour),
+		integer("Callers", "MaxHeaderBytes", &callers.HeaderBytes, 1024, 1<<20),
+		integer("Callers", "MaxBodyBytes", &callers.BodyBytes, 1024, 1<<30),
+		duration("Callers", "ReadHeaderTimeout", &callers.ReadHeader, 100*time.Millisecond, time.Minute),
+		duration("Callers", "RequestTimeout", &callers.Request, time.Second, time.Hour),
+		duration("Callers", "PingPeriod", &callers.Ping, 100*time.Millisecond, time.Minute),
+		integer("Callers", "DefaultOutputTokens", &callers.DefaultOutput, 1, 1<<20),
+		integer("Callers", "MaxOutputTokens", &callers.MaxOutput, 1, 1<<20),
+		nameList("Engines", "CheckFence", &engines.CheckFence),
+		duration("Engines", "ProgressTimeout", &engines.Progress, 100*time.Millisecond, 10*time.Minute),
+		duration("Engines", "ReportPeriod", &engines.ReportPeriod, 50*time.Millisecond, time.Minute),
+		decimal("WeightStore", "LoadsPerSecond", &weights.LoadsPerSecond, 0.01, 10000),
+		integer("WeightStore", "LoadsInFlight", &weights.LoadsInFlight, 1, 10000),
+		integer("WeightStore", "AdapterLoadsInFlight", &weights.AdapterLoadsInFlight, 1, 10000),
+		duration("Stop", "Notice", &stop.Notice, 0, time.Minute),
+		duration("Stop", "Timeout", &stop.Timeout, time.Second, time.Hour),
 	}
 }
 
@@ -77,7 +76,7 @@
 	return schema
 }
 
-func (fs fields) set(file inifile.File) error {
+func (fs fields) assign(file inifile.File) error {
 	var problems inifile.Problems
 	for _, f := range fs {
 		v, ok := file.Value(f.section, f.key)
@@ -96,47 +95,48 @@
 	return problems.Err()
 }
 
-// maxName bounds a name, which stands in logs, records and metrics.
-const maxName = 100
+// maxNameLength is the maximum length in bytes of a name. Names are part of log lines, records
+// and metrics, which a longer name would bloat.
+const maxNameLength = 100
 
 func validName(s string) bool {
-	return s != "" && len(s) <= maxName && !strings.ContainsFunc(s, notNameRune)
+	return s != "" && len(s) <= maxNameLength && !strings.ContainsFunc(s, notNameRune)
 }
 
 func notNameRune(r rune) bool {
 	return r > unicode.MaxASCII || !unicode.IsLetter(r) && !unicode.IsDigit(r) && !strings.ContainsRune("-_.", r)
 }
 
-const acceptedName = "1 to 100 of a-z A-Z 0-9 - _ ."
+const acceptedNameForm = "1 to 100 of a-z A-Z 0-9 - _ ."
 
-func name[T ~string](section, key string, required bool, to *T) field {
-	return field{section, key, required, acceptedName, func(s string) error {
+func name[T ~string](section, key string, required bool, dst *T) field {
+	return field{section, key, required, acceptedNameForm, func(s string) error {
 		if !validName(s) {
-			return errForm
+			return errInvalidValue
 		}
-		*to = T(s)
+		*dst = T(s)
 		return nil
 	}}
 }
 
-func names(section, key string, to *[]galenastair.BackendServerID) field {
-	return field{section, key, false, "names with commas between them, each " + acceptedName, func(s string) error {
+func nameList(section, key string, dst *[]galenastair.BackendServerID) field {
+	return field{section, key, false, "names separated by commas, each " + acceptedNameForm, func(s string) error {
 		var list []galenastair.BackendServerID
 		for part := range strings.SplitSeq(s, ",") {
 			part = strings.TrimSpace(part)
 			if !validName(part) {
-				return errForm
+				return errInvalidValue
 			}
 			list = append(list, galenastair.BackendServerID(part))
 		}
-		*to = list
+		*dst = list
 		return nil
 	}}
 }
 
-func text(section, key string, to *string) field {
-	return field{section, key, false, "a file's path", func(s string) error {
-		*to = s
+func filePath(section, key string, dst *string) field {
+	return field{section, key, false, "a file path", func(s string) error {
+		*dst = s
 		return nil
 	}}
 }
@@ -146,52 +146,52 @@
 	return f
 }
 
-func address(section, key string, to *string) field {
-	return field{section, key, true, "an IP number, a colon and a port, such as 127.0.0.1:8080", func(s string) error {
+func address(section, key string, dst *string) field {
+	return field{section, key, true, "an IP address and a port, such as 127.0.0.1:8080", func(s string) error {
 		host, port, err := net.SplitHostPort(s)
 		if err != nil || net.ParseIP(host) == nil {
-			return errForm
+			return errInvalidValue
 		}
 		if _, err := strconv.ParseUint(port, 10, 16); err != nil {
-			return errForm
+			return errInvalidValue
 		}
-		*to = s
+		*dst = s
 		return nil
 	}}
 }
 
-func duration(section, key string, to *time.Duration, least, most time.Duration) field {
-	accepted := fmt.Sprintf("a time from %s to %s, written like 500ms, 10s or 2m", least, most)
+func duration(section, key string, dst *time.Duration, minimum, maximum time.Duration) field {
+	accepted := fmt.Sprintf("a duration from %s to %s, such as 500ms, 10s or 2m", minimum, maximum)
 	return field{section, key, false, accepted, func(s string) error {
 		d, err := time.ParseDuration(s)
-		if err != nil || d < least || d > most {
-			return errForm
+		if err != nil || d < minimum || d > maximum {
+			return errInvalidValue
 		}
-		*to = d
+		*dst = d
 		return nil
 	}}
 }
 
-func whole[T ~int | ~int64](section, key string, to *T, least, most int64) field {
-	accepted := fmt.Sprintf("a whole number from %d to %d, in plain digits", least, most)
+func integer[T ~int | ~int64](section, key string, dst *T, minimum, maximum int64) field {
+	accepted := fmt.Sprintf("an integer from %d to %d, in plain digits", minimum, maximum)
 	return field{section, key, false, accepted, func(s string) error {
 		n, err := strconv.ParseInt(s, 10, 64)
-		if err != nil || strconv.FormatInt(n, 10) != s || n < least || n > most {
-			return errForm
+		if err != nil || strconv.FormatInt(n, 10) != s || n < minimum || n > maximum {
+			return errInvalidValue
 		}
-		*to = T(n)
+		*dst = T(n)
 		return nil
 	}}
 }
 
-func decimal(section, key string, to *float64, least, most float64) field {
-	accepted := fmt.Sprintf("a number from %g to %g, in plain digits with a point", least, most)
+func decimal(section, key string, dst *float64, minimum, maximum float64) field {
+	accepted := fmt.Sprintf("a number from %g to %g, in plain digits with a decimal point", minimum, maximum)
 	return field{section, key, false, accepted, func(s string) error {
 		n, err := strconv.ParseFloat(s, 64)
-		if err != nil || strings.ContainsAny(s, "eExXpP_+ ") || n < least || n > most {
-			return errForm
+		if err != nil || strings.ContainsAny(s, "eExXpP_+ ") || n < minimum || n > maximum {
+			return errInvalidValue
 		}
-		*to = n
+		*dst = n
 		return nil
 	}}
 }
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -10,54 +10,58 @@
 	"galenastair/inifile"
 )
 
-// Gateway is the checked settings of an instance that runs on the users' platform.
+// Gateway holds the validated settings of an instance that runs on the users' platform.
 type Gateway struct {
 	ID               galenastair.InstanceID
 	Region           galenastair.Region
 	AvailabilityZone galenastair.AvailabilityZone
-	// CallerAddress, ReadyAddress, PeerAddress and MetricsAddress are where it listens.
+	// CallerAddress, ReadyAddress, PeerAddress and MetricsAddress are the addresses at
+	// which the instance listens.
 	CallerAddress  string
 	ReadyAddress   string
 	PeerAddress    string
 	MetricsAddress string
 	StoreAddress   string
-	// Memory is the process's limit.
+	// MemoryLimit is the memory limit of the process.
 	Memory galenastair.Bytes
-	// LinkMbps is what the instance's own link carries, in Mbit a second; 0 if not known.
+	// LinkMbps is the bandwidth of the instance's network link in Mbit/s; 0 if unknown.
 	LinkMbps float64
 	Bounds   Bounds
 }
 
-// Bounds are the figures that the users' platform holds the system to.
+// Bounds are the limits that the users' platform requires the system to keep.
 type Bounds struct {
-	// KeyLife is how long after its withdrawal a key may still be admitted.
+	// KeyLife is how long a key may still be accepted after it was withdrawn.
 	KeyLife time.Duration
 	// StopTimeout is the time from the signal to stop to the end of the process.
 	StopTimeout time.Duration
-	// BetweenHolders is the least time between orders of two planners.
+	// BetweenHolders is the minimum time between the orders of two successive planners.
 	BetweenHolders time.Duration
-	// FencesChecked says that engines refuse an order with an old fence.
+	// FencesChecked reports whether engines reject an order with an old fencing token.
 	FencesChecked bool
-	// ApplyTimeout is how long after its publication a configuration must be in force.
+	// ApplyTimeout is the time after its publication within which a configuration must be
+	// in force.
 	ApplyTimeout time.Duration
-	// LeaveTimeout is how long after its leaving a backend server may get new work.
+	// LeaveTimeout is how long a backend server may still get new requests after it has
+	// announced that it is leaving.
 	LeaveTimeout time.Duration
-	// RetryRatio and RetrySlack bound what is sent once more, over all instances.
+	// RetryRatio and RetrySlack bound the retries of all instances together.
 	RetryRatio float64
 	RetrySlack float64
-	// QuotaWindow, QuotaOver and QuotaSlack bound what an organisation may get beyond
-	// its rate and burst: in any window, a share of them and a number of tokens.
+	// QuotaWindow, QuotaOver and QuotaSlack bound how many tokens an organisation may be
+	// granted beyond its rate and burst: in any QuotaWindow, the fraction QuotaOver of
+	// them plus QuotaSlack tokens.
 	QuotaWindow time.Duration
 	QuotaOver   float64
 	QuotaSlack  float64
 }
 
-// megabyte is the unit of the platform's memory limits.
-const megabyte = 1_000_000
+// bytesPerMB is decimal, as the platform's memory limits are.
+const bytesPerMB = 1_000_000
 
 func (g *Gateway) fields() fields {
 	b := &g.Bounds
-	memory := whole("Limits", "MemoryMB", &g.Memory, 32, 1<<20)
+	memoryLimit := integer("Limits", "MemoryMB", &g.Memory, 32, 1<<20)
 	return fields{
 		name("Gateway", "ID", true, &g.ID),
 		name("Gateway", "Region", true, &g.Region),
@@ -67,7 +71,7 @@
 		address("Gateway", "PeerAddress", &g.PeerAddress),
 		address("Gateway", "MetricsAddress", &g.MetricsAddress),
 		address("Gateway", "StoreAddress", &g.StoreAddress),
-		required(memory),
+		required(memoryLimit),
 		decimal("Limits", "LinkMbps", &g.LinkMbps, 0, 1e6),
 		required(duration("Bounds", "KeyLife", &b.KeyLife, 500*time.Millisecond, time.Hour)),
 		required(duration("Bounds", "StopTimeout", &b.StopTimeout, time.Second, time.Hour)),
@@ -83,12 +87,12 @@
 	}
 }
 
-func boolean(section, key string, to *bool) field {
+func boolean(section, key string, dst *bool) field {
 	return field{section, key, false, "true or false", func(s string) error {
 		if s != "true" && s != "false" {
-			return errForm
+			return errInvalidValue
 		}
-		*to = s == "true"
+		*dst = s == "true"
 		return nil
 	}}
 }
@@ -98,7 +102,7 @@
 	return f
 }
 
-// LoadGateway reads and checks a settings file of the users' platform.
+// LoadGateway reads and validates the settings file of a gateway.
 func LoadGateway(path string) (Gateway, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -107,17 +111,17 @@
 	return ParseGateway(text)
 }
 
-// ParseGateway checks the text of such a file; its error lists all that is wrong.
+// ParseGateway parses and validates the text of such a file. The error lists all problems.
 func ParseGateway(text []byte) (Gateway, error) {
 	var g Gateway
 	fields := g.fields()
-	file, err := inifile.Read(text, fields.schema(), maxBytes)
+	file, err := inifile.Read(text, fields.schema(), maxFileBytes)
 	if err != nil {
 		return Gateway{}, err
 	}
-	if err := fields.set(file); err != nil {
+	if err := fields.assign(file); err != nil {
 		return Gateway{}, err
 	}
-	g.Memory *= megabyte
+	g.Memory *= bytesPerMB
 	return g, nil
 }
--- a/settings/gateway_test.go
+++ b/settings/gateway_test.go
@@ -49,8 +49,9 @@
 	is.Equal(g.LinkMbps, 1000.0)
 }
 
-// A platform that fills in nothing for a field must be told so at the start: the bound
-// would else be zero, and no key ever admitted.
+// Guards against a required key that is missing or empty and goes unnoticed, as when the platform
+// fills in nothing for a field of the template. The bound would be zero; with KeyLife at zero,
+// no key would ever be accepted.
 func TestParseGatewayRefuses(t *testing.T) {
 	for name, text := range map[string]string{
 		"missing":    strings.Replace(gatewayText, "KeyLife = 5000ms\n", "", 1),
@@ -67,7 +68,7 @@
 	}
 }
 
-// The template that the platform fills in names each key that must be there.
+// Guards against a required key that is missing in the template that the platform fills in.
 func TestTemplateNamesAllKeys(t *testing.T) {
 	is := is.New(t)
 	text, err := os.ReadFile("../deploy/gateway.ini")
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -11,10 +11,10 @@
 	"galenastair/inifile"
 )
 
-// maxBytes bounds a settings file.
-const maxBytes = 1 << 20
+// maxFileBytes is the maximum size of a settings file.
+const maxFileBytes = 1 << 20
 
-// Settings is one instance's checked settings.
+// Settings are the validated settings of one instance.
 type Settings struct {
 	Instance    Instance
 	Platform    Platform
@@ -24,59 +24,63 @@
 	Stop        Stop
 }
 
-// Instance says who an instance is and where it listens.
+// Instance is the identity of an instance and the addresses at which it listens.
 type Instance struct {
 	ID               galenastair.InstanceID
 	Region           galenastair.Region
 	AvailabilityZone galenastair.AvailabilityZone
 	CallerAddress    string
 	OperatorAddress  string
-	// PeerAddress is where the other instances reach this one.
+	// PeerAddress is the address at which the other instances reach this one.
 	PeerAddress string
-	// PeerListenAddress is where it listens for them, if that is another address.
+	// PeerListenAddress is the address at which it listens for the other instances. It
+	// defaults to PeerAddress.
 	PeerListenAddress string
-	// History is a file to which each grant and ending is written for checking; empty for none.
+	// HistoryPath is a file to which each grant and the end of each request are written,
+	// so that tests can check them. No file is written if it is empty.
 	History string
 }
 
-// Platform says where the platform's services are.
+// Platform holds the addresses of the platform's services.
 type Platform struct {
 	LogAddress          string
 	InstanceListAddress string
 	WeightStoreAddress  string
-	// ListPeriod is how often the instance list is read.
+	// ListPeriod is the interval at which the instance list is read.
 	ListPeriod time.Duration
-	// Retention is how long the log keeps records; snapshots are taken well inside it.
+	// Retention is how long the log keeps records. Snapshots are taken at shorter
+	// intervals, so that no state is lost with the records.
 	Retention time.Duration
 }
 
-// Engines says what is known of the model engines.
+// Engines holds the settings for connections to the model engines.
 type Engines struct {
-	// CheckFence names the engines that refuse an order with an old fencing number.
+	// CheckFence lists the engines that reject an order with an old fencing token.
 	CheckFence []galenastair.BackendServerID
-	// Progress is how long a stream may be quiet before its connection is taken for dead.
+	// ProgressTimeout is how long a stream may be without data before its connection is
+	// considered broken.
 	Progress time.Duration
-	// ReportPeriod is how often an engine's report is read.
+	// ReportPeriod is the interval at which the report of an engine is read.
 	ReportPeriod time.Duration
 }
 
-// WeightStore says what the weight store stands.
+// WeightStore holds the limits on loads from the weight store, which protect it from overload.
 type WeightStore struct {
 	LoadsPerSecond       float64
 	LoadsInFlight        int
 	AdapterLoadsInFlight int
 }
 
-// Stop says how an instance stops.
+// Stop holds the settings for shutting down an instance.
 type Stop struct {
-	// Notice is how long an instance that has been told to stop still takes
-	// requests, for the balancer to see that it is leaving.
+	// Notice is how long an instance still accepts requests after the signal to
+	// stop, so that the load balancer can stop sending to it first.
 	Notice time.Duration
-	// Timeout is how long requests under way may take to end.
+	// Timeout is how long requests in flight may take to complete.
 	Timeout time.Duration
 }
 
-// Default returns the settings that a file need not give.
+// Default returns the default values of the optional settings.
 func Default() Settings {
 	return Settings{
 		Instance:    Instance{Region: "region-1"},
@@ -88,7 +92,7 @@
 	}
 }
 
-// Load reads and checks a settings file.
+// Load reads and validates a settings file.
 func Load(path string) (Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -97,15 +101,15 @@
 	return Parse(text)
 }
 
-// Parse checks the text of a settings file; its error lists all that is wrong.
+// Parse parses and validates the text of a settings file. The error lists all problems.
 func Parse(text []byte) (Settings, error) {
 	s := Default()
 	fields := s.fields()
-	file, err := inifile.Read(text, fields.schema(), maxBytes)
+	file, err := inifile.Read(text, fields.schema(), maxFileBytes)
 	if err != nil {
 		return Settings{}, err
 	}
-	if err := fields.set(file); err != nil {
+	if err := fields.assign(file); err != nil {
 		return Settings{}, err
 	}
 	if s.Instance.PeerListenAddress == "" {
