--- a/cmd/galenastair-standin/cmd_prove.go
+++ b/cmd/galenastair-standin/cmd_prove.go
@@ -28,7 +28,7 @@
 		return err
 	}
 	say := func(text string) { fmt.Println("proof:", text) }
-	h, limits, err := proof.Run(ctx, fleet, proof.Plan{Seed: *seed, Length: *length, Pace: *pace, Outage: *outage, Kill: *kill}, say)
+	h, limits, err := proof.Run(ctx, fleet, proof.RunConfig{Seed: *seed, Duration: *length, FaultInterval: *pace, Outage: *outage, KillEntry: *kill}, say)
 	if err != nil {
 		return err
 	}
--- a/proof/balancer.go
+++ b/proof/balancer.go
@@ -12,8 +12,8 @@
 	"galenastair/timer"
 )
 
-// balancer stands in for the platform's: it sends callers to entries that were
-// ready when it last looked, and anywhere if none was.
+// balancer simulates the platform's load balancer. It picks among the entries that
+// were ready at the last health check, and among all entries if none was.
 type balancer struct {
 	fleet  *Fleet
 	client *http.Client
@@ -22,26 +22,26 @@
 	ready []string
 }
 
-const readyTimeout = 500 * time.Millisecond
+const healthCheckTimeout = 500 * time.Millisecond
 
 func newBalancer(f *Fleet) *balancer {
-	return &balancer{fleet: f, client: &http.Client{Timeout: readyTimeout}}
+	return &balancer{fleet: f, client: &http.Client{Timeout: healthCheckTimeout}}
 }
 
-// follow looks at every entry each period until the context ends.
-func (b *balancer) follow(ctx context.Context) error {
+// run checks the readiness of every entry each period until the context is done.
+func (b *balancer) run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		b.look(ctx)
-		timer.Wait(ctx, balancerPeriod)
+		b.checkReadiness(ctx)
+		timer.Wait(ctx, healthCheckPeriod)
 	}
 	return nil
 }
 
-func (b *balancer) look(ctx context.Context) {
+func (b *balancer) checkReadiness(ctx context.Context) {
 	var ready []string
 	for _, e := range b.fleet.Entries {
 		if b.isReady(ctx, e) {
-			ready = append(ready, e.Caller)
+			ready = append(ready, e.CallerAddress)
 		}
 	}
 	b.mu.Lock()
@@ -49,22 +49,22 @@
 	b.ready = ready
 }
 
-// awaitAll waits until every entry is ready.
-func (b *balancer) awaitAll(ctx context.Context) error {
+// waitAllReady waits until every entry is ready or the context is done.
+func (b *balancer) waitAllReady(ctx context.Context) error {
 	for {
-		b.look(ctx)
-		if b.count() == len(b.fleet.Entries) {
+		b.checkReadiness(ctx)
+		if b.readyCount() == len(b.fleet.Entries) {
 			return nil
 		}
 		if ctx.Err() != nil {
-			return eris.Wrapf(errStart, "%d of %d entries are ready", b.count(), len(b.fleet.Entries))
+			return eris.Wrapf(errStartFailed, "%d of %d entries are ready", b.readyCount(), len(b.fleet.Entries))
 		}
-		timer.Wait(ctx, balancerPeriod)
+		timer.Wait(ctx, healthCheckPeriod)
 	}
 }
 
 func (b *balancer) isReady(ctx context.Context, e Entry) bool {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.Operator+"/readyz", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+e.OperatorAddress+"/readyz", nil)
 	if err != nil {
 		return false
 	}
@@ -76,24 +76,24 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-func (b *balancer) choose(rng *rand.Rand) string {
+func (b *balancer) pickEntry(rng *rand.Rand) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.ready) == 0 {
-		return b.fleet.Entries[rng.IntN(len(b.fleet.Entries))].Caller
+		return b.fleet.Entries[rng.IntN(len(b.fleet.Entries))].CallerAddress
 	}
 	return b.ready[rng.IntN(len(b.ready))]
 }
 
-func (b *balancer) count() int {
+func (b *balancer) readyCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.ready)
 }
 
-func (b *balancer) name(address string) string {
+func (b *balancer) entryName(address string) string {
 	for _, e := range b.fleet.Entries {
-		if e.Caller == address {
+		if e.CallerAddress == address {
 			return e.Name
 		}
 	}
--- a/proof/check.go
+++ b/proof/check.go
@@ -7,84 +7,89 @@
 	"galenastair"
 )
 
-// Point is one of the ten things that must always hold.
-type Point string
+// Invariant is a property of the system that must hold under every fault.
+type Invariant string
 
-// The ten points of the brief, in its order.
+// The invariants, in the order in which the report lists them.
 const (
-	MemoryNeverOvercommitted Point = "memory is never overcommitted"
-	EveryModelReachable      Point = "every model stays reachable"
-	KeysAndOrganisations     Point = "a request runs only for its key's organisation; withdrawn keys stop"
-	WithinRateAndBurst       Point = "no organisation exceeds rate and burst"
-	WholeAnswers             Point = "a caller gets the whole answer to its own request"
-	TruthfulNotRun           Point = "a refusal that says not run is true"
-	AtMostOnce               Point = "what may not be repeated runs at most once"
-	LeavingServers           Point = "a leaving backend server gets no new work"
-	PlannedStops             Point = "a planned stop cuts no request"
-	ConfigurationHolds       Point = "an accepted configuration is in force everywhere and never reverts"
+	MemoryNotOvercommitted  Invariant = "memory is never overcommitted"
+	ModelsReachable         Invariant = "every model stays reachable"
+	KeysEnforced            Invariant = "requests run only for the key's organisation; withdrawn keys are refused"
+	RateLimitsEnforced      Invariant = "no organisation exceeds its rate and burst"
+	AnswersComplete         Invariant = "a caller gets the complete answer to its own request"
+	NotRunAccurate          Invariant = "a request that was refused as NotRun did not run"
+	AtMostOnce              Invariant = "a call that is not idempotent runs at most once"
+	LeavingServersIdle      Invariant = "a leaving backend server gets no new requests"
+	StopsGraceful           Invariant = "a graceful stop of an entry interrupts no request"
+	ConfigurationConsistent Invariant = "an accepted configuration takes effect everywhere and never reverts"
 )
 
-// Verdict is what a check found on one point.
-type Verdict struct {
-	Point  Point
-	Checks int
-	// Violations tells each, in words.
+// Result is the result of the check of one invariant.
+type Result struct {
+	Invariant Invariant
+	Checks    int
+	// Violations describes each violation.
 	Violations []string
-	// Figures are what was measured on the way.
-	Figures []string
+	// Measurements are figures for the report; they do not affect the outcome.
+	Measurements []string
 }
 
-func (v *Verdict) violate(format string, args ...any) {
-	v.Violations = append(v.Violations, fmt.Sprintf(format, args...))
+func (res *Result) violationf(format string, args ...any) {
+	res.Violations = append(res.Violations, fmt.Sprintf(format, args...))
 }
 
-func (v *Verdict) figure(format string, args ...any) {
-	v.Figures = append(v.Figures, fmt.Sprintf(format, args...))
+func (res *Result) measurementf(format string, args ...any) {
+	res.Measurements = append(res.Measurements, fmt.Sprintf(format, args...))
 }
 
-// Bounds are the times within which what must hold has to.
+// Bounds are the time limits that the checks allow.
 type Bounds struct {
-	// Withdrawal is from the answer to the operator to the last admission on the key.
-	Withdrawal time.Duration
-	// StreamEnd is from the same to the end of a stream on the key.
-	StreamEnd time.Duration
-	// InForce is from acceptance to the last entry's having it.
-	InForce time.Duration
-	// Leaving is from a server's notice to its last new request; it holds the list's lag.
-	Leaving time.Duration
-	// Reach is the longest time that a model may go without a whole answer.
-	Reach time.Duration
+	// AdmissionAfterWithdrawal runs from the acceptance of a key's withdrawal, as its
+	// operator saw it, to the last admission with that key.
+	AdmissionAfterWithdrawal time.Duration
+	// StreamAfterWithdrawal runs from the same moment to the end of a stream that was
+	// opened with that key.
+	StreamAfterWithdrawal time.Duration
+	// ConfigurationDelay runs from the acceptance of a change until every entry has
+	// applied it.
+	ConfigurationDelay time.Duration
+	// RequestAfterLeaving runs from the signal that stops a backend server to its last
+	// new request. It includes the lag of the instance list.
+	RequestAfterLeaving time.Duration
+	// ModelUnavailable is the longest time for which a model may give no complete
+	// answer.
+	ModelUnavailable time.Duration
 }
 
-// DefaultBounds are those of today's sizes.
+// DefaultBounds returns the limits for the fleet sizes in use today.
 func DefaultBounds() Bounds {
 	return Bounds{
-		Withdrawal: 2 * time.Second,
-		StreamEnd:  3 * time.Second,
-		InForce:    2 * time.Second,
-		Leaving:    3*time.Second + 500*time.Millisecond,
-		Reach:      20 * time.Second,
+		AdmissionAfterWithdrawal: 2 * time.Second,
+		StreamAfterWithdrawal:    3 * time.Second,
+		ConfigurationDelay:       2 * time.Second,
+		RequestAfterLeaving:      3*time.Second + 500*time.Millisecond,
+		ModelUnavailable:         20 * time.Second,
 	}
 }
 
-// Limit is what an organisation's contract gave it.
+// Limit is the rate limit in an organisation's contract.
 type Limit struct {
 	Rate  galenastair.TokensPerSecond
 	Burst galenastair.Tokens
 }
 
-// Check looks for violations of all ten points.
-func Check(h *History, limits map[galenastair.Organisation]Limit, b Bounds) []Verdict {
-	return []Verdict{
+// Check checks every invariant and returns the results in the order of the report.
+func Check(h *History, limits map[galenastair.Organisation]Limit, b Bounds) []Result {
+	return []Result{
 		checkMemory(h),
-		checkReach(h, b),
+		checkModelAvailability(h, b),
 		checkKeys(h, b),
 		checkRate(h, limits),
-		checkWhole(h),
+		checkAnswers(h),
 		checkNotRun(h),
 		checkAtMostOnce(h),
 		checkLeaving(h, b),
-		checkStops(h),
+		checkGracefulStops(h),
 		checkConfiguration(h, b),
 	}
 }
--- a/proof/check_backend.go
+++ b/proof/check_backend.go
@@ -8,27 +8,29 @@
 	"galenastair/standin/journal"
 )
 
-// checkMemory reads the engines' own words: an order that overcommits is carried
-// out and written down by them, never hidden.
-func checkMemory(h *History) Verdict {
-	v := Verdict{Point: MemoryNeverOvercommitted}
-	for _, l := range h.Loads {
-		v.Checks++
+// checkMemory reads what the engines report and journal themselves. They carry out
+// an order that overcommits their memory and record it instead of refusing it, so
+// that the check can see it.
+func checkMemory(h *History) Result {
+	res := Result{Invariant: MemoryNotOvercommitted}
+	for _, l := range h.MemorySamples {
+		res.Checks++
 		if l.Used > l.Total {
-			v.violate("%s used %d of %d bytes at %s", l.Engine, l.Used, l.Total, clock(l.At))
+			res.violationf("%s used %d of %d bytes of memory at %s", l.Engine, l.Used, l.Total, formatTime(l.At))
 		}
 	}
 	for _, r := range h.Runs {
 		if r.Overcommitted > 0 {
-			v.violate("%s was overcommitted by %d bytes at %s", r.Server, r.Overcommitted, clock(r.At))
+			res.violationf("%s was overcommitted by %d bytes at %s", r.Server, r.Overcommitted, formatTime(r.At))
 		}
 	}
-	return v
+	return res
 }
 
-// checkNotRun looks for refused requests among what backend servers ran.
-func checkNotRun(h *History) Verdict {
-	v := Verdict{Point: TruthfulNotRun}
+// checkNotRun looks in the journals of the backend servers for requests that an
+// entry refused with the outcome NotRun.
+func checkNotRun(h *History) Result {
+	res := Result{Invariant: NotRunAccurate}
 	ran := map[galenastair.RequestID]journal.Entry{}
 	for _, r := range h.Runs {
 		if r.Request != "" {
@@ -39,52 +41,53 @@
 		if r.Outcome != galenastair.NotRun || r.Status == 0 {
 			continue
 		}
-		v.Checks++
+		res.Checks++
 		if run, found := ran[r.ID]; found {
-			v.violate("%s was told NotRun (%s) by %s and ran on %s at %s", r.ID, r.Code, r.Entry, run.Server, clock(run.At))
+			res.violationf("%s was refused as NotRun (%s) by %s, but ran on %s at %s", r.ID, r.Code, r.Entry, run.Server, formatTime(run.At))
 		}
 	}
-	return v
+	return res
 }
 
-// checkAtMostOnce counts the runs of each call by what it means to its application.
-func checkAtMostOnce(h *History) Verdict {
-	v := Verdict{Point: AtMostOnce}
+// checkAtMostOnce counts the runs of each call by the call's name in its request
+// body: request ids differ between repeated sends.
+func checkAtMostOnce(h *History) Result {
+	res := Result{Invariant: AtMostOnce}
 	runs := map[string][]journal.Entry{}
 	for _, r := range h.Runs {
 		if r.Call != "" {
 			runs[r.Call] = append(runs[r.Call], r)
 		}
 	}
-	resent := 0
+	repeated := 0
 	for call, entries := range runs {
-		v.Checks++
+		res.Checks++
 		if len(entries) > 1 {
-			v.violate("call %s ran %d times: on %s at %s, on %s at %s", call, len(entries),
-				entries[0].Server, clock(entries[0].At), entries[1].Server, clock(entries[1].At))
+			res.violationf("call %s ran %d times: on %s at %s, on %s at %s", call, len(entries),
+				entries[0].Server, formatTime(entries[0].At), entries[1].Server, formatTime(entries[1].At))
 		}
 	}
-	lost := 0
+	unrecorded := 0
 	for _, r := range h.Requests {
 		if r.Call == "" {
 			continue
 		}
 		if string(r.ID) != r.Call+".0" {
-			resent++
+			repeated++
 		}
 		if r.served() && len(runs[r.Call]) == 0 {
-			lost++
-			v.violate("call %s was answered and never ran", r.Call)
+			unrecorded++
+			res.violationf("call %s was answered, but no service ran it", r.Call)
 		}
 	}
-	v.figure("%d calls sent again", resent)
-	return v
+	res.measurementf("%d repeated sends of calls", repeated)
+	return res
 }
 
-// checkLeaving looks for requests that a server got after it had shown for a
-// while that it is leaving.
-func checkLeaving(h *History, b Bounds) Verdict {
-	v := Verdict{Point: LeavingServers}
+// checkLeaving looks for requests that a backend server received more than
+// Bounds.RequestAfterLeaving after it began to leave.
+func checkLeaving(h *History, b Bounds) Result {
+	res := Result{Invariant: LeavingServersIdle}
 	for _, f := range h.Faults {
 		if f.Kind != StopEngine || f.Err != "" {
 			continue
@@ -93,22 +96,22 @@
 			if r.Server != f.Target || r.Request == "" || r.At.Before(f.Start) || r.At.After(f.End) {
 				continue
 			}
-			v.Checks++
-			late := r.At.Sub(f.Start)
-			// while the list shows nothing new, nobody can know
-			if late > b.Leaving && !lagged(h, f.Start, r.At, ListFrozen) {
-				v.violate("%s got %s %s after it began to leave", f.Target, r.Request, late)
+			res.Checks++
+			delay := r.At.Sub(f.Start)
+			// entries learn that a server is leaving from the instance list alone, so a frozen list excuses them
+			if delay > b.RequestAfterLeaving && !faultDuring(h, f.Start, r.At, ListFrozen) {
+				res.violationf("%s received %s %s after it began to leave", f.Target, r.Request, delay)
 			}
 		}
 	}
-	return v
+	return res
 }
 
-// lagged says that a fault of one of the kinds lay in a span of time.
-func lagged(h *History, from, to time.Time, kinds ...FaultKind) bool {
+// faultDuring reports whether a fault of one of the kinds overlapped a period.
+func faultDuring(h *History, from, to time.Time, kinds ...FaultKind) bool {
 	for _, f := range h.Faults {
 		for _, k := range kinds {
-			if f.Kind == k && f.during(from, to, 0) {
+			if f.Kind == k && f.overlaps(from, to, 0) {
 				return true
 			}
 		}
@@ -116,4 +119,4 @@
 	return false
 }
 
-func clock(t time.Time) string { return t.Format("15:04:05.000") }
+func formatTime(t time.Time) string { return t.Format("15:04:05.000") }
--- a/proof/check_caller.go
+++ b/proof/check_caller.go
@@ -9,9 +9,10 @@
 	"galenastair/rate"
 )
 
-// checkReach finds for each model the longest time in which nobody got a whole answer.
-func checkReach(h *History, b Bounds) Verdict {
-	v := Verdict{Point: EveryModelReachable}
+// checkModelAvailability finds the longest period in which a model gave no caller a
+// complete answer.
+func checkModelAvailability(h *History, b Bounds) Result {
+	res := Result{Invariant: ModelsReachable}
 	byModel := map[galenastair.ModelName][]Request{}
 	for _, r := range h.Requests {
 		if r.Model != "" {
@@ -20,15 +21,15 @@
 	}
 	var worst time.Duration
 	for model, requests := range byModel {
-		v.Checks++
+		res.Checks++
 		gap, from := longestGap(requests)
 		worst = max(worst, gap)
-		if gap > b.Reach {
-			v.violate("%s gave no whole answer for %s from %s", model, gap.Round(time.Millisecond), clock(from))
+		if gap > b.ModelUnavailable {
+			res.violationf("%s gave no complete answer for %s from %s", model, gap.Round(time.Millisecond), formatTime(from))
 		}
 	}
-	v.figure("longest time without a whole answer of a model %s", worst.Round(time.Millisecond))
-	return v
+	res.measurementf("longest period without a complete answer of a model: %s", worst.Round(time.Millisecond))
+	return res
 }
 
 func longestGap(requests []Request) (time.Duration, time.Time) {
@@ -47,10 +48,10 @@
 	return gap, from
 }
 
-// checkKeys looks for requests that were served on a withdrawn key, or answered
-// on a key that was never given, and for keys that backend servers were shown.
-func checkKeys(h *History, b Bounds) Verdict {
-	v := Verdict{Point: KeysAndOrganisations}
+// checkKeys looks for requests that were served with a withdrawn key, and for keys
+// that were passed on to a backend server, which may see none.
+func checkKeys(h *History, b Bounds) Result {
+	res := Result{Invariant: KeysEnforced}
 	withdrawn := map[galenastair.KeyHash]Change{}
 	for _, c := range h.Changes {
 		if c.Key != "" && c.Accepted && c.Kind == "KeyWithdrawn" {
@@ -63,32 +64,32 @@
 		if !found || r.Status != 200 {
 			continue
 		}
-		v.Checks++
-		if late := r.Start.Sub(c.End); late > 0 {
-			last = max(last, late)
+		res.Checks++
+		if delay := r.Start.Sub(c.End); delay > 0 {
+			last = max(last, delay)
 		}
-		if r.Start.Sub(c.End) > b.Withdrawal {
-			v.violate("%s was served by %s %s after its key was withdrawn", r.ID, r.Entry, r.Start.Sub(c.End))
+		if r.Start.Sub(c.End) > b.AdmissionAfterWithdrawal {
+			res.violationf("%s was served by %s although it was sent %s after its key was withdrawn", r.ID, r.Entry, r.Start.Sub(c.End))
 		}
-		if r.Whole && r.End.Sub(c.End) > b.StreamEnd {
-			v.violate("%s went on through %s for %s after its key was withdrawn", r.ID, r.Entry, r.End.Sub(c.End))
+		if r.Whole && r.End.Sub(c.End) > b.StreamAfterWithdrawal {
+			res.violationf("%s was streamed through %s until %s after its key was withdrawn", r.ID, r.Entry, r.End.Sub(c.End))
 		}
 	}
 	for _, r := range h.Runs {
-		v.Checks++
+		res.Checks++
 		if r.KeySeen {
-			v.violate("%s was shown a key with %s", r.Server, r.Request)
+			res.violationf("%s received an API key with %s", r.Server, r.Request)
 		}
 	}
-	v.figure("last admission on a withdrawn key %s after its withdrawal", last.Round(time.Millisecond))
-	return v
+	res.measurementf("last admission with a withdrawn key: %s after its withdrawal", last.Round(time.Millisecond))
+	return res
 }
 
-// checkRate looks at every span of time that starts with one request and ends
-// with another. Only requests that lie in it as a whole count, with the tokens
-// that they used in the end: they were charged in it for certain.
-func checkRate(h *History, limits map[galenastair.Organisation]Limit) Verdict {
-	v := Verdict{Point: WithinRateAndBurst}
+// checkRate checks every window that starts with one request and ends with another.
+// Only requests that lie completely within the window count, with the tokens that
+// they used: they are certain to have been charged within it.
+func checkRate(h *History, limits map[galenastair.Organisation]Limit) Result {
+	res := Result{Invariant: RateLimitsEnforced}
 	byOrganisation := map[galenastair.Organisation][]Request{}
 	for _, r := range h.Requests {
 		if r.served() {
@@ -100,20 +101,21 @@
 		if !known {
 			continue
 		}
-		spans, worst, text := overRate(requests, limit)
-		v.Checks += spans
-		if text != "" {
-			v.violate("%s: %s", o, text)
+		windows, worst, violation := measureRate(requests, limit)
+		res.Checks += windows
+		if violation != "" {
+			res.violationf("%s: %s", o, violation)
 		}
-		v.figure("%s came to %.0f%% of what its contract allows at most", o, 100*worst)
+		res.measurementf("%s used at most %.0f%% of what its contract allows", o, 100*worst)
 	}
-	slices.Sort(v.Figures)
-	checkGrants(h, limits, &v)
-	return v
+	slices.Sort(res.Measurements)
+	checkGrants(h, limits, &res)
+	return res
 }
 
-// checkGrants checks what all entries granted together, as they wrote it down.
-func checkGrants(h *History, limits map[galenastair.Organisation]Limit, v *Verdict) {
+// checkGrants checks the sum of the tokens that all entries granted, as recorded in
+// their journals.
+func checkGrants(h *History, limits map[galenastair.Organisation]Limit, res *Result) {
 	byOrganisation := map[galenastair.Organisation][]rate.Grant{}
 	for _, g := range h.Grants {
 		byOrganisation[g.Organisation] = append(byOrganisation[g.Organisation], g)
@@ -123,15 +125,15 @@
 		if !known {
 			continue
 		}
-		v.Checks += len(grants)
+		res.Checks += len(grants)
 		if err := rate.CheckHistory(grants, rate.Contract{Rate: limit.Rate, Burst: limit.Burst}); err != nil {
-			v.violate("%v", err)
+			res.violationf("%v", err)
 		}
 	}
-	v.figure("%d grants of %d organisations merged", len(h.Grants), len(byOrganisation))
+	res.measurementf("%d grants to %d organisations checked", len(h.Grants), len(byOrganisation))
 }
 
-func overRate(requests []Request, limit Limit) (spans int, worst float64, text string) {
+func measureRate(requests []Request, limit Limit) (windows int, worst float64, violation string) {
 	slices.SortFunc(requests, func(a, b Request) int { return a.End.Compare(b.End) })
 	for _, first := range requests {
 		var used galenastair.Tokens
@@ -139,77 +141,79 @@
 			if r.Start.Before(first.Start) {
 				continue
 			}
-			used += charged(r)
-			spans++
+			used += minimumCharge(r)
+			windows++
 			length := r.End.Sub(first.Start)
 			allowed := float64(limit.Burst) + float64(limit.Rate)*length.Seconds()
 			share := float64(used) / allowed
 			if share > worst {
 				worst = share
 			}
-			if share > 1 && text == "" {
-				text = fmt.Sprintf("%d tokens in %s from %s where %.0f are allowed", used, length.Round(time.Millisecond), clock(first.Start), allowed)
+			if share > 1 && violation == "" {
+				violation = fmt.Sprintf("%d tokens used in %s from %s, but only %.0f are allowed", used, length.Round(time.Millisecond), formatTime(first.Start), allowed)
 			}
 		}
 	}
-	return spans, worst, text
+	return windows, worst, violation
 }
 
-// charged is the least that a served request was charged; a call to a plain
-// service costs one token.
-func charged(r Request) galenastair.Tokens {
+// minimumCharge returns the least number of tokens that a served request was
+// charged; a call to a plain service costs one token.
+func minimumCharge(r Request) galenastair.Tokens {
 	return max(r.Tokens, 1)
 }
 
-// checkWhole compares every answer that looks whole, token by token, with the
-// one that the engine gives to this request alone.
-func checkWhole(h *History) Verdict {
-	v := Verdict{Point: WholeAnswers}
-	cut := 0
+// checkAnswers looks for complete answers that differ from the expected one. The text
+// of an answer depends on the request, so another request's answer is found as well.
+func checkAnswers(h *History) Result {
+	res := Result{Invariant: AnswersComplete}
+	truncated := 0
 	for _, r := range h.Requests {
 		if r.Status != 200 {
 			continue
 		}
-		v.Checks++
-		if r.Whole && !r.Right {
-			v.violate("%s through %s looked whole and was not the answer to it", r.ID, r.Entry)
+		res.Checks++
+		if r.Whole && !r.Correct {
+			res.violationf("%s through %s got a complete answer that was not the expected one", r.ID, r.Entry)
 		}
 		if !r.Whole {
-			cut++
+			truncated++
 		}
 	}
-	v.figure("%d answers cut, each with an error or a broken connection", cut)
-	return v
+	res.measurementf("%d answers were truncated, each with an error or a broken connection", truncated)
+	return res
 }
 
-// checkStops looks for requests that a stopping entry cut without a word.
-func checkStops(h *History) Verdict {
-	v := Verdict{Point: PlannedStops}
+// checkGracefulStops looks for requests whose connection an entry broke without an
+// error response while it was stopping.
+func checkGracefulStops(h *History) Result {
+	res := Result{Invariant: StopsGraceful}
 	for _, f := range h.Faults {
 		if f.Kind != StopEntry {
 			continue
 		}
 		if f.Err != "" {
-			v.violate("%s: %s", f.Target, f.Err)
+			res.violationf("%s: %s", f.Target, f.Err)
 		}
 		for _, r := range h.Requests {
 			if r.Entry != f.Target || !r.Start.Before(f.End) || !r.End.After(f.Start) {
 				continue
 			}
-			v.Checks++
-			if r.Broken && !hit(h, r) {
-				v.violate("%s was cut by the stop of %s at %s", r.ID, f.Target, clock(r.End))
+			res.Checks++
+			if r.ConnectionBroken && !disruptedByFault(h, r) {
+				res.violationf("%s was interrupted by the stop of %s at %s", r.ID, f.Target, formatTime(r.End))
 			}
 		}
 	}
-	return v
+	return res
 }
 
-// hit says that something other than a planned stop was done to the request's entry meanwhile.
-func hit(h *History, r Request) bool {
+// disruptedByFault reports whether the request's entry was killed or paused while
+// the request was open, or up to a second before.
+func disruptedByFault(h *History, r Request) bool {
 	for _, f := range h.Faults {
 		unplanned := f.Kind == KillEntry || f.Kind == KillLeader || f.Kind == PauseEntry || f.Kind == PauseLeader
-		if unplanned && f.Target == r.Entry && f.during(r.Start, r.End, time.Second) {
+		if unplanned && f.Target == r.Entry && f.overlaps(r.Start, r.End, time.Second) {
 			return true
 		}
 	}
--- a/proof/check_config.go
+++ b/proof/check_config.go
@@ -7,36 +7,37 @@
 	"galenastair"
 )
 
-// checkConfiguration looks for entries that took requests with an older
-// configuration than they had shown before, for changes that came late, and for
-// two racing changes that were both accepted.
-func checkConfiguration(h *History, b Bounds) Verdict {
-	v := Verdict{Point: ConfigurationHolds}
-	slices.SortFunc(h.Sights, func(a, b Sight) int { return a.At.Compare(b.At) })
-	checkReverts(h, &v)
-	checkInForce(h, b, &v)
-	checkRaces(h, &v)
-	return v
+// checkConfiguration looks for ready entries that returned to an older configuration,
+// for changes that took effect late, and for two concurrent changes from the same
+// revision that were both accepted.
+func checkConfiguration(h *History, b Bounds) Result {
+	res := Result{Invariant: ConfigurationConsistent}
+	slices.SortFunc(h.StatusSamples, func(a, b StatusSample) int { return a.At.Compare(b.At) })
+	checkReverts(h, &res)
+	checkPropagation(h, b, &res)
+	checkConcurrentChanges(h, &res)
+	return res
 }
 
-func checkReverts(h *History, v *Verdict) {
-	shown := map[string]Sight{}
-	for _, s := range h.Sights {
+func checkReverts(h *History, res *Result) {
+	shown := map[string]StatusSample{}
+	for _, s := range h.StatusSamples {
 		if !s.Ready {
 			continue
 		}
-		v.Checks++
+		res.Checks++
 		if before := shown[s.Entry]; s.ConfigurationOffset < before.ConfigurationOffset {
-			v.violate("%s went back from offset %d to %d at %s", s.Entry, before.ConfigurationOffset, s.ConfigurationOffset, clock(s.At))
+			res.violationf("%s reverted from offset %d to %d at %s", s.Entry, before.ConfigurationOffset, s.ConfigurationOffset, formatTime(s.At))
 		}
 		shown[s.Entry] = s
 	}
 }
 
-// checkInForce allows an entry more time only while the log or its way to it is
-// disturbed: it then takes the change from others, or does not serve.
-func checkInForce(h *History, b Bounds, v *Verdict) {
-	if len(h.Sights) == 0 {
+// checkPropagation allows an entry more than Bounds.ConfigurationDelay only while the
+// log, the entry or the connection between them is disrupted: the entry then gets the
+// change from its peers later, or is not ready.
+func checkPropagation(h *History, b Bounds, res *Result) {
+	if len(h.StatusSamples) == 0 {
 		return
 	}
 	var delays []time.Duration
@@ -45,49 +46,49 @@
 			continue
 		}
 		first := map[string]time.Time{}
-		for _, s := range h.Sights {
+		for _, s := range h.StatusSamples {
 			if s.ConfigurationOffset > c.Offset {
 				if _, seen := first[s.Entry]; !seen {
 					first[s.Entry] = s.At
 				}
 				continue
 			}
-			late := s.At.Sub(c.End)
-			if !s.Ready || late <= b.InForce {
+			delay := s.At.Sub(c.End)
+			if !s.Ready || delay <= b.ConfigurationDelay {
 				continue
 			}
-			v.Checks++
-			if !disturbed(h, s.Entry, c.End, s.At) {
-				v.violate("%s still had no revision %d %s after its acceptance", s.Entry, c.Offset, late.Round(time.Millisecond))
+			res.Checks++
+			if !propagationDisrupted(h, s.Entry, c.End, s.At) {
+				res.violationf("%s had not applied revision %d %s after its acceptance", s.Entry, c.Offset, delay.Round(time.Millisecond))
 			}
 		}
-		// contracts are published before anybody looks
-		if c.End.After(h.Sights[0].At) {
-			delays = append(delays, slowest(h, first, c))
+		// contracts published at the start of a run precede the first status sample and can't be timed
+		if c.End.After(h.StatusSamples[0].At) {
+			delays = append(delays, slowestPropagation(h, first, c))
 		}
 	}
 	slices.Sort(delays)
 	if n := len(delays); n > 0 {
-		v.figure("%d changes in force everywhere after %s (median), %s (worst)", n, delays[n/2].Round(time.Millisecond), delays[n-1].Round(time.Millisecond))
+		res.measurementf("%d changes took effect everywhere after %s (median), %s (maximum)", n, delays[n/2].Round(time.Millisecond), delays[n-1].Round(time.Millisecond))
 	}
 }
 
-// slowest returns how long a change took to show on the last entry that was
-// there and undisturbed all the while.
-func slowest(h *History, first map[string]time.Time, c Change) time.Duration {
+// slowestPropagation returns how long a change took to reach the last of the entries
+// that were not disrupted meanwhile.
+func slowestPropagation(h *History, first map[string]time.Time, c Change) time.Duration {
 	var d time.Duration
 	for entry, at := range first {
-		if !disturbed(h, entry, c.End, at) {
+		if !propagationDisrupted(h, entry, c.End, at) {
 			d = max(d, at.Sub(c.End))
 		}
 	}
 	return d
 }
 
-func disturbed(h *History, entry string, from, to time.Time) bool {
+func propagationDisrupted(h *History, entry string, from, to time.Time) bool {
 	const recovery = 3 * time.Second
 	for _, f := range h.Faults {
-		if !f.during(from, to, recovery) {
+		if !f.overlaps(from, to, recovery) {
 			continue
 		}
 		switch f.Kind {
@@ -102,23 +103,23 @@
 	return false
 }
 
-func checkRaces(h *History, v *Verdict) {
-	type race struct {
+func checkConcurrentChanges(h *History, res *Result) {
+	type revision struct {
 		organisation galenastair.Organisation
 		base         galenastair.Offset
 	}
-	accepted := map[race]Change{}
+	accepted := map[revision]Change{}
 	for _, c := range h.Changes {
-		if c.Kind != "ContractPublished" || c.Unsure {
+		if c.Kind != "ContractPublished" || c.OutcomeUnknown {
 			continue
 		}
-		v.Checks++
-		at := race{c.Organisation, c.Base}
-		if other, found := accepted[at]; found && c.Accepted {
-			v.violate("two changes of %s from revision %d were accepted: %d and %d", c.Organisation, c.Base, other.Offset, c.Offset)
+		res.Checks++
+		from := revision{c.Organisation, c.BaseOffset}
+		if other, found := accepted[from]; found && c.Accepted {
+			res.violationf("two changes of %s from revision %d were accepted: %d and %d", c.Organisation, c.BaseOffset, other.Offset, c.Offset)
 		}
 		if c.Accepted {
-			accepted[at] = c
+			accepted[from] = c
 		}
 	}
 }
--- a/proof/doc.go
+++ b/proof/doc.go
@@ -1,10 +1,12 @@
-// Package proof drives a running fleet of separate processes through faults and
-// checks afterwards what must always hold. It starts no process: a script does,
-// and starts each anew that has died, as the platform would. The driver sends
-// signals to processes by the ids that the script writes down, cuts and silences
-// their connections by relays of its own, switches the platform's outages, plays
-// callers and operators, and writes down what each of them saw.
+// Package proof injects faults into a running fleet of separate processes and
+// checks afterwards that the invariants of the system held. It starts no process:
+// a script does, and restarts each process that has exited, as the platform would.
+// The driver sends signals to processes by the ids that the script writes to
+// files, cuts and silences connections in relays between the processes, switches
+// outages of the platform stand-in on and off, acts as callers and operators, and
+// records what each of them observed.
 //
-// The order of faults comes from a seed and can be run again from it. Checks
-// read the recorded history alone, so that they can be tested on planted faults.
+// The schedule of faults is derived from a seed, so that a run can be repeated.
+// Checks read only the recorded history, so that they can be tested on histories
+// with known violations.
 package proof
--- a/proof/fault.go
+++ b/proof/fault.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// FaultKind says what is done to the fleet.
+// FaultKind is the kind of a fault.
 type FaultKind string
 
-// The kinds of fault.
+// The kinds of faults.
 const (
 	KillEntry         FaultKind = "KillEntry"
 	KillEngine        FaultKind = "KillEngine"
@@ -36,73 +36,77 @@
 	ServiceLosesReply FaultKind = "ServiceLosesReply"
 )
 
-// planned is one fault of a schedule.
-type planned struct {
-	at       time.Duration
+// plannedFault is one fault of a schedule. Its target is an index, which is taken
+// modulo the number of processes or customers that the fault can hit.
+type plannedFault struct {
+	start    time.Duration
 	kind     FaultKind
 	target   int
 	duration time.Duration
 }
 
-// span is how long a kind of fault lasts.
-type span struct{ least, most time.Duration }
+// durationRange bounds the random duration of a fault; zero stands for a fault
+// without a duration.
+type durationRange struct{ min, max time.Duration }
 
-// kinds lists what a schedule draws from, with how long each lasts. A pause is
-// longer than a lease; an outage of the log is longer than both.
-var kinds = []struct {
+// faultKinds lists the faults that a schedule is drawn from. A pause lasts longer than
+// a lease, so that the lease expires meanwhile; an outage of the log can last longer
+// than both.
+var faultKinds = []struct {
 	kind FaultKind
-	span
+	durationRange
 }{
-	{KillEntry, span{}},
-	{KillEngine, span{}},
-	{KillService, span{}},
-	{KillLeader, span{}},
-	{PauseEntry, span{6 * time.Second, 9 * time.Second}},
-	{PauseLeader, span{6 * time.Second, 9 * time.Second}},
-	{CutFromLog, span{3 * time.Second, 8 * time.Second}},
-	{CutPeer, span{2 * time.Second, 6 * time.Second}},
-	{SilencePeer, span{}},
-	{SilenceEngine, span{}},
-	{CutEngine, span{}},
-	{LogOutage, span{4 * time.Second, 12 * time.Second}},
-	{LogHang, span{4 * time.Second, 12 * time.Second}},
-	{SlowAppends, span{3 * time.Second, 6 * time.Second}},
-	{LostAnswers, span{3 * time.Second, 6 * time.Second}},
-	{ListFrozen, span{3 * time.Second, 8 * time.Second}},
-	{StopEntry, span{}},
-	{StopEngine, span{}},
-	{RacingOperators, span{}},
-	{WithdrawKey, span{}},
-	{LoseOrders, span{2 * time.Second, 4 * time.Second}},
-	{LateOrders, span{2 * time.Second, 4 * time.Second}},
-	{PoisonRequest, span{}},
-	{ServiceLosesReply, span{time.Second, 2 * time.Second}},
+	{KillEntry, durationRange{}},
+	{KillEngine, durationRange{}},
+	{KillService, durationRange{}},
+	{KillLeader, durationRange{}},
+	{PauseEntry, durationRange{6 * time.Second, 9 * time.Second}},
+	{PauseLeader, durationRange{6 * time.Second, 9 * time.Second}},
+	{CutFromLog, durationRange{3 * time.Second, 8 * time.Second}},
+	{CutPeer, durationRange{2 * time.Second, 6 * time.Second}},
+	{SilencePeer, durationRange{}},
+	{SilenceEngine, durationRange{}},
+	{CutEngine, durationRange{}},
+	{LogOutage, durationRange{4 * time.Second, 12 * time.Second}},
+	{LogHang, durationRange{4 * time.Second, 12 * time.Second}},
+	{SlowAppends, durationRange{3 * time.Second, 6 * time.Second}},
+	{LostAnswers, durationRange{3 * time.Second, 6 * time.Second}},
+	{ListFrozen, durationRange{3 * time.Second, 8 * time.Second}},
+	{StopEntry, durationRange{}},
+	{StopEngine, durationRange{}},
+	{RacingOperators, durationRange{}},
+	{WithdrawKey, durationRange{}},
+	{LoseOrders, durationRange{2 * time.Second, 4 * time.Second}},
+	{LateOrders, durationRange{2 * time.Second, 4 * time.Second}},
+	{PoisonRequest, durationRange{}},
+	{ServiceLosesReply, durationRange{time.Second, 2 * time.Second}},
 }
 
-// calm is how long a run is left alone at its start and end: the first shows
-// that the fleet works at all, the last that it recovers.
-const calm = 3 * time.Second
+// quietPeriod is the time without new faults at the start and the end of a run. The
+// first shows that the fleet works without faults, the last that it recovers.
+const quietPeriod = 3 * time.Second
 
-// schedule draws the faults of a run from its seed. Every kind comes once in
-// shuffled order before any comes twice, so that even a short run sees most; one
-// in four comes together with the one before, and one in six twice in a row.
-func schedule(seed uint64, length time.Duration, pace time.Duration) []planned {
+// drawSchedule derives the faults of a run from its seed. Every kind is used once, in
+// shuffled order, before any is used again, so that even a short run covers most.
+// One fault in four is followed by the next without a pause, and one in six is
+// repeated after it has ended.
+func drawSchedule(seed uint64, length time.Duration, interval time.Duration) []plannedFault {
 	rng := rand.New(rand.NewPCG(seed, 0))
-	var out []planned
-	at := calm
-	for at < length-calm {
-		for _, i := range rng.Perm(len(kinds)) {
-			k := kinds[i]
-			p := planned{at: at, kind: k.kind, target: int(rng.Uint32N(1 << 16)), duration: k.least + jitter(rng, k.most-k.least)}
+	var out []plannedFault
+	at := quietPeriod
+	for at < length-quietPeriod {
+		for _, i := range rng.Perm(len(faultKinds)) {
+			k := faultKinds[i]
+			p := plannedFault{start: at, kind: k.kind, target: int(rng.Uint32N(1 << 16)), duration: k.min + randomDuration(rng, k.max-k.min)}
 			out = append(out, p)
 			if rng.IntN(6) == 0 {
-				p.at += p.duration + pace/4
+				p.start += p.duration + interval/4
 				out = append(out, p)
 			}
 			if rng.IntN(4) != 0 {
-				at += pace/2 + jitter(rng, pace)
+				at += interval/2 + randomDuration(rng, interval)
 			}
-			if at >= length-calm {
+			if at >= length-quietPeriod {
 				break
 			}
 		}
@@ -110,24 +114,24 @@
 	return out
 }
 
-// killAfter is how far into an outage an entry is killed.
-const killAfter = 20 * time.Second
+// killDelay is the time from the start of an outage to the kill of an entry.
+const killDelay = 20 * time.Second
 
-// faults returns what a plan does to the fleet.
-func (p Plan) faults() []planned {
-	if p.Outage == 0 {
-		return schedule(p.Seed, p.Length, p.Pace)
+// schedule returns the faults of a run.
+func (c RunConfig) schedule() []plannedFault {
+	if c.Outage == 0 {
+		return drawSchedule(c.Seed, c.Duration, c.FaultInterval)
 	}
-	out := []planned{{at: calm, kind: LogOutage, duration: p.Outage}}
-	if p.Kill {
-		out = append(out, planned{at: calm + killAfter, kind: KillEntry, target: int(p.Seed)})
+	out := []plannedFault{{start: quietPeriod, kind: LogOutage, duration: c.Outage}}
+	if c.KillEntry {
+		out = append(out, plannedFault{start: quietPeriod + killDelay, kind: KillEntry, target: int(c.Seed)})
 	}
 	return out
 }
 
-func jitter(rng *rand.Rand, most time.Duration) time.Duration {
-	if most <= 0 {
+func randomDuration(rng *rand.Rand, limit time.Duration) time.Duration {
+	if limit <= 0 {
 		return 0
 	}
-	return time.Duration(rng.Int64N(int64(most)))
+	return time.Duration(rng.Int64N(int64(limit)))
 }
--- a/proof/files.go
+++ b/proof/files.go
@@ -7,8 +7,9 @@
 	"galenastair/standin/journal"
 )
 
-// readFiles adds to a history what the processes of the fleet wrote down.
-func readFiles(f *Fleet, h *History) error {
+// readJournals adds the journals of the fleet's processes to a history: the runs that
+// backend servers recorded and the tokens that entries granted.
+func readJournals(f *Fleet, h *History) error {
 	runs, err := filepath.Glob(filepath.Join(f.dir, "*.journal"))
 	if err != nil {
 		return err
--- a/proof/fleet.go
+++ b/proof/fleet.go
@@ -14,57 +14,61 @@
 	"galenastair"
 )
 
-// Fleet is the layout of a running fleet, as the script that starts it writes it.
+// Fleet is the layout of a running fleet, read from a JSON file that
+// scenario/fleet.sh writes.
 type Fleet struct {
-	// Platform is the platform's own address, for operators and switches.
-	Platform string
-	Entries  []Entry
-	Engines  []BackendServer
-	Services []BackendServer
-	dir      string
+	// PlatformAddress is reached directly, not through a relay; operators and the
+	// switches of the stand-in use it.
+	PlatformAddress string `json:"Platform"`
+	Entries         []Entry
+	Engines         []BackendServer
+	Services        []BackendServer
+	dir             string
 }
 
 // Entry is one entry instance.
 type Entry struct {
-	Name     string
-	Zone     galenastair.AvailabilityZone
-	Caller   string
-	Operator string
-	// PeerListen is where it listens; Peer is the relay that others reach it by.
-	PeerListen string
-	Peer       string
-	// Log is the relay by which it reaches the platform's log.
-	Log string
+	Name            string
+	Zone            galenastair.AvailabilityZone
+	CallerAddress   string `json:"Caller"`
+	OperatorAddress string `json:"Operator"`
+	// PeerListenAddress is where the entry listens for its peers; PeerAddress is the
+	// relay through which they reach it.
+	PeerListenAddress string `json:"PeerListen"`
+	PeerAddress       string `json:"Peer"`
+	// LogAddress is the relay through which the entry reaches the platform's log.
+	LogAddress string `json:"Log"`
 }
 
 // BackendServer is one engine or plain service.
 type BackendServer struct {
-	Name   string
-	Zone   galenastair.AvailabilityZone
-	Listen string
-	// Address is the relay that entries reach it by.
+	Name          string
+	Zone          galenastair.AvailabilityZone
+	ListenAddress string `json:"Listen"`
+	// Address is the relay through which entries reach the server.
 	Address string
 	Service galenastair.ServiceName
 }
 
-// fleetFile is the layout's name in the fleet's directory.
-const fleetFile = "fleet.json"
+// fleetFileName is the name of the layout file in the fleet's directory.
+const fleetFileName = "fleet.json"
 
-// LoadFleet reads the layout in a directory.
+// LoadFleet reads the layout file in a directory.
 func LoadFleet(dir string) (*Fleet, error) {
-	data, err := os.ReadFile(filepath.Join(dir, fleetFile))
+	data, err := os.ReadFile(filepath.Join(dir, fleetFileName))
 	if err != nil {
-		return nil, eris.Wrap(err, "fleet; start one by scenario/fleet.sh")
+		return nil, eris.Wrap(err, "fleet layout not readable; start a fleet with scenario/fleet.sh")
 	}
 	f := &Fleet{dir: dir}
 	if err := json.Unmarshal(data, f); err != nil {
-		return nil, eris.Wrap(err, fleetFile)
+		return nil, eris.Wrap(err, fleetFileName)
 	}
 	return f, nil
 }
 
-// Pid reads the process id that the script last wrote for a name.
-func (f *Fleet) Pid(name string) (int, error) {
+// PID returns the process id that the script last wrote for a process. The script
+// restarts processes that exit, so the id changes.
+func (f *Fleet) PID(name string) (int, error) {
 	data, err := os.ReadFile(filepath.Join(f.dir, name+".pid"))
 	if err != nil {
 		return 0, err
@@ -72,19 +76,19 @@
 	return strconv.Atoi(strings.TrimSpace(string(data)))
 }
 
-// signal sends a signal to the process that bears a name now and returns its id.
+// signal sends a signal to the present process of a name and returns its id.
 func (f *Fleet) signal(name string, s syscall.Signal) (int, error) {
-	pid, err := f.Pid(name)
+	pid, err := f.PID(name)
 	if err != nil {
 		return 0, err
 	}
 	return pid, syscall.Kill(pid, s)
 }
 
-// waitExit waits until a process is gone, and reports whether it is.
-func waitExit(pid int, within time.Duration) bool {
+// waitExit waits until a process has exited, and reports whether it did in time.
+func waitExit(pid int, timeout time.Duration) bool {
 	const poll = 10 * time.Millisecond
-	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(poll) {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(poll) {
 		if syscall.Kill(pid, 0) != nil {
 			return true
 		}
--- a/proof/history.go
+++ b/proof/history.go
@@ -9,7 +9,7 @@
 	"galenastair/standin/journal"
 )
 
-// Request is one request as its caller saw it.
+// Request is one request as observed by its caller.
 type Request struct {
 	ID             galenastair.RequestID
 	Organisation   galenastair.Organisation
@@ -25,50 +25,56 @@
 	Outcome        galenastair.Outcome
 	Code           galenastair.Code
 	RetryAfter     string
-	// Whole says that the answer came with its end mark; Right that every token was the expected one.
-	Whole  bool
-	Right  bool
-	Tokens galenastair.Tokens
-	// Refused says that no connection was made, Broken that it broke without a word.
-	Refused bool
-	Broken  bool
+	// Whole is set if the answer arrived with its end marker, Correct if every token
+	// was the expected one.
+	Whole   bool
+	Correct bool `json:"Right"`
+	Tokens  galenastair.Tokens
+	// ConnectionRefused is set if no connection was made, ConnectionBroken if the
+	// connection ended without a complete answer or an error response.
+	ConnectionRefused bool `json:"Refused"`
+	ConnectionBroken  bool `json:"Broken"`
 }
 
-// served says that the caller got its whole answer.
+// served reports whether the caller got a complete answer.
 func (r Request) served() bool { return r.Status == 200 && r.Whole }
 
-// Fault is one thing that was done to the fleet.
+// Fault is one fault that was injected. Err is set if it could not be
+// injected or ended.
 type Fault struct {
 	Kind   FaultKind
 	Target string
 	Start  time.Time
-	// End is when it was over: a pause, an outage, the exit of a stopped process.
+	// End is when the fault was over: the end of a pause or an outage, or the exit of
+	// a process that was stopped.
 	End time.Time
 	Err string
 }
 
-// during says that a fault lay in a span of time, or ended less than a margin before it.
-func (f Fault) during(from, to time.Time, margin time.Duration) bool {
+// overlaps reports whether a fault overlapped a period, or ended less than margin
+// before it.
+func (f Fault) overlaps(from, to time.Time, margin time.Duration) bool {
 	return f.Start.Before(to) && f.End.Add(margin).After(from)
 }
 
-// Change is one change of configuration as its operator saw it.
+// Change is one change of the configuration as observed by its operator.
 type Change struct {
 	Kind         galenastair.RecordKind
 	Organisation galenastair.Organisation
 	Key          galenastair.KeyHash
 	Start        time.Time
 	End          time.Time
-	// Offset is the record's, Accepted its verdict; Unsure says that none was read.
-	Offset   galenastair.Offset
-	Accepted bool
-	Unsure   bool
-	// Base is the revision that it was made from.
-	Base galenastair.Offset
+	// Offset and Accepted are the offset and the outcome of the published record.
+	// OutcomeUnknown is set if the outcome could not be read.
+	Offset         galenastair.Offset
+	Accepted       bool
+	OutcomeUnknown bool `json:"Unsure"`
+	// BaseOffset is the revision that the change was made from.
+	BaseOffset galenastair.Offset `json:"Base"`
 }
 
-// Sight is one look at an entry's status.
-type Sight struct {
+// StatusSample is the status of an entry at one time.
+type StatusSample struct {
 	Entry               string
 	At                  time.Time
 	Ready               bool
@@ -78,8 +84,8 @@
 	Leader              galenastair.InstanceID
 }
 
-// Load is one look at an engine's memory.
-type Load struct {
+// MemorySample is the memory use of an engine at one time.
+type MemorySample struct {
 	Engine     string
 	At         time.Time
 	Used       galenastair.Bytes
@@ -87,51 +93,51 @@
 	Violations int
 }
 
-// History is all that a run has recorded.
+// History is everything that was recorded in a run.
 type History struct {
-	Requests []Request
-	Faults   []Fault
-	Changes  []Change
-	Sights   []Sight
-	Loads    []Load
-	// Runs is what the backend servers wrote down themselves.
+	Requests      []Request
+	Faults        []Fault
+	Changes       []Change
+	StatusSamples []StatusSample `json:"Sights"`
+	MemorySamples []MemorySample `json:"Loads"`
+	// Runs is read from the journals of the backend servers.
 	Runs []journal.Entry
-	// Grants is what the entries wrote down of tokens granted.
+	// Grants is read from the files in which the entries record granted tokens.
 	Grants []rate.Grant
 }
 
-// recorder collects a history from many goroutines.
+// recorder collects a history; its methods may be called concurrently.
 type recorder struct {
-	mu sync.Mutex
-	h  History
+	mu      sync.Mutex
+	history History
 }
 
-func (r *recorder) request(q Request) {
+func (r *recorder) addRequest(q Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.h.Requests = append(r.h.Requests, q)
+	r.history.Requests = append(r.history.Requests, q)
 }
 
-func (r *recorder) fault(f Fault) {
+func (r *recorder) addFault(f Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.h.Faults = append(r.h.Faults, f)
+	r.history.Faults = append(r.history.Faults, f)
 }
 
-func (r *recorder) change(c Change) {
+func (r *recorder) addChange(c Change) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.h.Changes = append(r.h.Changes, c)
+	r.history.Changes = append(r.history.Changes, c)
 }
 
-func (r *recorder) sight(s Sight) {
+func (r *recorder) addStatusSample(s StatusSample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.h.Sights = append(r.h.Sights, s)
+	r.history.StatusSamples = append(r.history.StatusSamples, s)
 }
 
-func (r *recorder) load(l Load) {
+func (r *recorder) addMemorySample(l MemorySample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.h.Loads = append(r.h.Loads, l)
+	r.history.MemorySamples = append(r.history.MemorySamples, l)
 }
--- a/proof/inject.go
+++ b/proof/inject.go
@@ -16,31 +16,32 @@
 	"galenastair/timer"
 )
 
-// stopWithin is how long a process that was told to stop may take; the script
-// gives entries a timeout below it.
-const stopWithin = 40 * time.Second
+// stopTimeout is how long a process may take to exit after SIGTERM. It exceeds the
+// stop timeout that scenario/fleet.sh sets for entries.
+const stopTimeout = 40 * time.Second
 
-// PoisonWord ends every engine that runs a prompt with it.
+// PoisonWord makes an engine exit that runs a prompt with it; scenario/fleet.sh passes
+// the same word to the engines.
 const PoisonWord = "swordfish"
 
-// injector does to a fleet what a schedule says.
+// injector injects the faults of a schedule into a fleet.
 type injector struct {
 	fleet     *Fleet
 	relays    *Relays
-	record    *recorder
-	sights    *observer
-	operators *Operators
-	traffic   *traffic
+	recorder  *recorder
+	observer  *observer
+	operator  *Operator
+	generator *loadGenerator
 	customers []*customer
 }
 
-// run carries out a schedule; each fault on its own, so that one that lasts
-// overlaps with those after it.
-func (in *injector) run(ctx context.Context, plan []planned) error {
+// run carries out a schedule. Each fault has a goroutine of its own, so that a fault
+// with a duration overlaps those after it.
+func (in *injector) run(ctx context.Context, schedule []plannedFault) error {
 	var g errgroup.Group
 	start := time.Now()
-	for _, p := range plan {
-		timer.Wait(ctx, time.Until(start.Add(p.at)))
+	for _, p := range schedule {
+		timer.Wait(ctx, time.Until(start.Add(p.start)))
 		if ctx.Err() != nil {
 			break
 		}
@@ -52,26 +53,26 @@
 	return g.Wait()
 }
 
-func (in *injector) inject(ctx context.Context, p planned) {
+func (in *injector) inject(ctx context.Context, p plannedFault) {
 	f := Fault{Kind: p.kind, Start: time.Now()}
-	target, err := in.act(ctx, p)
+	target, err := in.apply(ctx, p)
 	f.Target, f.End = target, time.Now()
 	if err != nil {
 		f.Err = err.Error()
 	}
-	in.record.fault(f)
+	in.recorder.addFault(f)
 }
 
-func (in *injector) act(ctx context.Context, p planned) (string, error) {
+func (in *injector) apply(ctx context.Context, p plannedFault) (string, error) {
 	entry := in.fleet.Entries[p.target%len(in.fleet.Entries)]
 	engine := in.fleet.Engines[p.target%len(in.fleet.Engines)]
 	service := in.fleet.Services[p.target%len(in.fleet.Services)]
-	who := in.customers[p.target%len(in.customers)]
+	c := in.customers[p.target%len(in.customers)]
 	switch p.kind {
 	case KillEntry:
 		return entry.Name, in.kill(entry.Name)
 	case KillLeader:
-		return in.sights.leader(), in.kill(in.sights.leader())
+		return in.observer.leaderName(), in.kill(in.observer.leaderName())
 	case KillEngine:
 		return engine.Name, in.kill(engine.Name)
 	case KillService:
@@ -79,15 +80,15 @@
 	case PauseEntry:
 		return entry.Name, in.pause(entry.Name, p.duration)
 	case PauseLeader:
-		return in.sights.leader(), in.pause(in.sights.leader(), p.duration)
+		return in.observer.leaderName(), in.pause(in.observer.leaderName(), p.duration)
 	case StopEntry:
-		return entry.Name, in.stop(entry.Name)
+		return entry.Name, in.terminate(entry.Name)
 	case StopEngine:
-		return engine.Name, in.stop(engine.Name)
+		return engine.Name, in.terminate(engine.Name)
 	case CutFromLog:
-		return entry.Name, down(in.relays.log[entry.Name], p.duration)
+		return entry.Name, interrupt(in.relays.log[entry.Name], p.duration)
 	case CutPeer:
-		return entry.Name, down(in.relays.peer[entry.Name], p.duration)
+		return entry.Name, interrupt(in.relays.peer[entry.Name], p.duration)
 	case SilencePeer:
 		in.relays.peer[entry.Name].Silence()
 		return entry.Name, nil
@@ -98,39 +99,39 @@
 		in.relays.engine[engine.Name].Cut()
 		return engine.Name, nil
 	case RacingOperators:
-		return string(who.name), in.race(ctx, who)
+		return string(c.name), in.publishConcurrently(ctx, c)
 	case WithdrawKey:
-		in.withdraw(ctx, who)
-		return string(who.name), nil
+		in.issueAndWithdrawKey(ctx, c)
+		return string(c.name), nil
 	case PoisonRequest:
-		in.poison(ctx, who, p)
-		return string(who.name), nil
+		in.sendPoison(ctx, c, p)
+		return string(c.name), nil
 	default:
-		return in.switchBoard(p, engine, service)
+		return in.applySwitch(p, engine, service)
 	}
 }
 
-func (in *injector) switchBoard(p planned, engine, service BackendServer) (string, error) {
-	platform := in.fleet.Platform
+func (in *injector) applySwitch(p plannedFault, engine, service BackendServer) (string, error) {
+	platform := in.fleet.PlatformAddress
 	switch p.kind {
 	case LogOutage:
-		return "platform", switchFor(platform, p.duration, fields{"Outage": "Refuse"}, fields{"Outage": ""})
+		return "platform", setSwitchesFor(platform, p.duration, switchValues{"Outage": "Refuse"}, switchValues{"Outage": ""})
 	case LogHang:
-		return "platform", switchFor(platform, p.duration, fields{"Outage": "Hang"}, fields{"Outage": ""})
+		return "platform", setSwitchesFor(platform, p.duration, switchValues{"Outage": "Hang"}, switchValues{"Outage": ""})
 	case SlowAppends:
-		return "platform", switchFor(platform, p.duration, fields{"AppendDelay": time.Second}, fields{"AppendDelay": 0})
+		return "platform", setSwitchesFor(platform, p.duration, switchValues{"AppendDelay": time.Second}, switchValues{"AppendDelay": 0})
 	case LostAnswers:
-		return "platform", switchFor(platform, p.duration, fields{"LostAnswers": 0.7}, fields{"LostAnswers": 0})
+		return "platform", setSwitchesFor(platform, p.duration, switchValues{"LostAnswers": 0.7}, switchValues{"LostAnswers": 0})
 	case ListFrozen:
-		return "platform", switchFor(platform, p.duration, fields{"ListFrozen": true}, fields{"ListFrozen": false})
+		return "platform", setSwitchesFor(platform, p.duration, switchValues{"ListFrozen": true}, switchValues{"ListFrozen": false})
 	case LoseOrders:
-		return engine.Name, switchFor(engine.Listen, p.duration, fields{"LoseOrderAnswers": true}, fields{"LoseOrderAnswers": false})
+		return engine.Name, setSwitchesFor(engine.ListenAddress, p.duration, switchValues{"LoseOrderAnswers": true}, switchValues{"LoseOrderAnswers": false})
 	case LateOrders:
-		return engine.Name, switchFor(engine.Listen, p.duration, fields{"OrderDelay": 2 * time.Second}, fields{"OrderDelay": 0})
+		return engine.Name, setSwitchesFor(engine.ListenAddress, p.duration, switchValues{"OrderDelay": 2 * time.Second}, switchValues{"OrderDelay": 0})
 	case ServiceLosesReply:
-		return service.Name, switchFor(service.Listen, p.duration, fields{"LoseAnswers": true}, fields{"LoseAnswers": false})
+		return service.Name, setSwitchesFor(service.ListenAddress, p.duration, switchValues{"LoseAnswers": true}, switchValues{"LoseAnswers": false})
 	default:
-		return "", fmt.Errorf("no such fault: %s", p.kind)
+		return "", fmt.Errorf("unknown fault kind: %s", p.kind)
 	}
 }
 
@@ -148,24 +149,25 @@
 	return syscall.Kill(pid, syscall.SIGCONT)
 }
 
-// stop tells a process to end and waits until it has.
-func (in *injector) stop(name string) error {
+// terminate sends SIGTERM to a process and waits until it has exited.
+func (in *injector) terminate(name string) error {
 	pid, err := in.fleet.signal(name, syscall.SIGTERM)
 	if err != nil {
 		return err
 	}
-	if !waitExit(pid, stopWithin) {
-		return fmt.Errorf("%s has not stopped within %s", name, stopWithin)
+	if !waitExit(pid, stopTimeout) {
+		return fmt.Errorf("%s did not exit within %s of SIGTERM", name, stopTimeout)
 	}
 	return nil
 }
 
-// race lets two operators change one contract from the same revision at once.
-func (in *injector) race(ctx context.Context, c *customer) error {
+// publishConcurrently lets two operators change one contract from the same revision
+// at the same time. At most one change may be accepted.
+func (in *injector) publishConcurrently(ctx context.Context, c *customer) error {
 	var g errgroup.Group
 	for n := range 2 {
 		g.Go(func() error {
-			in.operators.change(ctx, config.KindContractPublished, Change{Organisation: c.name}, func(v *config.View) any {
+			in.operator.publishChange(ctx, config.KindContractPublished, Change{Organisation: c.name}, func(v *config.View) any {
 				next := contract.Contract{Organisation: c.name, Rate: c.rate, Burst: c.burst + galenastair.Tokens(n), Models: c.models, Services: c.services}
 				if old, ok := v.Contract(c.name); ok {
 					next.KeyHashes = old.KeyHashes
@@ -178,30 +180,32 @@
 	return g.Wait()
 }
 
-// keyLife is how long callers use a key that will be withdrawn.
-const keyLife = 2 * time.Second
+// keyUsePeriod is how long callers use a key before it is withdrawn. They keep using
+// it for twice as long afterwards, so that the check sees whether it is still accepted.
+const keyUsePeriod = 2 * time.Second
 
-func (in *injector) withdraw(ctx context.Context, c *customer) {
-	key := in.operators.giveKey(ctx, c)
-	timer.Wait(ctx, keyLife)
-	in.operators.withdrawKey(ctx, c, key)
-	timer.Wait(ctx, 2*keyLife)
+func (in *injector) issueAndWithdrawKey(ctx context.Context, c *customer) {
+	key := in.operator.issueKey(ctx, c)
+	timer.Wait(ctx, keyUsePeriod)
+	in.operator.withdrawKey(ctx, c, key)
+	timer.Wait(ctx, 2*keyUsePeriod)
 	c.dropKey(key)
 }
 
-// poison sends a request that ends each engine that runs it, again and again
-// through different entries, as an unknowing caller does.
-func (in *injector) poison(ctx context.Context, c *customer, p planned) {
-	const sends = 6
-	rng := rand.New(rand.NewPCG(uint64(p.target), uint64(p.at)))
+// sendPoison sends a request that makes every engine exit that runs it. It sends it
+// several times through randomly picked entries, as a caller does that retries without
+// knowing the cause.
+func (in *injector) sendPoison(ctx context.Context, c *customer, p plannedFault) {
+	const attempts = 6
+	rng := rand.New(rand.NewPCG(uint64(p.target), uint64(p.start)))
 	model := c.models[p.target%len(c.models)]
-	text := fmt.Sprintf("%s %d", PoisonWord, p.at)
-	for n := range sends {
+	text := fmt.Sprintf("%s %d", PoisonWord, p.start)
+	for n := range attempts {
 		q := caller.Question{
-			Entry: in.traffic.balancer.choose(rng), Key: c.key(rng), Model: model, Prompt: true, Text: text, MaxTokens: 4,
-			RequestID: galenastair.RequestID(fmt.Sprintf("poison-%d-%d", p.at, n)),
+			Entry: in.generator.balancer.pickEntry(rng), Key: c.key(rng), Model: model, Prompt: true, Text: text, MaxTokens: 4,
+			RequestID: galenastair.RequestID(fmt.Sprintf("poison-%d-%d", p.start, n)),
 		}
-		in.record.request(in.traffic.send(c, q, Request{Model: model}).Request)
+		in.recorder.addRequest(in.generator.send(c, q, Request{Model: model}).Request)
 		timer.Wait(ctx, 500*time.Millisecond)
 	}
 }
--- a/proof/observe.go
+++ b/proof/observe.go
@@ -14,49 +14,50 @@
 	"galenastair/timer"
 )
 
-// how often the fleet is looked at; changes are timed by it.
+// The status of each entry is sampled every samplePeriod, which limits how precisely the
+// propagation of a change is timed.
 const (
-	sightPeriod  = 50 * time.Millisecond
-	sightTimeout = time.Second
+	samplePeriod  = 50 * time.Millisecond
+	sampleTimeout = time.Second
 )
 
-// observer looks at every entry's status and every engine's memory.
+// observer samples the status of every entry and the memory use of every engine.
 type observer struct {
-	fleet  *Fleet
-	record *recorder
-	client *http.Client
+	fleet    *Fleet
+	recorder *recorder
+	client   *http.Client
 
-	mu       sync.Mutex
-	lastLead string
+	mu         sync.Mutex
+	lastLeader string
 }
 
 func newObserver(f *Fleet, r *recorder) *observer {
-	return &observer{fleet: f, record: r, client: &http.Client{Timeout: sightTimeout}}
+	return &observer{fleet: f, recorder: r, client: &http.Client{Timeout: sampleTimeout}}
 }
 
-// leader returns the member that was last seen to lead.
-func (o *observer) leader() string {
+// leaderName returns the last known leader, or the first entry if none is known yet.
+func (o *observer) leaderName() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.lastLead == "" {
+	if o.lastLeader == "" {
 		return o.fleet.Entries[0].Name
 	}
-	return o.lastLead
+	return o.lastLeader
 }
 
-// follow looks until the context ends.
-func (o *observer) follow(ctx context.Context) error {
+// run takes samples until the context is done.
+func (o *observer) run(ctx context.Context) error {
 	var g errgroup.Group
 	for _, e := range o.fleet.Entries {
-		g.Go(func() error { return every(ctx, sightPeriod, func() { o.look(ctx, e) }) })
+		g.Go(func() error { return runPeriodically(ctx, samplePeriod, func() { o.sampleStatus(ctx, e) }) })
 	}
 	for _, e := range o.fleet.Engines {
-		g.Go(func() error { return every(ctx, 4*sightPeriod, func() { o.lookAtEngine(ctx, e) }) })
+		g.Go(func() error { return runPeriodically(ctx, 4*samplePeriod, func() { o.sampleMemory(ctx, e) }) })
 	}
 	return g.Wait()
 }
 
-func every(ctx context.Context, period time.Duration, f func()) error {
+func runPeriodically(ctx context.Context, period time.Duration, f func()) error {
 	for ctx.Err() == nil {
 		f()
 		timer.Wait(ctx, period)
@@ -64,7 +65,7 @@
 	return nil
 }
 
-func (o *observer) get(ctx context.Context, url string, into any) error {
+func (o *observer) getJSON(ctx context.Context, url string, out any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
@@ -74,32 +75,32 @@
 		return err
 	}
 	defer resp.Body.Close()
-	return json.NewDecoder(resp.Body).Decode(into)
+	return json.NewDecoder(resp.Body).Decode(out)
 }
 
-func (o *observer) look(ctx context.Context, e Entry) {
-	// the status is of no earlier than this: what it does not show yet was not there
+func (o *observer) sampleStatus(ctx context.Context, e Entry) {
+	// taken before the request: a change that the status lacks had not been applied at this time
 	at := time.Now()
 	var s operator.Status
-	if o.get(ctx, "http://"+e.Operator+"/status", &s) != nil {
+	if o.getJSON(ctx, "http://"+e.OperatorAddress+"/status", &s) != nil {
 		return
 	}
-	o.record.sight(Sight{
+	o.recorder.addStatusSample(StatusSample{
 		Entry: e.Name, At: at, Ready: s.Ready, HoldsLease: s.HoldsLease,
 		ConfigurationOffset: s.ConfigurationOffset, Epoch: s.Epoch, Leader: s.Leader,
 	})
 	if s.Leader != "" && s.HoldsLease {
 		o.mu.Lock()
-		o.lastLead = string(s.Leader)
+		o.lastLeader = string(s.Leader)
 		o.mu.Unlock()
 	}
 }
 
-func (o *observer) lookAtEngine(ctx context.Context, e BackendServer) {
+func (o *observer) sampleMemory(ctx context.Context, e BackendServer) {
 	at := time.Now()
 	var r galenastair.EngineReport
-	if o.get(ctx, "http://"+e.Listen+"/control/report", &r) != nil {
+	if o.getJSON(ctx, "http://"+e.ListenAddress+"/control/report", &r) != nil {
 		return
 	}
-	o.record.load(Load{Engine: e.Name, At: at, Used: r.MemoryUsed, Total: r.MemoryTotal})
+	o.recorder.addMemorySample(MemorySample{Engine: e.Name, At: at, Used: r.MemoryUsed, Total: r.MemoryTotal})
 }
--- a/proof/operate.go
+++ b/proof/operate.go
@@ -13,27 +13,28 @@
 	"galenastair/logservice"
 )
 
-// publishTimeout bounds an operator's patience; an outage may be longer.
+// publishTimeout limits how long an operator waits for a change. An outage of the log
+// can last longer, and the outcome of the change is then unknown.
 const publishTimeout = 20 * time.Second
 
-// Operators plays those who publish contracts and keys.
-type Operators struct {
-	log    galenastair.Log
-	record *recorder
+// Operator publishes contracts and keys as operators of the system do.
+type Operator struct {
+	log      galenastair.Log
+	recorder *recorder
 }
 
-func newOperators(f *Fleet, r *recorder) *Operators {
-	return &Operators{log: logservice.New(f.Platform), record: r}
+func newOperator(f *Fleet, r *recorder) *Operator {
+	return &Operator{log: logservice.New(f.PlatformAddress), recorder: r}
 }
 
-// NewOperators returns operators whose changes nobody records.
-func NewOperators(f *Fleet) *Operators { return newOperators(f, &recorder{}) }
+// NewOperator returns an operator whose changes are recorded in no history.
+func NewOperator(f *Fleet) *Operator { return newOperator(f, &recorder{}) }
 
-var errRejected = eris.New("the contract was not accepted")
+var errRejected = eris.New("contract not accepted")
 
-// Publish puts a contract in force in place of the present one.
-func (o *Operators) Publish(ctx context.Context, next contract.Contract) error {
-	done := o.change(ctx, config.KindContractPublished, Change{Organisation: next.Organisation}, func(v *config.View) any {
+// Publish publishes a contract that replaces the present one.
+func (o *Operator) Publish(ctx context.Context, next contract.Contract) error {
+	done := o.publishChange(ctx, config.KindContractPublished, Change{Organisation: next.Organisation}, func(v *config.View) any {
 		return config.ContractPublished{Base: v.Latest(next.Organisation).Offset, Contract: next}
 	})
 	if !done.Accepted {
@@ -42,23 +43,24 @@
 	return nil
 }
 
-// change publishes one record and writes down what became of it.
-func (o *Operators) change(ctx context.Context, kind galenastair.RecordKind, c Change, body func(*config.View) any) Change {
+// publishChange publishes the record that body returns for the current configuration,
+// and adds the change with its outcome to the history.
+func (o *Operator) publishChange(ctx context.Context, kind galenastair.RecordKind, c Change, body func(*config.View) any) Change {
 	ctx, cancel := context.WithTimeout(ctx, publishTimeout)
 	defer cancel()
-	c.Kind, c.Start, c.Unsure = kind, time.Now(), true
+	c.Kind, c.Start, c.OutcomeUnknown = kind, time.Now(), true
 	p := config.NewPublisher(o.log)
 	v, err := p.CatchUp(ctx)
 	if err == nil {
-		c.Base = v.Latest(c.Organisation).Offset
-		c = o.publish(ctx, p, kind, c, body(v))
+		c.BaseOffset = v.Latest(c.Organisation).Offset
+		c = o.publishRecord(ctx, p, kind, c, body(v))
 	}
 	c.End = time.Now()
-	o.record.change(c)
+	o.recorder.addChange(c)
 	return c
 }
 
-func (o *Operators) publish(ctx context.Context, p *config.Publisher, kind galenastair.RecordKind, c Change, body any) Change {
+func (o *Operator) publishRecord(ctx context.Context, p *config.Publisher, kind galenastair.RecordKind, c Change, body any) Change {
 	r, err := config.NewRecord(kind, "operator", body)
 	if err != nil {
 		return c
@@ -67,13 +69,13 @@
 	if err != nil {
 		return c
 	}
-	c.Unsure, c.Offset, c.Accepted = false, v.Offset, v.Outcome == config.Accepted
+	c.OutcomeUnknown, c.Offset, c.Accepted = false, v.Offset, v.Outcome == config.Accepted
 	return c
 }
 
-// contract puts a customer's contract in force.
-func (o *Operators) contract(ctx context.Context, c *customer) Change {
-	return o.change(ctx, config.KindContractPublished, Change{Organisation: c.name}, func(v *config.View) any {
+// publishContract publishes a customer's contract and keeps the keys of the present one.
+func (o *Operator) publishContract(ctx context.Context, c *customer) Change {
+	return o.publishChange(ctx, config.KindContractPublished, Change{Organisation: c.name}, func(v *config.View) any {
 		next := contract.Contract{Organisation: c.name, Rate: c.rate, Burst: c.burst, Models: c.models, Services: c.services}
 		if old, ok := v.Contract(c.name); ok {
 			next.KeyHashes = old.KeyHashes
@@ -82,11 +84,12 @@
 	})
 }
 
-// giveKey gives a customer a new key, which its callers use from then on.
-func (o *Operators) giveKey(ctx context.Context, c *customer) string {
+// issueKey publishes a new key of a customer. If the record is accepted, the
+// customer's callers use the key from then on.
+func (o *Operator) issueKey(ctx context.Context, c *customer) string {
 	key := rand.Text()
 	hash := galenastair.HashKey(key)
-	done := o.change(ctx, config.KindKeyGiven, Change{Organisation: c.name, Key: hash}, func(*config.View) any {
+	done := o.publishChange(ctx, config.KindKeyGiven, Change{Organisation: c.name, Key: hash}, func(*config.View) any {
 		return config.KeyGiven{Organisation: c.name, KeyHash: hash}
 	})
 	if done.Accepted {
@@ -95,9 +98,9 @@
 	return key
 }
 
-func (o *Operators) withdrawKey(ctx context.Context, c *customer, key string) Change {
+func (o *Operator) withdrawKey(ctx context.Context, c *customer, key string) Change {
 	hash := galenastair.HashKey(key)
-	return o.change(ctx, config.KindKeyWithdrawn, Change{Organisation: c.name, Key: hash}, func(*config.View) any {
+	return o.publishChange(ctx, config.KindKeyWithdrawn, Change{Organisation: c.name, Key: hash}, func(*config.View) any {
 		return config.KeyWithdrawn{KeyHash: hash}
 	})
 }
--- a/proof/relays.go
+++ b/proof/relays.go
@@ -6,15 +6,17 @@
 	"galenastair/relay"
 )
 
-// Relays stand between the processes of a fleet.
+// Relays are the TCP relays between the processes of a fleet.
 type Relays struct {
-	// log, peer and engine are by the name of the process behind or before them.
+	// log has the relays from entries to the log of the platform, peer those from
+	// other instances to an entry, and engine those to backend servers, engines and
+	// plain services alike. The keys are the names of the entry or backend server.
 	log    map[string]*relay.Relay
 	peer   map[string]*relay.Relay
 	engine map[string]*relay.Relay
 }
 
-// StartRelays starts all relays of a fleet, or none.
+// StartRelays starts all relays of a fleet. If one fails to start, it closes the others.
 func StartRelays(f *Fleet) (*Relays, error) {
 	r := &Relays{log: map[string]*relay.Relay{}, peer: map[string]*relay.Relay{}, engine: map[string]*relay.Relay{}}
 	if err := r.start(f); err != nil {
@@ -26,22 +28,22 @@
 
 func (r *Relays) start(f *Fleet) error {
 	for _, e := range f.Entries {
-		if err := add(r.log, e.Name, e.Log, f.Platform); err != nil {
+		if err := addRelay(r.log, e.Name, e.LogAddress, f.PlatformAddress); err != nil {
 			return err
 		}
-		if err := add(r.peer, e.Name, e.Peer, e.PeerListen); err != nil {
+		if err := addRelay(r.peer, e.Name, e.PeerAddress, e.PeerListenAddress); err != nil {
 			return err
 		}
 	}
 	for _, b := range append(f.Engines, f.Services...) {
-		if err := add(r.engine, b.Name, b.Address, b.Listen); err != nil {
+		if err := addRelay(r.engine, b.Name, b.Address, b.ListenAddress); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func add(to map[string]*relay.Relay, name, address, target string) error {
+func addRelay(to map[string]*relay.Relay, name, address, target string) error {
 	r, err := relay.New(target, relay.WithAddress(address))
 	if err != nil {
 		return err
@@ -50,15 +52,16 @@
 	return nil
 }
 
-// down takes a relay down for a while: open connections are cut, new ones refused.
-func down(r *relay.Relay, d time.Duration) error {
+// interrupt takes a relay down for a time: open connections are cut and new ones are
+// refused.
+func interrupt(r *relay.Relay, d time.Duration) error {
 	r.Down()
 	r.Cut()
 	time.Sleep(d)
 	return r.Up()
 }
 
-// Close ends all relays.
+// Close closes all relays.
 func (r *Relays) Close() {
 	for _, m := range []map[string]*relay.Relay{r.log, r.peer, r.engine} {
 		for _, one := range m {
@@ -67,22 +70,23 @@
 	}
 }
 
-// Traffic is how many bytes the relays have forwarded, both ways together, by the
-// name of the process that a relay belongs to.
-type Traffic struct {
-	// Platform is between an entry and the platform, Peer what others sent an
-	// entry with its answers, Engine between all entries and a backend server.
+// ByteCounts has the number of bytes that the relays have forwarded in both directions,
+// by the name of the process that a relay belongs to.
+type ByteCounts struct {
+	// Platform counts bytes between an entry and the platform, Peer the requests of
+	// other instances to an entry with the responses, and Engine bytes between all
+	// entries and a backend server.
 	Platform map[string]int64
 	Peer     map[string]int64
 	Engine   map[string]int64
 }
 
-// Traffic returns what has been forwarded so far.
-func (r *Relays) Traffic() Traffic {
-	return Traffic{Platform: count(r.log), Peer: count(r.peer), Engine: count(r.engine)}
+// ByteCounts returns the number of bytes forwarded so far.
+func (r *Relays) ByteCounts() ByteCounts {
+	return ByteCounts{Platform: byteCounts(r.log), Peer: byteCounts(r.peer), Engine: byteCounts(r.engine)}
 }
 
-func count(m map[string]*relay.Relay) map[string]int64 {
+func byteCounts(m map[string]*relay.Relay) map[string]int64 {
 	out := make(map[string]int64, len(m))
 	for name, one := range m {
 		out[name] = one.Bytes()
@@ -90,16 +94,16 @@
 	return out
 }
 
-// Since returns what was forwarded after an earlier count.
-func (t Traffic) Since(before Traffic) Traffic {
-	return Traffic{
-		Platform: difference(t.Platform, before.Platform),
-		Peer:     difference(t.Peer, before.Peer),
-		Engine:   difference(t.Engine, before.Engine),
+// Sub returns the number of bytes forwarded since an earlier count.
+func (c ByteCounts) Sub(earlier ByteCounts) ByteCounts {
+	return ByteCounts{
+		Platform: subtract(c.Platform, earlier.Platform),
+		Peer:     subtract(c.Peer, earlier.Peer),
+		Engine:   subtract(c.Engine, earlier.Engine),
 	}
 }
 
-func difference(after, before map[string]int64) map[string]int64 {
+func subtract(after, before map[string]int64) map[string]int64 {
 	out := make(map[string]int64, len(after))
 	for name, n := range after {
 		out[name] = n - before[name]
--- a/proof/run.go
+++ b/proof/run.go
@@ -13,101 +13,105 @@
 	"galenastair/timer"
 )
 
-// Plan is one run to make.
-type Plan struct {
-	Seed   uint64
-	Length time.Duration
-	// Pace is the mean time between faults.
-	Pace time.Duration
-	// Outage replaces the drawn faults by one outage of the log of that length.
+// RunConfig configures one run.
+type RunConfig struct {
+	Seed     uint64
+	Duration time.Duration
+	// FaultInterval is the mean time between faults.
+	FaultInterval time.Duration
+	// Outage, if not zero, replaces the random faults by one outage of the log of
+	// this length.
 	Outage time.Duration
-	// Kill kills an entry in the outage as well.
-	Kill bool
+	// KillEntry kills an entry during that outage.
+	KillEntry bool
 }
 
-// startWithin bounds the start of a fleet: every entry ready, every model answering.
-const startWithin = 60 * time.Second
+// startTimeout limits the start of a fleet, which ends when every entry is ready
+// and every model answers.
+const startTimeout = 60 * time.Second
 
-var errStart = eris.New("the fleet has not come up")
+var errStartFailed = eris.New("fleet start failed")
 
-// Run drives a fleet through a plan and returns what was recorded.
-func Run(ctx context.Context, f *Fleet, p Plan, say func(string)) (*History, map[galenastair.Organisation]Limit, error) {
-	links, err := StartRelays(f)
+// Run runs the callers, operators and faults of one run against a fleet. It returns
+// the recorded history and the rate limit of each organisation.
+func Run(ctx context.Context, f *Fleet, cfg RunConfig, progress func(string)) (*History, map[galenastair.Organisation]Limit, error) {
+	relays, err := StartRelays(f)
 	if err != nil {
 		return nil, nil, err
 	}
-	defer links.Close()
-	record := &recorder{}
-	sights := newObserver(f, record)
+	defer relays.Close()
+	rec := &recorder{}
+	obs := newObserver(f, rec)
 	b := newBalancer(f)
-	t := &traffic{fleet: f, record: record, client: newClient(), balancer: b, seed: p.Seed}
+	g := &loadGenerator{fleet: f, recorder: rec, client: newHTTPClient(), balancer: b, seed: cfg.Seed}
 	customers := newCustomers()
-	ops := newOperators(f, record)
-	if err := start(ctx, b, t, ops, customers, say); err != nil {
+	op := newOperator(f, rec)
+	if err := prepare(ctx, b, g, op, customers, progress); err != nil {
 		return nil, nil, err
 	}
-	in := &injector{fleet: f, relays: links, record: record, sights: sights, operators: ops, traffic: t, customers: customers}
-	err = drive(ctx, p, in, b, t, sights, customers, say)
-	return &record.h, limits(customers), errors.Join(err, readFiles(f, &record.h))
+	in := &injector{fleet: f, relays: relays, recorder: rec, observer: obs, operator: op, generator: g, customers: customers}
+	err = runWorkload(ctx, cfg, in, b, g, obs, customers, progress)
+	return &rec.history, contractLimits(customers), errors.Join(err, readJournals(f, &rec.history))
 }
 
-// start publishes the contracts and waits until all that they promise is there.
-func start(ctx context.Context, b *balancer, t *traffic, ops *Operators, customers []*customer, say func(string)) error {
-	ctx, cancel := context.WithTimeout(ctx, startWithin)
+// prepare publishes the contracts and keys, and waits until every entry is ready
+// and every model of each contract answers.
+func prepare(ctx context.Context, b *balancer, g *loadGenerator, op *Operator, customers []*customer, progress func(string)) error {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for _, c := range customers {
-		if !ops.contract(ctx, c).Accepted {
-			return eris.Wrapf(errStart, "the contract of %s was not accepted", c.name)
+		if !op.publishContract(ctx, c).Accepted {
+			return eris.Wrapf(errStartFailed, "contract of %s was not accepted", c.name)
 		}
-		ops.giveKey(ctx, c)
+		op.issueKey(ctx, c)
 	}
-	say("contracts published")
-	if err := b.awaitAll(ctx); err != nil {
+	progress("contracts published")
+	if err := b.waitAllReady(ctx); err != nil {
 		return err
 	}
-	say("entries ready")
-	return awaitModels(ctx, t, customers)
+	progress("entries ready")
+	return waitModelsReady(ctx, g, customers)
 }
 
-// AwaitReady waits until every entry of a fleet takes requests.
-func AwaitReady(ctx context.Context, f *Fleet) error {
-	ctx, cancel := context.WithTimeout(ctx, startWithin)
+// WaitReady waits until every entry of a fleet is ready.
+func WaitReady(ctx context.Context, f *Fleet) error {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	return newBalancer(f).awaitAll(ctx)
+	return newBalancer(f).waitAllReady(ctx)
 }
 
-func awaitModels(ctx context.Context, t *traffic, customers []*customer) error {
+func waitModelsReady(ctx context.Context, g *loadGenerator, customers []*customer) error {
 	for _, c := range customers {
 		for _, m := range c.models {
-			for !t.probe(c, m) {
+			for !g.modelAnswers(c, m) {
 				if ctx.Err() != nil {
-					return eris.Wrapf(errStart, "%s does not answer %s", m, c.name)
+					return eris.Wrapf(errStartFailed, "model %s does not answer requests of %s", m, c.name)
 				}
-				timer.Wait(ctx, balancerPeriod)
+				timer.Wait(ctx, healthCheckPeriod)
 			}
 		}
 	}
 	return nil
 }
 
-// drive plays callers, observers and faults at once. Callers go on for a while
-// after the last fault, and observers after the callers.
-func drive(ctx context.Context, p Plan, in *injector, b *balancer, t *traffic, sights *observer, customers []*customer, say func(string)) error {
-	calling, stopCalls := context.WithTimeout(ctx, p.Length)
-	defer stopCalls()
-	looking, stopLooks := context.WithCancel(ctx)
-	defer stopLooks()
-	var looks, calls errgroup.Group
-	looks.Go(func() error { return b.follow(looking) })
-	looks.Go(func() error { return sights.follow(looking) })
+// runWorkload runs callers, observers and faults concurrently. Callers continue for
+// a while after the last fault, and observers until the last caller has finished.
+func runWorkload(ctx context.Context, cfg RunConfig, in *injector, b *balancer, g *loadGenerator, obs *observer, customers []*customer, progress func(string)) error {
+	callCtx, cancelCalls := context.WithTimeout(ctx, cfg.Duration)
+	defer cancelCalls()
+	observeCtx, cancelObservers := context.WithCancel(ctx)
+	defer cancelObservers()
+	var observers, callers errgroup.Group
+	observers.Go(func() error { return b.run(observeCtx) })
+	observers.Go(func() error { return obs.run(observeCtx) })
 	for n, c := range customers {
-		calls.Go(func() error { return t.play(calling, c, n) })
+		callers.Go(func() error { return g.run(callCtx, c, n) })
 	}
-	plan := p.faults()
-	say(fmt.Sprintf("seed %d: %d faults in %s", p.Seed, len(plan), p.Length))
-	err := in.run(calling, plan)
-	say("faults over")
-	err = errors.Join(err, calls.Wait())
-	stopLooks()
-	return errors.Join(err, looks.Wait())
+	schedule := cfg.schedule()
+	progress(fmt.Sprintf("seed %d: %d faults in %s", cfg.Seed, len(schedule), cfg.Duration))
+	err := in.run(callCtx, schedule)
+	progress("fault injection finished")
+	err = errors.Join(err, callers.Wait())
+	cancelObservers()
+	return errors.Join(err, observers.Wait())
 }
--- a/proof/switches.go
+++ b/proof/switches.go
@@ -10,23 +10,23 @@
 	"github.com/rotisserie/eris"
 )
 
-// switchTimeout bounds a word to a stand-in, which may be dead or paused.
+// switchTimeout limits a request to a stand-in, which may be dead or paused.
 const switchTimeout = 2 * time.Second
 
-// A stand-in that was ended is up again, without the fault, well within these tries.
+// A stand-in that was killed has been restarted, without the fault, well before the last attempt.
 const (
-	undoTries = 10
-	undoPause = 100 * time.Millisecond
+	resetAttempts   = 10
+	resetRetryDelay = 100 * time.Millisecond
 )
 
-var errSwitch = eris.New("the stand-in did not take the switch")
+var errSwitchRejected = eris.New("stand-in rejected the switch")
 
-// fields are the switches that a fault sets; those it does not name stay.
-type fields map[string]any
+// switchValues has new values of switches by name; other switches keep theirs.
+type switchValues map[string]any
 
-// setSwitches changes switches of the stand-in at an address.
-func setSwitches(address string, set fields) error {
-	body, err := json.Marshal(set)
+// setSwitches sets switches of the stand-in at an address.
+func setSwitches(address string, values switchValues) error {
+	body, err := json.Marshal(values)
 	if err != nil {
 		return err
 	}
@@ -42,29 +42,29 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return eris.Wrapf(errSwitch, "status %d", resp.StatusCode)
+		return eris.Wrapf(errSwitchRejected, "status %d", resp.StatusCode)
 	}
 	return nil
 }
 
-// switchFor sets switches for a while, then the ones that undo them.
-func switchFor(address string, d time.Duration, set, undo fields) error {
+// setSwitchesFor sets switches, waits for d and sets them back to the values in reset.
+func setSwitchesFor(address string, d time.Duration, set, reset switchValues) error {
 	if err := setSwitches(address, set); err != nil {
 		return err
 	}
 	time.Sleep(d)
-	return undoSwitches(address, undo)
+	return resetSwitches(address, reset)
 }
 
-// undoSwitches tries again while the stand-in is too busy to answer: a fault would otherwise last
-// to the end of the run.
-func undoSwitches(address string, undo fields) error {
+// resetSwitches retries while the stand-in is too busy to answer. Without it, the fault
+// would last until the end of the run.
+func resetSwitches(address string, reset switchValues) error {
 	var err error
-	for range undoTries {
-		if err = setSwitches(address, undo); err == nil {
+	for range resetAttempts {
+		if err = setSwitches(address, reset); err == nil {
 			return nil
 		}
-		time.Sleep(undoPause)
+		time.Sleep(resetRetryDelay)
 	}
 	return err
 }
--- a/proof/switches_test.go
+++ b/proof/switches_test.go
@@ -11,9 +11,10 @@
 	"github.com/matryer/is"
 )
 
-// A stand-in does not answer the first word that ends an outage, which then lasted to the end of
-// the run while the history showed a short one.
-func TestFaultEndsAtAStandinThatMissesTheFirstUndo(t *testing.T) {
+// Guards against an outage that lasts until the end of the run while the history shows a
+// short one. That happens if the stand-in does not answer the first request that ends the
+// outage and the driver does not repeat it.
+func TestSwitchResetIsRetried(t *testing.T) {
 	is := is.New(t)
 	var calls atomic.Int64
 	standin := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -23,6 +24,6 @@
 	}))
 	defer standin.Close()
 	address := strings.TrimPrefix(standin.URL, "http://")
-	is.NoErr(switchFor(address, time.Millisecond, fields{"Outage": "Hang"}, fields{"Outage": ""}))
+	is.NoErr(setSwitchesFor(address, time.Millisecond, switchValues{"Outage": "Hang"}, switchValues{"Outage": ""}))
 	is.Equal(calls.Load(), int64(3))
 }
--- a/proof/traffic.go
+++ b/proof/traffic.go
@@ -21,31 +21,33 @@
 	"galenastair/timer"
 )
 
-// what callers send: mostly short answers, some that outlast a pause or an outage's start.
+// Callers request mostly short answers, and some that take long enough to be running
+// when a pause or an outage starts.
 const (
-	shortTokens = 12
-	longTokens  = 400
-	longShare   = 0.05
-	streamShare = 0.5
-	callShare   = 0.25
-	// lateShare of the calls that may not be repeated is sent again although the first was answered.
-	lateShare = 0.2
-	// maxResends bounds how often a caller sends such a call again.
-	maxResends      = 4
-	requestTimeout  = 30 * time.Second
-	balancerPeriod  = 250 * time.Millisecond
-	maxOpenRequests = 400
+	shortTokens      = 12
+	longTokens       = 400
+	longRequestShare = 0.05
+	streamShare      = 0.5
+	serviceCallShare = 0.25
+	// resendShare is the share of calls to plain services that are sent again although
+	// they were answered.
+	resendShare = 0.2
+	// maxCallAttempts limits how often such a call is sent in all.
+	maxCallAttempts   = 4
+	requestTimeout    = 30 * time.Second
+	healthCheckPeriod = 250 * time.Millisecond
+	maxOpenRequests   = 400
 )
 
-// customer is one organisation with its keys in force.
+// customer is one organisation with its contract and the keys that its callers use.
 type customer struct {
 	name     galenastair.Organisation
 	rate     galenastair.TokensPerSecond
 	burst    galenastair.Tokens
 	models   []galenastair.ModelName
 	services []galenastair.ServiceName
-	// perSecond is how many requests its callers send.
-	perSecond float64
+	// requestsPerSecond is the mean rate at which its callers send requests.
+	requestsPerSecond float64
 
 	mu   sync.Mutex
 	keys []string
@@ -63,53 +65,54 @@
 	c.keys = append(c.keys, key)
 }
 
-// traffic plays the callers of all organisations.
-type traffic struct {
+// loadGenerator sends requests as the callers of all organisations.
+type loadGenerator struct {
 	fleet    *Fleet
-	record   *recorder
+	recorder *recorder
 	client   *http.Client
 	balancer *balancer
 	seed     uint64
 }
 
-func newClient() *http.Client {
+func newHTTPClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxOpenRequests, IdleConnTimeout: 5 * time.Second}}
 }
 
-// play sends an organisation's requests in an open loop until the context ends,
-// then waits for those under way.
-func (t *traffic) play(ctx context.Context, c *customer, n int) error {
-	rng := rand.New(rand.NewPCG(t.seed, uint64(n)+1))
+// run sends the requests of one organisation at random intervals, whether or not
+// earlier ones were answered, until the context is done. It then waits for the open
+// requests. At most maxOpenRequests are open at once.
+func (g *loadGenerator) run(ctx context.Context, c *customer, n int) error {
+	rng := rand.New(rand.NewPCG(g.seed, uint64(n)+1))
 	var open errgroup.Group
 	open.SetLimit(maxOpenRequests)
 	for i := 0; ctx.Err() == nil; i++ {
-		gap := time.Duration(rng.ExpFloat64() / c.perSecond * float64(time.Second))
+		gap := time.Duration(rng.ExpFloat64() / c.requestsPerSecond * float64(time.Second))
 		timer.Wait(ctx, gap)
-		one := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
+		requestRNG := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
 		id := fmt.Sprintf("%s-%d", c.name, i)
 		open.Go(func() error {
-			t.one(c, id, one)
+			g.sendOne(c, id, requestRNG)
 			return nil
 		})
 	}
 	return open.Wait()
 }
 
-func (t *traffic) one(c *customer, id string, rng *rand.Rand) {
-	if len(c.services) > 0 && rng.Float64() < callShare {
-		t.bid(c, id, rng)
+func (g *loadGenerator) sendOne(c *customer, id string, rng *rand.Rand) {
+	if len(c.services) > 0 && rng.Float64() < serviceCallShare {
+		g.callService(c, id, rng)
 		return
 	}
-	t.complete(c, id, c.models[rng.IntN(len(c.models))], rng)
+	g.sendCompletion(c, id, c.models[rng.IntN(len(c.models))], rng)
 }
 
-func (t *traffic) complete(c *customer, id string, model galenastair.ModelName, rng *rand.Rand) {
+func (g *loadGenerator) sendCompletion(c *customer, id string, model galenastair.ModelName, rng *rand.Rand) {
 	tokens := galenastair.Tokens(1 + rng.IntN(shortTokens))
-	if rng.Float64() < longShare {
+	if rng.Float64() < longRequestShare {
 		tokens = longTokens
 	}
 	q := caller.Question{
-		Entry:     t.balancer.choose(rng),
+		Entry:     g.balancer.pickEntry(rng),
 		Key:       c.key(rng),
 		Model:     model,
 		Prompt:    true,
@@ -118,13 +121,13 @@
 		Stream:    rng.Float64() < streamShare,
 		RequestID: galenastair.RequestID(id),
 	}
-	r := t.send(c, q, Request{Model: model})
-	r.Right = r.served() && text(r.Model, q.Text, q.MaxTokens) == r.text
-	t.record.request(r.Request)
+	r := g.send(c, q, Request{Model: model})
+	r.Correct = r.served() && expectedText(r.Model, q.Text, q.MaxTokens) == r.text
+	g.recorder.addRequest(r.Request)
 }
 
-// text is the one right answer of a stand-in engine.
-func text(model galenastair.ModelName, prompt string, tokens galenastair.Tokens) string {
+// expectedText returns the text with which a stand-in engine must answer a prompt.
+func expectedText(model galenastair.ModelName, prompt string, tokens galenastair.Tokens) string {
 	digest := engine.Digest(prompt)
 	var b strings.Builder
 	for i := range int(tokens) {
@@ -133,56 +136,57 @@
 	return b.String()
 }
 
-type bidBody struct{ Call string }
+type callBody struct{ Call string }
 
-// bid sends a call that may not be repeated, and sends it again with the same
-// idempotency key through other entries while its outcome is not known, as a
-// caller's library does. One in some is sent again although it was answered.
-func (t *traffic) bid(c *customer, id string, rng *rand.Rand) {
-	body, _ := json.Marshal(bidBody{id})
+// callService sends a call that must run at most once. Until it is served or
+// rejected for its key, callService repeats it through randomly picked entries with the
+// same idempotency key, as a client library does. A share of the calls is repeated
+// although they were served.
+func (g *loadGenerator) callService(c *customer, id string, rng *rand.Rand) {
+	body, _ := json.Marshal(callBody{id})
 	q := caller.Question{
 		Key:            c.key(rng),
 		Service:        string(c.services[0]) + "/lots",
 		Text:           string(body),
 		IdempotencyKey: galenastair.IdempotencyKey(id),
 	}
-	late := rng.Float64() < lateShare
-	for n := range maxResends {
-		q.Entry = t.balancer.choose(rng)
+	resend := rng.Float64() < resendShare
+	for n := range maxCallAttempts {
+		q.Entry = g.balancer.pickEntry(rng)
 		q.RequestID = galenastair.RequestID(fmt.Sprintf("%s.%d", id, n))
-		r := t.send(c, q, Request{Service: c.services[0], Call: id, IdempotencyKey: q.IdempotencyKey})
-		r.Right = r.served()
-		t.record.request(r.Request)
-		if r.served() && !late || r.Status == http.StatusUnauthorized {
+		r := g.send(c, q, Request{Service: c.services[0], Call: id, IdempotencyKey: q.IdempotencyKey})
+		r.Correct = r.served()
+		g.recorder.addRequest(r.Request)
+		if r.served() && !resend || r.Status == http.StatusUnauthorized {
 			return
 		}
-		late = late && !r.served()
+		resend = resend && !r.served()
 		time.Sleep(time.Duration(rng.IntN(300)) * time.Millisecond)
 	}
 }
 
-type sent struct {
+type response struct {
 	Request
 	text string
 }
 
-func (t *traffic) send(c *customer, q caller.Question, r Request) sent {
+func (g *loadGenerator) send(c *customer, q caller.Question, r Request) response {
 	r.ID, r.Organisation, r.Key = q.RequestID, c.name, galenastair.HashKey(q.Key)
-	r.Entry = t.balancer.name(q.Entry)
+	r.Entry = g.balancer.entryName(q.Entry)
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	r.Start = time.Now()
-	a, err := caller.Ask(ctx, t.client, q)
+	a, err := caller.Ask(ctx, g.client, q)
 	r.End = time.Now()
-	r.Refused = errors.Is(err, syscall.ECONNREFUSED)
-	r.Broken = err != nil && !r.Refused || err == nil && a.Status == http.StatusOK && !a.Whole && a.Code == ""
+	r.ConnectionRefused = errors.Is(err, syscall.ECONNREFUSED)
+	r.ConnectionBroken = err != nil && !r.ConnectionRefused || err == nil && a.Status == http.StatusOK && !a.Whole && a.Code == ""
 	if err != nil {
 		r.Outcome = galenastair.Unknown
-		return sent{r, ""}
+		return response{r, ""}
 	}
 	r.Status, r.Outcome, r.Code, r.RetryAfter, r.Whole = a.Status, a.Outcome, a.Code, a.RetryAfter, a.Whole
 	r.Tokens = a.Usage.PromptTokens + a.Usage.CompletionTokens
-	return sent{r, a.Text}
+	return response{r, a.Text}
 }
 
 func (c *customer) dropKey(key string) {
@@ -191,14 +195,15 @@
 	c.keys = slices.DeleteFunc(c.keys, func(k string) bool { return k == key })
 }
 
-// probe says whether a model answers a customer; it is not part of the history.
-func (t *traffic) probe(c *customer, model galenastair.ModelName) bool {
-	rng := rand.New(rand.NewPCG(t.seed, 0))
+// modelAnswers reports whether a model answers a customer. Its request is not recorded
+// in the history.
+func (g *loadGenerator) modelAnswers(c *customer, model galenastair.ModelName) bool {
+	rng := rand.New(rand.NewPCG(g.seed, 0))
 	q := caller.Question{
-		Entry: t.balancer.choose(rng), Key: c.key(rng), Model: model, Prompt: true, Text: "ready", MaxTokens: 1,
+		Entry: g.balancer.pickEntry(rng), Key: c.key(rng), Model: model, Prompt: true, Text: "ready", MaxTokens: 1,
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	a, err := caller.Ask(ctx, t.client, q)
+	a, err := caller.Ask(ctx, g.client, q)
 	return err == nil && a.Whole
 }
