--- a/cmd/galenastair-standin/cmd_bench.go
+++ b/cmd/galenastair-standin/cmd_bench.go
@@ -20,21 +20,21 @@
 	c := load.BenchConfig{}
 	f := flag.NewFlagSet("bench", flag.ContinueOnError)
 	f.StringVar(&c.Engine, "engine", "", "address of the engine")
-	f.StringVar(&c.Entry, "entry", "", "callers' address of the entry")
+	f.StringVar(&c.Entry, "entry", "", "address at which the entry accepts requests of callers")
 	f.IntVar(&c.EngineProcess, "engine-process", 0, "process id of the engine")
 	f.IntVar(&c.EntryProcess, "entry-process", 0, "process id of the entry")
-	f.StringVar(&c.Key, "key", "", "key of an organisation with a high rate")
-	model := f.String("model", "model-1", "model to ask")
-	rates := f.String("rates", "100,1000,2000", "requests a second, with commas between")
-	f.DurationVar(&c.Duration, "duration", 5*time.Second, "how long each load lasts")
-	f.IntVar(&c.Tokens, "tokens", 1, "tokens of a short request")
-	f.IntVar(&c.Streams, "streams", 1000, "streams open at once; 0 leaves them out")
-	f.DurationVar(&c.StreamRamp, "stream-ramp", 5*time.Second, "how long the streams take to open")
-	f.IntVar(&c.StreamTokens, "stream-tokens", 300, "tokens of a stream")
-	f.Float64Var(&c.StreamSlow, "stream-slow", 30, "how many times slower the engine's steps are for streams")
-	f.Uint64Var(&c.Seed, "seed", 1, "seed of the arrivals")
-	verify := f.Bool("verify", true, "compare each answer with what the engine must give")
-	asJSON := f.Bool("json", false, "write JSON in place of a table")
+	f.StringVar(&c.Key, "key", "", "API key of an organisation with a high rate limit")
+	model := f.String("model", "model-1", "model of the requests")
+	rates := f.String("rates", "100,1000,2000", "comma-separated list of rates in requests per second")
+	f.DurationVar(&c.Duration, "duration", 5*time.Second, "duration of the load at each rate")
+	f.IntVar(&c.Tokens, "tokens", 1, "tokens in the answer to a short request")
+	f.IntVar(&c.Streams, "streams", 1000, "number of concurrent streams; 0 skips the streams")
+	f.DurationVar(&c.StreamRamp, "stream-ramp", 5*time.Second, "time within which the streams are opened")
+	f.IntVar(&c.StreamTokens, "stream-tokens", 300, "tokens in the answer of a stream")
+	f.Float64Var(&c.StreamSlow, "stream-slow", 30, "factor by which the engine's steps are slower while streams run")
+	f.Uint64Var(&c.Seed, "seed", 1, "seed of the arrival times")
+	verify := f.Bool("verify", true, "compare each answer with the expected one")
+	asJSON := f.Bool("json", false, "write JSON instead of a table")
 	if err := f.Parse(args); err != nil {
 		return err
 	}
@@ -49,7 +49,7 @@
 	if *verify {
 		c.Want = func(q load.Question) string { return engine.Expected(q.Model, q.Prompt, q.Chat, q.Tokens) }
 	}
-	c.SetSlow = func(ctx context.Context, slow float64) error { return setSlow(ctx, c.Engine, slow) }
+	c.SetSlow = func(ctx context.Context, slow float64) error { return setSlowdown(ctx, c.Engine, slow) }
 	rows, err := load.Bench(ctx, c)
 	if err != nil {
 		return err
@@ -60,8 +60,8 @@
 	return load.WriteBench(os.Stdout, rows)
 }
 
-// setSlow throws the engine's switch.
-func setSlow(ctx context.Context, address string, slow float64) error {
+// setSlowdown sets the factor by which the engine's steps are slower.
+func setSlowdown(ctx context.Context, address string, slow float64) error {
 	body, err := json.Marshal(engine.Switches{Slow: slow})
 	if err != nil {
 		return err
--- a/cmd/galenastair-standin/cmd_platform.go
+++ b/cmd/galenastair-standin/cmd_platform.go
@@ -13,23 +13,23 @@
 func runPlatform(ctx context.Context, args []string) error {
 	f := flag.NewFlagSet("platform", flag.ContinueOnError)
 	address := f.String("listen", "127.0.0.1:9000", "address to listen on")
-	models := f.Int("models", 6, "models in the catalogue, model-1 and on")
-	adapters := f.Int("adapters", 4, "adapters in the catalogue, adapter-1 and on")
-	modelMemory := f.Int64("model-memory", 20<<30, "bytes of a model")
-	adapterMemory := f.Int64("adapter-memory", 1<<30, "bytes of an adapter")
-	catalogueFile := f.String("catalogue", "", "file with a JSON list of weights, in place of -models and -adapters")
+	models := f.Int("models", 6, "number of models in the catalogue, named model-1, model-2 and so on")
+	adapters := f.Int("adapters", 4, "number of adapters in the catalogue, named adapter-1, adapter-2 and so on")
+	modelMemory := f.Int64("model-memory", 20<<30, "size of a model, in bytes")
+	adapterMemory := f.Int64("adapter-memory", 1<<30, "size of an adapter, in bytes")
+	catalogueFile := f.String("catalogue", "", "file with a JSON list of weights; replaces -models and -adapters")
 	sw := platform.DefaultSwitches()
-	f.Float64Var(&sw.AppendsPerSecond, "appends", sw.AppendsPerSecond, "appends a second; 0 is no limit")
-	f.IntVar(&sw.KeepRecords, "keep-records", sw.KeepRecords, "records that a stream keeps; 0 is all")
-	f.DurationVar(&sw.KeepFor, "keep-for", sw.KeepFor, "how long records are kept; 0 is for ever")
-	f.DurationVar(&sw.AppendDelay, "append-delay", sw.AppendDelay, "how long an append takes")
-	f.DurationVar(&sw.ListLag, "list-lag", sw.ListLag, "how old the list is that readers see")
-	f.DurationVar(&sw.SilentAfter, "silent-after", sw.SilentAfter, "when an instance without heartbeats drops off the list")
+	f.Float64Var(&sw.AppendsPerSecond, "appends", sw.AppendsPerSecond, "maximum number of appends per second; 0 means no limit")
+	f.IntVar(&sw.KeepRecords, "keep-records", sw.KeepRecords, "number of records that a stream retains; 0 means all")
+	f.DurationVar(&sw.KeepFor, "keep-for", sw.KeepFor, "how long records are retained; 0 means forever")
+	f.DurationVar(&sw.AppendDelay, "append-delay", sw.AppendDelay, "duration of an append")
+	f.DurationVar(&sw.ListLag, "list-lag", sw.ListLag, "age of the instance list that readers get")
+	f.DurationVar(&sw.SilentAfter, "silent-after", sw.SilentAfter, "time without heartbeats after which an instance is removed from the list")
 	speed := platform.DefaultStoreSpeed()
-	f.DurationVar(&speed.ModelLoad, "model-load", speed.ModelLoad, "how long a model takes to load")
-	f.IntVar(&speed.ModelsAtOnce, "models-at-once", speed.ModelsAtOnce, "models that load at full speed together")
-	f.DurationVar(&speed.AdapterLoad, "adapter-load", speed.AdapterLoad, "how long an adapter takes to load")
-	f.IntVar(&speed.AdaptersAtOnce, "adapters-at-once", speed.AdaptersAtOnce, "adapters that load at full speed together")
+	f.DurationVar(&speed.ModelLoad, "model-load", speed.ModelLoad, "time to load a model at full speed")
+	f.IntVar(&speed.ModelsAtOnce, "models-at-once", speed.ModelsAtOnce, "number of models that load at full speed concurrently")
+	f.DurationVar(&speed.AdapterLoad, "adapter-load", speed.AdapterLoad, "time to load an adapter at full speed")
+	f.IntVar(&speed.AdaptersAtOnce, "adapters-at-once", speed.AdaptersAtOnce, "number of adapters that load at full speed concurrently")
 	if err := f.Parse(args); err != nil {
 		return err
 	}
@@ -50,9 +50,9 @@
 	if err != nil {
 		return err
 	}
-	stopping, stop := context.WithCancel(context.Background())
+	handlerCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	return serve(ctx, l, p.HandlerUntil(stopping), stop)
+	return serve(ctx, l, p.HandlerUntil(handlerCtx), stop)
 }
 
 func readCatalogue(name string) ([]galenastair.Weight, error) {
--- a/cmd/galenastair-standin/cmd_prove.go
+++ b/cmd/galenastair-standin/cmd_prove.go
@@ -13,13 +13,13 @@
 
 func runProve(ctx context.Context, args []string) error {
 	f := flag.NewFlagSet("prove", flag.ContinueOnError)
-	dir := f.String("fleet", "", "directory of a fleet that scenario/fleet.sh started")
-	seed := f.Uint64("seed", 1, "the order of faults comes from it")
-	length := f.Duration("length", time.Minute, "how long callers call")
+	dir := f.String("fleet", "", "directory of a fleet that was started by scenario/fleet.sh")
+	seed := f.Uint64("seed", 1, "seed of the faults and the load")
+	length := f.Duration("length", time.Minute, "how long callers send requests")
 	pace := f.Duration("pace", 2*time.Second, "mean time between faults")
-	outage := f.Duration("outage", 0, "in place of drawn faults, one outage of the log of that length")
-	kill := f.Bool("kill", false, "kill an entry in that outage")
-	keep := f.String("history", "", "file for the whole history, as JSON")
+	outage := f.Duration("outage", 0, "inject one outage of the log of this length instead of random faults")
+	kill := f.Bool("kill", false, "kill an entry during the outage")
+	keep := f.String("history", "", "file to which the history is written as JSON")
 	if err := f.Parse(args); err != nil {
 		return err
 	}
@@ -27,21 +27,21 @@
 	if err != nil {
 		return err
 	}
-	say := func(text string) { fmt.Println("proof:", text) }
-	h, limits, err := proof.Run(ctx, fleet, proof.RunConfig{Seed: *seed, Duration: *length, FaultInterval: *pace, Outage: *outage, KillEntry: *kill}, say)
+	progress := func(text string) { fmt.Println("proof:", text) }
+	h, limits, err := proof.Run(ctx, fleet, proof.RunConfig{Seed: *seed, Duration: *length, FaultInterval: *pace, Outage: *outage, KillEntry: *kill}, progress)
 	if err != nil {
 		return err
 	}
-	if err := keepHistory(*keep, h); err != nil {
+	if err := writeHistory(*keep, h); err != nil {
 		return err
 	}
 	if n := proof.Report(os.Stdout, h, proof.Check(h, limits, proof.DefaultBounds()), 1); n > 0 {
-		return fmt.Errorf("%d points violated; 'make proof SEED=%d' makes the same run again", n, *seed)
+		return fmt.Errorf("%d invariants violated; run 'make proof SEED=%d' to repeat the run", n, *seed)
 	}
 	return nil
 }
 
-func keepHistory(path string, h *proof.History) error {
+func writeHistory(path string, h *proof.History) error {
 	if path == "" {
 		return nil
 	}
--- a/cmd/galenastair-standin/cmd_replica.go
+++ b/cmd/galenastair-standin/cmd_replica.go
@@ -16,22 +16,23 @@
 	"galenastair/timer"
 )
 
-// beatPeriod is how often a replica registers.
-const beatPeriod = 500 * time.Millisecond
+// registrationPeriod is the interval at which a replica renews its registration.
+const registrationPeriod = 500 * time.Millisecond
 
-// runReplica serves a backend server of the users' platform and registers it with the
-// store. Beside its own protocol it takes POST /switch?name=N&on=true for its faults.
+// runReplica runs a backend server of the users' platform and registers it with the
+// metadata store. Besides the protocol of the backend server it handles POST
+// /switch?name=N&on=true, which switches a fault on or off.
 func runReplica(ctx context.Context, args []string) error {
 	f := flag.NewFlagSet("replica", flag.ContinueOnError)
 	s := replica.Settings{Slots: 8, Events: 6}
-	f.StringVar(&s.ID, "id", "", "its id")
-	f.StringVar(&s.Service, "service", "", "its service")
-	f.StringVar(&s.Zone, "zone", "", "its availability zone")
+	f.StringVar(&s.ID, "id", "", "id of the backend server")
+	f.StringVar(&s.Service, "service", "", "name of its service")
+	f.StringVar(&s.Zone, "zone", "", "availability zone")
 	f.StringVar(&s.Address, "listen", "127.0.0.1:0", "address to listen on")
-	f.IntVar(&s.Places, "places", 0, "models that it holds at most; 0 for a plain service")
-	f.IntVar(&s.Adapters, "adapters", 2, "adapters that it holds at most")
-	models := f.String("models", "", "models that it holds at first, with commas between them")
-	store := f.String("store", "", "the store's address")
+	f.IntVar(&s.Places, "places", 0, "maximum number of loaded models; 0 for a plain service")
+	f.IntVar(&s.Adapters, "adapters", 2, "maximum number of loaded adapters")
+	models := f.String("models", "", "comma-separated names of models that are loaded at the start")
+	store := f.String("store", "", "address of the metadata store")
 	if err := f.Parse(args); err != nil {
 		return err
 	}
@@ -46,20 +47,20 @@
 	r := replica.New(s)
 	mux := http.NewServeMux()
 	mux.Handle("/", r.Handler())
-	mux.HandleFunc("POST /switch", func(w http.ResponseWriter, req *http.Request) { switchReplica(r, w, req) })
+	mux.HandleFunc("POST /switch", func(w http.ResponseWriter, req *http.Request) { handleReplicaSwitch(r, w, req) })
 	ctx, cancel := context.WithCancel(ctx)
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
-		beat(ctx, r, *store, s.ID)
+		defer close(done)
+		registerPeriodically(ctx, r, *store, s.ID)
 	}()
 	err = serve(ctx, l, mux, func() {})
 	cancel()
-	<-ended
+	<-done
 	return err
 }
 
-func switchReplica(r *replica.Replica, w http.ResponseWriter, req *http.Request) {
+func handleReplicaSwitch(r *replica.Replica, w http.ResponseWriter, req *http.Request) {
 	on := req.URL.Query().Get("on") == "true"
 	switch req.URL.Query().Get("name") {
 	case "cut":
@@ -78,14 +79,15 @@
 	}
 }
 
-// beat registers until the context ends; a store that is away is asked again.
-func beat(ctx context.Context, r *replica.Replica, store, id string) {
+// registerPeriodically renews the registration until the context is done. It retries
+// in the next period if the store cannot be reached.
+func registerPeriodically(ctx context.Context, r *replica.Replica, store, id string) {
 	target := "http://" + store + "/put?topic=" + replica.RegistrationTopic + "&key=" + url.QueryEscape(id)
 	for ctx.Err() == nil {
 		if err := putRegistration(ctx, target, r.Registration()); err != nil && ctx.Err() == nil {
 			fmt.Fprintln(os.Stderr, "galenastair-standin replica:", err)
 		}
-		timer.Wait(ctx, beatPeriod)
+		timer.Wait(ctx, registrationPeriod)
 	}
 }
 
--- a/cmd/galenastair-standin/cmd_service.go
+++ b/cmd/galenastair-standin/cmd_service.go
@@ -14,15 +14,15 @@
 func runService(ctx context.Context, args []string) error {
 	f := flag.NewFlagSet("service", flag.ContinueOnError)
 	address := f.String("listen", "127.0.0.1:0", "address to listen on")
-	advertise := f.String("advertise", "", "address in the instance list; the listening one by default")
-	journalPath := f.String("journal", "", "file to which each run is appended")
-	platformAddress := f.String("platform", "", "address of the platform; empty to run alone")
+	advertise := f.String("advertise", "", "address in the instance list; by default the address that it listens on")
+	journalPath := f.String("journal", "", "file to which the service appends each call that it runs")
+	platformAddress := f.String("platform", "", "address of the platform; empty to run without one")
 	id := f.String("id", "service-"+uuid.NewString()[:8], "id in the instance list")
 	name := f.String("name", "bids", "name of the plain service")
 	zone := f.String("zone", "zone-1", "availability zone")
 	var sw service.Switches
-	f.DurationVar(&sw.Delay, "delay", 0, "how long a call takes")
-	notice := f.Duration("leave-notice", defaultNotice, "how long it takes requests after SIGTERM")
+	f.DurationVar(&sw.Delay, "delay", 0, "duration of a call")
+	notice := f.Duration("leave-notice", defaultLeaveNotice, "how long it accepts requests after SIGTERM")
 	if err := f.Parse(args); err != nil {
 		return err
 	}
@@ -31,7 +31,7 @@
 		return err
 	}
 	s := service.New(service.WithJournal(j))
-	s.Switch(func(now *service.Switches) { *now = sw })
+	s.Switch(func(current *service.Switches) { *current = sw })
 	l, err := listen(*address)
 	if err != nil {
 		return err
@@ -39,7 +39,7 @@
 	r := register(*platformAddress, galenastair.ListedInstance{
 		ID:               *id,
 		Role:             galenastair.RoleService,
-		Address:          advertised(*advertise, l),
+		Address:          advertisedAddress(*advertise, l),
 		AvailabilityZone: galenastair.AvailabilityZone(*zone),
 		Service:          galenastair.ServiceName(*name),
 	})
--- a/cmd/galenastair-standin/cmd_store.go
+++ b/cmd/galenastair-standin/cmd_store.go
@@ -9,9 +9,9 @@
 	"galenastair/standin/metastore"
 )
 
-// runStore serves the users' platform's metadata store. Beside its own protocol it
-// takes POST /put?topic=T&key=K with the value as the body, for the operator and the
-// replicas, and POST /switch?name=N&on=true for its faults.
+// runStore runs the metadata store of the users' platform. Besides the protocol of the
+// store it handles POST /put?topic=T&key=K, with which operators and replicas store the
+// value in the body, and POST /switch?name=N&on=true, which switches a fault on or off.
 func runStore(ctx context.Context, args []string) error {
 	f := flag.NewFlagSet("store", flag.ContinueOnError)
 	address := f.String("listen", "127.0.0.1:0", "address to listen on")
--- a/cmd/galenastair-standin/main.go
+++ b/cmd/galenastair-standin/main.go
@@ -1,5 +1,6 @@
-// Command galenastair-standin stands in for the platform, model engines and
-// plain services in tests and in the demo.
+// Command galenastair-standin provides stand-ins for the platform, model engines and
+// plain services, for tests and the demo, and the benchmark and fault injection that
+// use them.
 package main
 
 import (
@@ -13,7 +14,7 @@
 	"syscall"
 )
 
-// command is one subcommand; help is made from the table of them.
+// command is a subcommand; the usage text is generated from the list of commands.
 type command struct {
 	name    string
 	summary string
@@ -21,13 +22,13 @@
 }
 
 var commands = []command{
-	{"platform", "the platform: log, instance list, weight store", runPlatform},
-	{"engine", "a model engine", runEngine},
-	{"service", "a plain service", runService},
-	{"store", "the users' platform: its metadata store", runStore},
-	{"replica", "a backend server of the users' platform", runReplica},
-	{"bench", "a load on an engine, directly and through an entry, compared", runBench},
-	{"prove", "drive a running fleet through faults and check what must always hold", runProve},
+	{"platform", "run the platform: log, instance list and weight store", runPlatform},
+	{"engine", "run a model engine", runEngine},
+	{"service", "run a plain service", runService},
+	{"store", "run the metadata store of the users' platform", runStore},
+	{"replica", "run a backend server of the users' platform", runReplica},
+	{"bench", "benchmark an engine directly and through an entry", runBench},
+	{"prove", "inject faults into a running fleet and check its invariants", runProve},
 }
 
 func main() {
@@ -51,7 +52,7 @@
 		}
 	}
 	usage(out)
-	return fmt.Errorf("no command %q", args[0])
+	return fmt.Errorf("unknown command %q", args[0])
 }
 
 func usage(out io.Writer) {
--- a/cmd/galenastair-standin/serve.go
+++ b/cmd/galenastair-standin/serve.go
@@ -15,10 +15,11 @@
 	"galenastair/logservice"
 )
 
-// stopWithin bounds how long open requests may take to end on SIGTERM.
-const stopWithin = 30 * time.Second
+// shutdownTimeout limits how long open requests may take to finish after SIGTERM.
+const shutdownTimeout = 30 * time.Second
 
-// listen opens the listener and tells on standard output where, for scripts that let the system choose the port.
+// listen opens a listener and prints its address to standard output, for scripts that
+// let the system choose the port.
 func listen(address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -28,22 +29,25 @@
 	return l, nil
 }
 
-// advertised is where others reach the listener: through a relay, in proofs.
-func advertised(address string, l net.Listener) string {
+// advertisedAddress returns the address at which other processes reach the listener.
+// It is that of a relay if faults are injected, and otherwise the listener's.
+func advertisedAddress(address string, l net.Listener) string {
 	if address != "" {
 		return address
 	}
 	return l.Addr().String()
 }
 
-// server returns a server that keeps open requests alive past the context.
-func server(h http.Handler) *http.Server {
+// newServer returns a server whose requests are not cancelled with the context of the
+// command, so that open requests can finish on shutdown.
+func newServer(h http.Handler) *http.Server {
 	return &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second}
 }
 
-// shutdown ends a server once its open requests have ended.
+// shutdown stops a server when its open requests have finished, and closes their
+// connections after shutdownTimeout.
 func shutdown(s *http.Server) error {
-	ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	err := s.Shutdown(ctx)
 	if errors.Is(err, context.DeadlineExceeded) {
@@ -52,78 +56,83 @@
 	return err
 }
 
-// serve runs a server on l until the context ends; leave is called before it shuts down.
+// serve runs a server on l until the context is done. It calls leave before the
+// shutdown.
 func serve(ctx context.Context, l net.Listener, h http.Handler, leave func()) error {
-	s := server(h)
-	ended := make(chan error, 1)
-	go func() { ended <- s.Serve(l) }()
+	s := newServer(h)
+	served := make(chan error, 1)
+	go func() { served <- s.Serve(l) }()
 	select {
-	case err := <-ended:
+	case err := <-served:
 		return err
 	case <-ctx.Done():
 	}
 	leave()
 	err := shutdown(s)
-	return errors.Join(err, stopped(<-ended))
+	return errors.Join(err, ignoreShutdownError(<-served))
 }
 
-// stopped returns the error of what ended, unless it was asked to.
-func stopped(err error) error {
+// ignoreShutdownError returns err, or nil if err only says that a shutdown was
+// requested.
+func ignoreShutdownError(err error) error {
 	if errors.Is(err, context.Canceled) || errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
 	return err
 }
 
-// registration keeps a process on the platform's list.
+// registration keeps an instance on the platform's instance list.
 type registration struct {
-	client *logservice.Client
-	self   galenastair.ListedInstance
-	ended  chan error
-	cancel context.CancelFunc
+	client   *logservice.Client
+	instance galenastair.ListedInstance
+	done     chan error
+	cancel   context.CancelFunc
 }
 
-// register announces self until leave; no platform address means no list.
-func register(platformAddress string, self galenastair.ListedInstance) *registration {
+// register starts to announce an instance, which continues until leave is called.
+// Without a platform address it returns nil, whose methods do nothing.
+func register(platformAddress string, instance galenastair.ListedInstance) *registration {
 	if platformAddress == "" {
 		return nil
 	}
 	logger := log.NewLogfmtLogger(log.NewSyncWriter(os.Stderr))
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &registration{logservice.New(platformAddress), self, make(chan error, 1), cancel}
+	r := &registration{logservice.New(platformAddress), instance, make(chan error, 1), cancel}
 	go func() {
-		r.ended <- r.client.Register(ctx, func() galenastair.ListedInstance { return self }, func(err error) {
-			_ = logger.Log("msg", "not registered", "id", self.ID, "err", err)
+		r.done <- r.client.Register(ctx, func() galenastair.ListedInstance { return instance }, func(err error) {
+			_ = logger.Log("msg", "registration failed", "id", instance.ID, "err", err)
 		})
 	}()
 	return r
 }
 
-// defaultNotice is how long a leaving process goes on taking requests: the list
-// shows the mark with a lag, and until then requests still come.
-const defaultNotice = 500 * time.Millisecond
+// defaultLeaveNotice is how long a leaving process continues to accept requests. The
+// instance list shows with a lag that the process is leaving, and until then entries
+// still send it requests.
+const defaultLeaveNotice = 500 * time.Millisecond
 
-// leave shows the leaving mark and waits until readers of the list can have seen it.
+// leave marks the instance as leaving on the list, and waits for notice so that readers
+// of the list can see it.
 func (r *registration) leave(notice time.Duration) {
 	if r == nil {
 		return
 	}
 	r.cancel()
-	_ = stopped(<-r.ended)
-	r.self.Leaving = true
+	_ = ignoreShutdownError(<-r.done)
+	r.instance.Leaving = true
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_ = r.client.Announce(ctx, r.self)
+	_ = r.client.Announce(ctx, r.instance)
 	time.Sleep(notice)
 }
 
-// withdraw takes the process off the list.
+// withdraw removes the instance from the list.
 func (r *registration) withdraw() {
 	if r == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_ = r.client.Withdraw(ctx, r.self.ID)
+	_ = r.client.Withdraw(ctx, r.instance.ID)
 	r.client.Close()
 }
