--- a/peer/planning/changes.go
+++ b/peer/planning/changes.go
@@ -14,16 +14,16 @@
 			Server:   string(c.ID),
 			Gone:     c.Gone,
 			Fresh:    c.Fresh,
-			Identity: encodeIdentity(c.Identity),
+			Identity: encodeAttributes(c.Identity),
 			Beat:     c.Beat,
-			Added:    encodeNames(c.Added),
-			Dropped:  encodeNames(c.Dropped),
+			Added:    encodeModelNames(c.Added),
+			Dropped:  encodeModelNames(c.Dropped),
 		})
 	}
 	return out
 }
 
-func encodeIdentity(s *pool.Server) *planningpb.Identity {
+func encodeAttributes(s *pool.Server) *planningpb.Identity {
 	if s == nil {
 		return nil
 	}
@@ -37,7 +37,7 @@
 	}
 }
 
-func encodeNames(names []galenastair.ModelName) []string {
+func encodeModelNames(names []galenastair.ModelName) []string {
 	var out []string
 	for _, n := range names {
 		out = append(out, string(n))
@@ -53,16 +53,16 @@
 			ID:       id,
 			Gone:     c.Gone,
 			Fresh:    c.Fresh,
-			Identity: decodeIdentity(id, c),
+			Identity: decodeAttributes(id, c),
 			Beat:     c.Beat,
-			Added:    decodeNames(c.Added),
-			Dropped:  decodeNames(c.Dropped),
+			Added:    decodeModelNames(c.Added),
+			Dropped:  decodeModelNames(c.Dropped),
 		})
 	}
 	return out
 }
 
-func decodeIdentity(id galenastair.BackendServerID, c *planningpb.Change) *pool.Server {
+func decodeAttributes(id galenastair.BackendServerID, c *planningpb.Change) *pool.Server {
 	i := c.Identity
 	if i == nil {
 		return nil
@@ -79,7 +79,7 @@
 	}
 }
 
-func decodeNames(names []string) []galenastair.ModelName {
+func decodeModelNames(names []string) []galenastair.ModelName {
 	var out []galenastair.ModelName
 	for _, n := range names {
 		out = append(out, galenastair.ModelName(n))
--- a/peer/planning/client.go
+++ b/peer/planning/client.go
@@ -14,46 +14,48 @@
 	"galenastair/quota"
 )
 
-// PathPrefix is where the service is mounted on the peers' port.
+// PathPrefix is the path prefix of the service on the peers' port.
 const PathPrefix = planningpb.PlanningPathPrefix
 
-// callTimeout is far above a round trip between availability zones and a wait for the
-// planner's loop; callers of a request that waits for the answer lose no more.
+// callTimeout is well above a round trip between availability zones and the wait for the
+// planner's loop. It also bounds the delay of a request that waits for the reply.
 const callTimeout = 400 * time.Millisecond
 
-// borrowTimeout is far above what a loan takes, a few milliseconds: requests wait for it, and
-// where the lender is gone all that come until the first has given up.
-const borrowTimeout = 150 * time.Millisecond
+// blockingCallTimeout bounds Borrow, Charge and Admit, for which requests wait. They take
+// a few milliseconds; if the called instance is down, all requests that arrive until the
+// first call times out are delayed.
+const blockingCallTimeout = 150 * time.Millisecond
 
-// Client calls the instance that plans.
+// Client calls the leader and other instances.
 type Client struct{ http *http.Client }
 
-// NewClient returns a client over a pooling HTTP client.
+// NewClient returns a Client that uses an HTTP client with pooled connections.
 func NewClient(c *http.Client) *Client { return &Client{c} }
 
-func (c *Client) at(address string) planningpb.Planning {
+func (c *Client) client(address string) planningpb.Planning {
 	return planningpb.NewPlanningProtobufClient("http://"+address, c.http)
 }
 
-// Exchange tells a report and returns the planner's news.
+// Exchange sends a report and returns the leader's update.
 func (c *Client) Exchange(ctx context.Context, address string, r planner.Report) (planner.News, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reply, err := c.at(address).Exchange(ctx, encodeReport(r))
+	reply, err := c.client(address).Exchange(ctx, encodeReport(r))
 	if err != nil {
 		return planner.News{}, err
 	}
 	if !reply.Holds {
 		return planner.News{}, planner.ErrNotPlanner
 	}
-	return decodeNews(reply), nil
+	return decodeUpdate(reply), nil
 }
 
-// Need asks for a place for a model or adapter.
+// Need requests that a model or adapter be loaded on a backend server, and returns where
+// and when it will be ready.
 func (c *Client) Need(ctx context.Context, address string, name galenastair.ModelName) (planner.Promise, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reply, err := c.at(address).Need(ctx, &planningpb.NeedRequest{Name: string(name)})
+	reply, err := c.client(address).Need(ctx, &planningpb.NeedRequest{Name: string(name)})
 	if err != nil {
 		return planner.Promise{}, err
 	}
@@ -66,11 +68,11 @@
 	}, nil
 }
 
-// Borrow asks for what one request lacks.
+// Borrow requests a loan of the quota that one request lacks.
 func (c *Client) Borrow(ctx context.Context, address string, a quota.Ask) (float64, error) {
-	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
+	ctx, cancel := context.WithTimeout(ctx, blockingCallTimeout)
 	defer cancel()
-	reply, err := c.at(address).Borrow(ctx, &planningpb.Loan{Organisation: string(a.Organisation), Amount: a.Amount})
+	reply, err := c.client(address).Borrow(ctx, &planningpb.Loan{Organisation: string(a.Organisation), Amount: a.Amount})
 	if err != nil {
 		return 0, err
 	}
@@ -91,7 +93,7 @@
 		Loads:        encodeLoads(r.Loads),
 		Limits:       encodeLimits(r.Limits),
 	}
-	encodePassed(out, r.Passed)
+	encodeContribution(out, r.Passed)
 	for _, id := range r.Absent {
 		out.Absent = append(out.Absent, string(id))
 	}
@@ -148,8 +150,8 @@
 	return out
 }
 
-func decodeNews(r *planningpb.ExchangeReply) planner.News {
-	out := planner.News{Lapsed: r.Lapsed, Standing: decodeStanding(r), Loads: decodeKeyedLoads(r), Newest: r.Newest}
+func decodeUpdate(r *planningpb.ExchangeReply) planner.News {
+	out := planner.News{Lapsed: r.Lapsed, Standing: decodeAllocation(r), Loads: decodeKeyedLoads(r), Newest: r.Newest}
 	out.Limits, out.Index = decodeLimits(r.Limits), int(r.Index)
 	for _, l := range r.Loans {
 		out.Loans = append(out.Loans, quota.Ask{Organisation: galenastair.Organisation(l.Organisation), Amount: l.Amount})
--- a/peer/planning/doc.go
+++ b/peer/planning/doc.go
@@ -1,6 +1,7 @@
-// Package planning carries what instances and the planner exchange over twirp, on the
-// peers' port. Amounts are in the contract's units, unread prompts in tokens, times in
-// milliseconds. An instance that does not hold the duty answers so, and
-// planner.ErrNotPlanner comes back. Size: an exchange is some 300 bytes each way for 15
+// Package planning is the twirp client and server of calls between instances and the
+// leader, on the peers' port. Costs and loans are in the units of organisations'
+// quotas, pending prompt tokens in tokens, times in milliseconds or microseconds. An
+// instance that is not the leader replies so, and the client returns
+// planner.ErrNotPlanner. An exchange is about 300 bytes in each direction for 15
 // backend servers, a few times a second.
 package planning
--- a/peer/planning/fetch.go
+++ b/peer/planning/fetch.go
@@ -8,15 +8,15 @@
 	"galenastair/peer/planningpb"
 )
 
-// fetchTimeout is for a record of the largest size over a small link that others share; one
-// that is given up is sent again, over the same link.
+// fetchTimeout is sufficient for a record of the maximum size over a slow, shared link. A
+// fetch that times out is repeated and uses the same link again.
 const fetchTimeout = 800 * time.Millisecond
 
-// Fetch returns what another instance has read of a topic from an offset on.
+// Fetch returns the records of a topic that another instance has read, from an offset on.
 func (c *Client) Fetch(ctx context.Context, address string, t galenastair.Topic, from galenastair.Offset) (galenastair.KeyedBatch, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	reply, err := c.at(address).Fetch(ctx, &planningpb.Position{Topic: string(t), From: int64(from)})
+	reply, err := c.client(address).Fetch(ctx, &planningpb.Position{Topic: string(t), From: int64(from)})
 	if err != nil {
 		return galenastair.KeyedBatch{}, err
 	}
@@ -25,7 +25,7 @@
 	return b, nil
 }
 
-// Fetch answers with what this instance has read.
+// Fetch implements planningpb.Planning.
 func (s *server) Fetch(_ context.Context, req *planningpb.Position) (*planningpb.Records, error) {
 	b := s.planner.Fetch(galenastair.Topic(req.Topic), galenastair.Offset(req.From))
 	return &planningpb.Records{From: int64(b.From()), Skipped: int64(b.Skipped), Records: encodeRecords(b.Records)}, nil
@@ -39,8 +39,8 @@
 	return out
 }
 
-// decodeRecords takes the offsets of consecutive records from their place, as senders of
-// before there were gaps do not give them.
+// decodeRecords computes the offsets of consecutive records from their index, because older
+// senders, which never skip records, do not send offsets.
 func decodeRecords(from, skipped int64, records []*planningpb.Record) galenastair.KeyedBatch {
 	b := galenastair.KeyedBatch{Next: galenastair.Offset(from + skipped + int64(len(records))), Skipped: galenastair.Offset(skipped)}
 	for i, r := range records {
--- a/peer/planning/limits.go
+++ b/peer/planning/limits.go
@@ -39,11 +39,11 @@
 	return out
 }
 
-// Admit asks whether a request may go to a backend server that has named a limit.
-func (c *Client) Admit(ctx context.Context, address string, l ratelimit.Limit, patience time.Duration) (ratelimit.Verdict, error) {
-	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
+// Admit asks whether a request may be sent to a backend server with a rate limit.
+func (c *Client) Admit(ctx context.Context, address string, l ratelimit.Limit, maxWait time.Duration) (ratelimit.Verdict, error) {
+	ctx, cancel := context.WithTimeout(ctx, blockingCallTimeout)
 	defer cancel()
-	reply, err := c.at(address).Admit(ctx, &planningpb.AdmitRequest{Limit: encodeLimit(l), PatienceMs: uint32(patience.Milliseconds())})
+	reply, err := c.client(address).Admit(ctx, &planningpb.AdmitRequest{Limit: encodeLimit(l), PatienceMs: uint32(maxWait.Milliseconds())})
 	if err != nil {
 		return ratelimit.Verdict{}, err
 	}
@@ -53,7 +53,7 @@
 	return ratelimit.Verdict{Granted: reply.Granted, Wait: time.Duration(reply.WaitMs) * time.Millisecond}, nil
 }
 
-// Admit answers for a request that is to go to a backend server with a limit.
+// Admit implements planningpb.Planning.
 func (s *server) Admit(_ context.Context, req *planningpb.AdmitRequest) (*planningpb.AdmitReply, error) {
 	v, err := s.planner.Admit(decodeLimit(req.Limit), time.Duration(req.PatienceMs)*time.Millisecond)
 	if errors.Is(err, planner.ErrNotPlanner) {
--- a/peer/planning/loads.go
+++ b/peer/planning/loads.go
@@ -7,21 +7,22 @@
 	"galenastair/pool"
 )
 
-// fewFlights is how many requests, of which none waits to be read, make no difference to the
-// choice of a backend server: each adds some tenths of a millisecond to a token.
-const fewFlights = 6
+// minInFlight is the number of requests in flight below which a load without pending prompt
+// tokens is not sent: each request adds some tenths of a millisecond per token, so fewer do
+// not affect the choice of a backend server.
+const minInFlight = 6
 
-// unreadUnit is the prompt tokens that one unit of a message counts for.
-const unreadUnit = 64
+// pendingTokensUnit is the number of prompt tokens per unit of ExchangeReply.load_unread.
+const pendingTokensUnit = 64
 
 func encodeKeyedLoads(out *planningpb.ExchangeReply, loads map[pool.ServerKey]pool.Load) {
 	for key, l := range loads {
-		if l.Unread < unreadUnit/2 && l.Flights < fewFlights {
+		if l.Unread < pendingTokensUnit/2 && l.Flights < minInFlight {
 			continue
 		}
 		out.LoadKeys = append(out.LoadKeys, uint32(key))
 		out.LoadFlights = append(out.LoadFlights, uint32(l.Flights))
-		out.LoadUnread = append(out.LoadUnread, uint32(math.Round(l.Unread/unreadUnit)))
+		out.LoadUnread = append(out.LoadUnread, uint32(math.Round(l.Unread/pendingTokensUnit)))
 	}
 }
 
@@ -29,7 +30,7 @@
 	out := make(map[pool.ServerKey]pool.Load, len(r.LoadKeys))
 	for i, key := range r.LoadKeys {
 		if i < len(r.LoadFlights) && i < len(r.LoadUnread) {
-			out[pool.ServerKey(key)] = pool.Load{Flights: float64(r.LoadFlights[i]), Unread: unreadUnit * float64(r.LoadUnread[i])}
+			out[pool.ServerKey(key)] = pool.Load{Flights: float64(r.LoadFlights[i]), Unread: pendingTokensUnit * float64(r.LoadUnread[i])}
 		}
 	}
 	return out
--- a/peer/planning/owners.go
+++ b/peer/planning/owners.go
@@ -11,12 +11,12 @@
 	"galenastair/planner"
 )
 
-// Charge takes a request's cost from an organisation's account, at its owner; each side tells
-// the other who leads.
+// Charge charges a request's cost to an organisation's account at the instance that owns it.
+// The two instances also exchange the latest leader record that they know.
 func (c *Client) Charge(ctx context.Context, address string, o galenastair.Organisation, cost float64, known lease.Record) (account.Verdict, lease.Record, error) {
-	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
+	ctx, cancel := context.WithTimeout(ctx, blockingCallTimeout)
 	defer cancel()
-	reply, err := c.at(address).Charge(ctx, &planningpb.ChargeRequest{Organisation: string(o), Cost: cost, Leader: encodeLeader(known)})
+	reply, err := c.client(address).Charge(ctx, &planningpb.ChargeRequest{Organisation: string(o), Cost: cost, Leader: encodeLeader(known)})
 	if err != nil {
 		return account.Verdict{}, lease.Record{}, err
 	}
@@ -24,7 +24,7 @@
 	return v, decodeLeader(reply.Leader), nil
 }
 
-// Charge answers for an organisation that this instance may own.
+// Charge implements planningpb.Planning.
 func (s *server) Charge(_ context.Context, req *planningpb.ChargeRequest) (*planningpb.ChargeReply, error) {
 	v, known := s.planner.Charge(galenastair.Organisation(req.Organisation), req.Cost, decodeLeader(req.Leader))
 	return &planningpb.ChargeReply{Owned: v.Owned, Granted: v.Granted, WaitMs: uint32(v.Wait.Milliseconds()), Leader: encodeLeader(known)}, nil
--- a/peer/planning/server.go
+++ b/peer/planning/server.go
@@ -16,25 +16,25 @@
 	"galenastair/ratelimit"
 )
 
-// Planner is what answers the calls.
+// Planner handles the calls of other instances.
 type Planner interface {
 	Exchange(ctx context.Context, r planner.Report) (planner.News, error)
 	Need(ctx context.Context, name galenastair.ModelName) (planner.Promise, error)
 	Borrow(ctx context.Context, a quota.Ask) (float64, error)
-	// Charge also takes in and returns who leads.
+	// Charge takes and returns the latest known leader record beside the charge.
 	Charge(o galenastair.Organisation, cost float64, known lease.Record) (account.Verdict, lease.Record)
-	// Admit says whether a request may go to a server with a limit.
-	Admit(l ratelimit.Limit, patience time.Duration) (ratelimit.Verdict, error)
-	// Fetch returns what this instance has read of a topic from an offset on.
+	// Admit decides whether a request may be sent to a backend server with a rate limit.
+	Admit(l ratelimit.Limit, maxWait time.Duration) (ratelimit.Verdict, error)
+	// Fetch returns the records of a topic that this instance has read, from an offset on.
 	Fetch(t galenastair.Topic, from galenastair.Offset) galenastair.KeyedBatch
 }
 
 type server struct{ planner Planner }
 
-// NewServer returns the handler of the planner's side.
+// NewServer returns an HTTP handler that serves calls by p.
 func NewServer(p Planner) http.Handler { return planningpb.NewPlanningServer(&server{p}) }
 
-// Exchange takes in a report.
+// Exchange implements planningpb.Planning.
 func (s *server) Exchange(ctx context.Context, req *planningpb.ExchangeRequest) (*planningpb.ExchangeReply, error) {
 	r := planner.Report{
 		Instance:     galenastair.InstanceID(req.Instance),
@@ -43,7 +43,7 @@
 		TableVersion: req.TableVersion,
 		Stopping:     req.Stopping,
 		Seen:         req.Seen,
-		Passed:       decodePassed(req),
+		Passed:       decodeContribution(req),
 		Limits:       decodeLimits(req.Limits),
 		Loads:        decodeLoads(req.Loads),
 		Positions:    make(map[galenastair.Topic]galenastair.Offset, len(req.Positions)),
@@ -64,22 +64,22 @@
 	for _, p := range req.Positions {
 		r.Positions[galenastair.Topic(p.Topic)] = galenastair.Offset(p.From)
 	}
-	news, err := s.planner.Exchange(ctx, r)
+	update, err := s.planner.Exchange(ctx, r)
 	if errors.Is(err, planner.ErrNotPlanner) {
 		return &planningpb.ExchangeReply{}, nil
 	}
 	if err != nil {
 		return nil, err
 	}
-	return encodeNews(news), nil
+	return encodeUpdate(update), nil
 }
 
-func encodeNews(n planner.News) *planningpb.ExchangeReply {
+func encodeUpdate(n planner.News) *planningpb.ExchangeReply {
 	out := &planningpb.ExchangeReply{Holds: true, Lapsed: n.Lapsed, Newest: n.Newest}
 	encodeKeyedLoads(out, n.Loads)
 	out.Limits, out.Index = encodeLimits(n.Limits), uint32(n.Index)
 	out.Renewal, out.RenewalAgeMs = int64(n.Renewal.Offset), uint32(n.Renewal.Age.Milliseconds())
-	encodeStanding(out, n.Standing)
+	encodeAllocation(out, n.Standing)
 	encodeOwners(out, n)
 	for _, l := range n.Loans {
 		out.Loans = append(out.Loans, &planningpb.Loan{Organisation: string(l.Organisation), Amount: l.Amount})
@@ -121,7 +121,7 @@
 	return out
 }
 
-// Need answers for a model or adapter.
+// Need implements planningpb.Planning.
 func (s *server) Need(ctx context.Context, req *planningpb.NeedRequest) (*planningpb.NeedReply, error) {
 	p, err := s.planner.Need(ctx, galenastair.ModelName(req.Name))
 	if errors.Is(err, planner.ErrNotPlanner) {
@@ -133,7 +133,7 @@
 	return &planningpb.NeedReply{Holds: true, Server: string(p.Server), ReadyMs: uint32(p.Ready.Milliseconds())}, nil
 }
 
-// Borrow lends what one request lacks.
+// Borrow implements planningpb.Planning.
 func (s *server) Borrow(ctx context.Context, req *planningpb.Loan) (*planningpb.BorrowReply, error) {
 	n, err := s.planner.Borrow(ctx, quota.Ask{Organisation: galenastair.Organisation(req.Organisation), Amount: req.Amount})
 	if errors.Is(err, planner.ErrNotPlanner) {
--- a/peer/planning/standing.go
+++ b/peer/planning/standing.go
@@ -8,7 +8,7 @@
 	"galenastair/quota"
 )
 
-func encodePassed(out *planningpb.ExchangeRequest, p quota.Passed) {
+func encodeContribution(out *planningpb.ExchangeRequest, p quota.Passed) {
 	out.Fleet = uint32(p.Fleet)
 	out.Part = float64(p.Part)
 	out.PassedUs = uint64(p.Time.Microseconds())
@@ -18,7 +18,7 @@
 	}
 }
 
-func decodePassed(r *planningpb.ExchangeRequest) quota.Passed {
+func decodeContribution(r *planningpb.ExchangeRequest) quota.Passed {
 	p := quota.Passed{
 		Fleet:    int(r.Fleet),
 		Part:     quota.Part(r.Part),
@@ -32,7 +32,7 @@
 	return p
 }
 
-func encodeStanding(out *planningpb.ExchangeReply, s quota.Standing) {
+func encodeAllocation(out *planningpb.ExchangeReply, s quota.Standing) {
 	out.Fleet = uint32(s.Fleet)
 	out.Part = float64(s.Part)
 	out.Version = s.Version
@@ -41,7 +41,7 @@
 	}
 }
 
-func decodeStanding(r *planningpb.ExchangeReply) quota.Standing {
+func decodeAllocation(r *planningpb.ExchangeReply) quota.Standing {
 	s := quota.Standing{Fleet: int(r.Fleet), Part: quota.Part(r.Part), Version: r.Version}
 	for _, o := range r.Moderate {
 		s.Moderate = append(s.Moderate, galenastair.Organisation(o))
