--- a/peer/record/client.go
+++ b/peer/record/client.go
@@ -16,48 +16,51 @@
 )
 
 const (
-	// perRound is how many members are asked at a time, if there are not more
-	// availability zones: with 400 bytes for a question and its answer, asked and
-	// answered, that is 3.8 KB/s while the log is out of reach.
-	perRound = 4
-	// askTimeout is well over a round trip between zones, about 1 ms, and short
-	// beside the 2 s in which a change must be in force: a dead member holds up a round.
-	askTimeout = 500 * time.Millisecond
-	// foldTimeout bounds the transfer of a fold of some megabytes.
-	foldTimeout = 10 * time.Second
+	// membersPerRound is the number of members queried at a time, unless there are more
+	// availability zones. With 400 bytes per query and response, sent and received, that
+	// is 3.8 KB/s while the log is unreachable.
+	membersPerRound = 4
+	// readTimeout is well above a round trip between zones, about 1 ms. It is short
+	// compared to the 2 s within which a change must be in force, because a dead member
+	// delays the whole round by this time.
+	readTimeout = 500 * time.Millisecond
+	// snapshotTimeout allows for a snapshot of some megabytes.
+	snapshotTimeout = 10 * time.Second
 )
 
-// Client asks other instances.
+// Client reads streams from other instances. It implements config.PeerClient.
 type Client struct {
 	members func() []config.Peer
 	http    *http.Client
 	round   atomic.Uint64
 }
 
-// NewClient returns a client that asks the members that the function lists, this instance not among them.
+// NewClient returns a Client of the members that the function returns, which must not
+// include this instance.
 func NewClient(members func() []config.Peer) *Client {
-	// a fresh connection for each question: outages are rare, and one that went
-	// silent since the last would cost a whole timeout
+	// Connections are not reused: outages of the log are rare, and an idle connection
+	// that has been lost meanwhile would cost a whole timeout.
 	c := &Client{members: members, http: &http.Client{Transport: httpclient.NewFreshTransport()}}
-	// 370 instances begin at different members
+	// Up to 370 instances query members in the same order, so each starts at a random one.
 	c.round.Store(rand.Uint64N(1 << 20))
 	return c
 }
 
-// Members lists the other instances.
+// Members returns the other instances.
 func (c *Client) Members() []config.Peer { return c.members() }
 
-// ReadRecords asks members of each availability zone at once and returns the answers that came in time.
+// ReadRecords queries members of each availability zone in parallel and returns the
+// responses received within readTimeout.
 func (c *Client) ReadRecords(ctx context.Context, s galenastair.Stream, from galenastair.Offset) []config.Answer {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	asked := choose(c.members(), int(c.round.Add(1)))
-	replies := make(chan *config.Answer, len(asked))
-	for _, p := range asked {
-		go func() { replies <- c.ask(ctx, s, from, p) }()
+	queried := chooseMembers(c.members(), int(c.round.Add(1)))
+	replies := make(chan *config.Answer, len(queried))
+	for _, p := range queried {
+		go func() { replies <- c.readFrom(ctx, s, from, p) }()
 	}
 	var answers []config.Answer
-	for range asked {
+	for range queried {
 		if a := <-replies; a != nil {
 			answers = append(answers, *a)
 		}
@@ -65,8 +68,8 @@
 	return answers
 }
 
-// ask returns nil for a member that did not answer.
-func (c *Client) ask(ctx context.Context, s galenastair.Stream, from galenastair.Offset, p config.Peer) *config.Answer {
+// readFrom queries one member. It returns nil if the member did not respond.
+func (c *Client) readFrom(ctx context.Context, s galenastair.Stream, from galenastair.Offset, p config.Peer) *config.Answer {
 	reply, err := c.client(p).ReadRecords(ctx, &recordpb.ReadRecordsRequest{Stream: string(s), From: int64(from)})
 	if err != nil {
 		return nil
@@ -79,13 +82,13 @@
 	return a
 }
 
-// FetchFold asks one member for the snapshot of its fold.
+// FetchSnapshot returns the snapshot of the state that one member has built from a stream.
 func (c *Client) FetchFold(ctx context.Context, s galenastair.Stream, p config.Peer) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, foldTimeout)
+	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
 	reply, err := c.client(p).FetchFold(ctx, &recordpb.FetchFoldRequest{Stream: string(s)})
 	if err != nil {
-		return nil, eris.Wrapf(err, "fold of %s", p.ID)
+		return nil, eris.Wrapf(err, "fetch snapshot from %s", p.ID)
 	}
 	return reply.Snapshot, nil
 }
@@ -94,15 +97,15 @@
 	return recordpb.NewRecordsProtobufClient("http://"+p.Address, c.http)
 }
 
-// choose picks members of each zone, others in the next round.
-func choose(members []config.Peer, round int) []config.Peer {
+// chooseMembers returns members of each zone, round-robin by the number of the round.
+func chooseMembers(members []config.Peer, round int) []config.Peer {
 	zones := make(map[galenastair.AvailabilityZone][]config.Peer)
 	for _, p := range members {
 		zones[p.AvailabilityZone] = append(zones[p.AvailabilityZone], p)
 	}
 	var chosen []config.Peer
 	for _, inZone := range zones {
-		n := min(max(perRound/len(zones), 1), len(inZone))
+		n := min(max(membersPerRound/len(zones), 1), len(inZone))
 		for i := range n {
 			chosen = append(chosen, inZone[(round*n+i)%len(inZone)])
 		}
--- a/peer/record/record_test.go
+++ b/peer/record/record_test.go
@@ -33,9 +33,9 @@
 	return s.Listener.Addr().String()
 }
 
-// One peer has started and knows nothing, one is dead; the third must be enough.
-// Seen failing with the age left out of the reply.
-func TestClientTakesWhoeverAnswers(t *testing.T) {
+// One peer has no configuration yet and one is down; the response of the third, with the
+// age of the log, must be returned.
+func TestReadRecordsWithFailedPeers(t *testing.T) {
 	is := is.New(t)
 	source := func(view bool) http.Handler {
 		return NewServer(map[galenastair.Stream]Source{galenastair.ConfigurationStream: fakeSource{view}})
@@ -65,23 +65,22 @@
 	is.Equal(decodeAge(encodeAge(0)), time.Duration(0))
 }
 
-// One of two members of a zone is dead. The zone would seem silent if the same
-// member were asked each time.
-// Seen failing with round left out of choose, and with perRound one.
-func TestChooseTakesTurns(t *testing.T) {
+// Rounds must query different members: if one of two members of a zone is down and the
+// same member were queried each time, the zone would seem unreachable.
+func TestChooseMembersIsRoundRobin(t *testing.T) {
 	is := is.New(t)
 	members := []config.Peer{{ID: "a", AvailabilityZone: "1"}, {ID: "b", AvailabilityZone: "1"}}
 	for _, zone := range []galenastair.AvailabilityZone{"2", "3", "4"} {
 		members = append(members, config.Peer{ID: galenastair.InstanceID(zone), AvailabilityZone: zone})
 	}
-	asked := make(map[galenastair.InstanceID]bool)
+	queried := make(map[galenastair.InstanceID]bool)
 	for round := range 2 {
-		chosen := choose(members, round)
+		chosen := chooseMembers(members, round)
 		is.Equal(len(chosen), 4)
 		for _, p := range chosen {
-			asked[p.ID] = true
+			queried[p.ID] = true
 		}
 	}
-	is.Equal(len(asked), len(members))
-	is.Equal(len(choose(members[:3], 0)), 3) // in two zones, both members of one are asked
+	is.Equal(len(queried), len(members))
+	is.Equal(len(chooseMembers(members[:3], 0)), 3) // with two zones, both members of a zone are queried
 }
--- a/peer/record/server.go
+++ b/peer/record/server.go
@@ -11,25 +11,27 @@
 	"galenastair/peer/recordpb"
 )
 
-// PathPrefix is where the service is mounted on the peers' port.
+// PathPrefix is the path prefix of the service on the peers' port.
 const PathPrefix = recordpb.RecordsPathPrefix
 
-// Source is one stream as this instance has folded it.
+// Source provides the records of one stream that this instance holds, and a snapshot of
+// the state built from them.
 type Source interface {
 	ReadRecords(from galenastair.Offset) (galenastair.Batch, error)
 	FetchFold() ([]byte, error)
-	// LogAge is negative if the log has never answered.
+	// LogAge returns the time since the last response of the log; it is negative if there
+	// was none.
 	LogAge() time.Duration
 }
 
 type server struct{ sources map[galenastair.Stream]Source }
 
-// NewServer returns the handler that gives peers what the sources hold.
+// NewServer returns an HTTP handler that serves the sources to peers.
 func NewServer(sources map[galenastair.Stream]Source) http.Handler {
 	return recordpb.NewRecordsServer(&server{sources})
 }
 
-// ReadRecords answers a peer that cannot read the log.
+// ReadRecords implements recordpb.Records.
 func (s *server) ReadRecords(_ context.Context, req *recordpb.ReadRecordsRequest) (*recordpb.ReadRecordsReply, error) {
 	source, found := s.sources[galenastair.Stream(req.Stream)]
 	if !found {
@@ -46,7 +48,8 @@
 	return reply, nil
 }
 
-// FetchFold answers a peer that needs more than the records that are held.
+// FetchFold implements recordpb.Records. Peers call it if they need older records than
+// this instance holds.
 func (s *server) FetchFold(_ context.Context, req *recordpb.FetchFoldRequest) (*recordpb.FetchFoldReply, error) {
 	source, found := s.sources[galenastair.Stream(req.Stream)]
 	if !found {
@@ -59,7 +62,8 @@
 	return &recordpb.FetchFoldReply{Snapshot: data}, nil
 }
 
-// encodeAge leaves zero, which the codec does not tell from nothing, for never.
+// encodeAge returns milliseconds plus one. Zero means never, as proto3 does not
+// distinguish zero from a field that is not set.
 func encodeAge(age time.Duration) int64 {
 	if age < 0 {
 		return 0
