--- a/peer/demand/demand.go
+++ b/peer/demand/demand.go
@@ -14,28 +14,29 @@
 	"galenastair/peer/demandpb"
 )
 
-// PathPrefix is where the service is mounted on the peers' port.
+// PathPrefix is the path prefix of the service on the peers' port.
 const PathPrefix = demandpb.DemandPathPrefix
 
 const (
-	// leastPeriod is often enough to see a burst; it is also how often the leader forecasts.
-	leastPeriod = 5 * time.Second
-	// mostPeriod is still often for a demand that moves tenfold within an hour.
-	mostPeriod = 30 * time.Second
-	// perMember stretches the period, so that what the leader hears stays the same.
-	perMember = 550 * time.Millisecond
-	// askTimeout is well over a round trip between availability zones.
-	askTimeout = time.Second
+	// minPeriod is short enough to detect a burst; the leader also forecasts this often.
+	minPeriod = 5 * time.Second
+	// maxPeriod is short enough for demand that changes tenfold within an hour.
+	maxPeriod = 30 * time.Second
+	// periodPerMember increases the period with the number of members, so that the
+	// leader's incoming traffic stays the same.
+	periodPerMember = 550 * time.Millisecond
+	// sendTimeout is well above a round trip between availability zones.
+	sendTimeout = time.Second
 )
 
-// Period returns how often each of a number of members tells the leader.
+// Period returns the time between the reports of one member.
 func Period(members int) time.Duration {
-	return min(max(time.Duration(members)*perMember, leastPeriod), mostPeriod)
+	return min(max(time.Duration(members)*periodPerMember, minPeriod), maxPeriod)
 }
 
-// Tell tells a leader's address what was asked of an instance since it started.
+// Send reports an instance's demand since it started to the leader at an address.
 func Tell(ctx context.Context, c *http.Client, leader string, from galenastair.InstanceID, ds []dispatch.Demand) error {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	_, err := demandpb.NewDemandProtobufClient("http://"+leader, c).Tell(ctx, encode(from, ds))
 	return err
@@ -57,7 +58,7 @@
 	return req
 }
 
-// decode leaves out hashes of no known model: an entry may know a newer contract.
+// decode ignores hashes of unknown models: an entry may already have a newer contract.
 func decode(req *demandpb.TellRequest, known map[uint32]galenastair.ModelName) []dispatch.Demand {
 	var ds []dispatch.Demand
 	var h uint32
@@ -70,26 +71,26 @@
 	return ds
 }
 
-// Hear takes what an entry told.
-type Hear func(ctx context.Context, from galenastair.InstanceID, ds []dispatch.Demand) error
+// ReceiveFunc processes the report of an entry.
+type ReceiveFunc func(ctx context.Context, from galenastair.InstanceID, ds []dispatch.Demand) error
 
 type server struct {
-	models func() []galenastair.ModelName
-	hear   Hear
+	models  func() []galenastair.ModelName
+	receive ReceiveFunc
 }
 
-// NewServer returns the handler of the leader's side; models lists the names that
-// entries may tell of.
-func NewServer(models func() []galenastair.ModelName, hear Hear) http.Handler {
-	return demandpb.NewDemandServer(&server{models, hear})
+// NewServer returns the leader's HTTP handler. models returns the names that reports may
+// contain, which are sent as hashes.
+func NewServer(models func() []galenastair.ModelName, receive ReceiveFunc) http.Handler {
+	return demandpb.NewDemandServer(&server{models, receive})
 }
 
-// Tell takes in one entry's counts.
+// Tell implements demandpb.Demand.
 func (s *server) Tell(ctx context.Context, req *demandpb.TellRequest) (*demandpb.TellReply, error) {
 	known := map[uint32]galenastair.ModelName{}
 	for _, m := range s.models() {
 		known[hash(m)] = m
 	}
-	err := s.hear(ctx, galenastair.InstanceID(req.Instance), decode(req, known))
+	err := s.receive(ctx, galenastair.InstanceID(req.Instance), decode(req, known))
 	return &demandpb.TellReply{}, err
 }
--- a/peer/demand/demand_test.go
+++ b/peer/demand/demand_test.go
@@ -12,7 +12,8 @@
 	"galenastair/dispatch"
 )
 
-func TestDemandComesThrough(t *testing.T) {
+// encode and decode must preserve the work of each model.
+func TestDemandRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SliceOfDistinct(rapid.StringMatching(`[a-z0-9-]{1,20}`), rapid.ID[string]).Draw(t, "names")
 		known := map[uint32]galenastair.ModelName{}
@@ -27,7 +28,7 @@
 		}
 		got := decode(encode("entry-1", ds), known)
 		if len(got) != len(want) {
-			t.Fatalf("%d of %d models came through", len(got), len(want))
+			t.Fatalf("decoded %d models, want %d", len(got), len(want))
 		}
 		for _, d := range got {
 			if want[d.Model] != d.Work {
@@ -37,7 +38,8 @@
 	})
 }
 
-func TestLeaderStaysWithinItsBudget(t *testing.T) {
+// Reports of 53 members with 200 models each must take less than 3.5 KB/s at the leader.
+func TestLeaderTraffic(t *testing.T) {
 	is := is.New(t)
 	var ds []dispatch.Demand
 	for i := range 200 {
@@ -46,6 +48,6 @@
 	const members, headers = 53, 300
 	size := proto.Size(encode("entry-1", ds)) + headers
 	perSecond := float64(members*size) / Period(members).Seconds()
-	is.True(perSecond < 3.5*1024) // of the 6 KB/s that a node may spend on control
+	is.True(perSecond < 3.5*1024) // an instance may use 6 KB/s for all control traffic
 	is.Equal(Period(9), 5*time.Second)
 }
