--- a/operator/doc.go
+++ b/operator/doc.go
@@ -1,5 +1,5 @@
-// Package operator serves the operators' port: /healthz (the process works),
-// /readyz (it takes requests), /metrics (Prometheus text form) and /status (one
-// JSON object, see Status). It is kept apart from the callers' port, so that no
-// key reaches it and no caller sees it.
+// Package operator serves the operators' HTTP endpoints: /healthz (liveness), /readyz
+// (readiness), /metrics (Prometheus text format) and /status (a JSON object, see
+// Status). They have a port of their own, so that clients cannot access them and API
+// keys are never sent to them.
 package operator
--- a/operator/handler.go
+++ b/operator/handler.go
@@ -8,29 +8,29 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// State tells what an instance is doing.
-type State interface {
-	// Ready returns nil if the instance takes requests, else why not.
+// StatusReporter reports the state of an instance.
+type StatusReporter interface {
+	// Ready returns nil if the instance accepts requests, else the reason why not.
 	Ready() error
-	// Status returns what /status shows.
+	// Status returns the response to /status.
 	Status() Status
 }
 
-// NewHandler returns the handler of the operators' port.
-func NewHandler(s State, m *Metrics) http.Handler {
+// NewHandler returns the HTTP handler of the operators' port.
+func NewHandler(s StatusReporter, m *Metrics) http.Handler {
 	r := mux.NewRouter()
-	r.Methods(http.MethodGet).Path("/healthz").HandlerFunc(healthy)
-	r.Methods(http.MethodGet).Path("/readyz").HandlerFunc(ready(s))
-	r.Methods(http.MethodGet).Path("/status").HandlerFunc(status(s))
+	r.Methods(http.MethodGet).Path("/healthz").HandlerFunc(handleHealth)
+	r.Methods(http.MethodGet).Path("/readyz").HandlerFunc(readinessHandler(s))
+	r.Methods(http.MethodGet).Path("/status").HandlerFunc(statusHandler(s))
 	r.Methods(http.MethodGet).Path("/metrics").Handler(promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{}))
 	return r
 }
 
-func healthy(w http.ResponseWriter, _ *http.Request) {
+func handleHealth(w http.ResponseWriter, _ *http.Request) {
 	_, _ = w.Write([]byte("ok\n"))
 }
 
-func ready(s State) http.HandlerFunc {
+func readinessHandler(s StatusReporter) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if err := s.Ready(); err != nil {
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -40,7 +40,7 @@
 	}
 }
 
-func status(s State) http.HandlerFunc {
+func statusHandler(s StatusReporter) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(s.Status())
--- a/operator/metrics.go
+++ b/operator/metrics.go
@@ -10,27 +10,27 @@
 	"galenastair/request"
 )
 
-// the latency that users aim at for 95 of 100 requests.
+// Latency targets, to be met by 95 % of requests.
 const (
-	aimFirstToken   = 1800 * time.Millisecond
-	aimBetweenToken = 64 * time.Millisecond
+	targetTimeToFirstToken  = 1800 * time.Millisecond
+	targetInterTokenLatency = 64 * time.Millisecond
 )
 
-// Metrics counts how requests end.
+// Metrics holds the Prometheus metrics of finished requests and of orders.
 type Metrics struct {
-	registry     *prometheus.Registry
-	requests     *prometheus.CounterVec
-	attained     *prometheus.CounterVec
-	tokens       *prometheus.CounterVec
-	refused      *prometheus.CounterVec
-	orders       *prometheus.CounterVec
-	retries      prometheus.Counter
-	queued       prometheus.Histogram
-	firstToken   prometheus.Histogram
-	betweenToken prometheus.Histogram
+	registry          *prometheus.Registry
+	requests          *prometheus.CounterVec
+	attained          *prometheus.CounterVec
+	tokens            *prometheus.CounterVec
+	refusedWithinRate *prometheus.CounterVec
+	orders            *prometheus.CounterVec
+	retries           prometheus.Counter
+	queueTime         prometheus.Histogram
+	timeToFirstToken  prometheus.Histogram
+	interTokenLatency prometheus.Histogram
 }
 
-// NewMetrics returns metrics in a registry of their own.
+// NewMetrics returns Metrics with a new registry, which has no Go runtime metrics.
 func NewMetrics() *Metrics {
 	m := &Metrics{
 		registry: prometheus.NewRegistry(),
@@ -43,7 +43,7 @@
 		tokens: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "galenastair_tokens_total", Help: "Tokens that organisations were charged in the end.",
 		}, []string{"organisation"}),
-		refused: prometheus.NewCounterVec(prometheus.CounterOpts{
+		refusedWithinRate: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "galenastair_refused_within_rate_total", Help: "Requests that were refused or failed though their organisation was not over its rate.",
 		}, []string{"organisation", "code"}),
 		orders: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -52,31 +52,31 @@
 		retries: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "galenastair_retries_total", Help: "Attempts beyond the first of a request.",
 		}),
-		queued:       histogram("galenastair_queued_seconds", "Time from a request's arrival to its being sent."),
-		firstToken:   histogram("galenastair_first_token_seconds", "Time from a request's arrival to its first token."),
-		betweenToken: histogram("galenastair_between_token_seconds", "Mean time between the tokens of an answer."),
+		queueTime:         newHistogram("galenastair_queued_seconds", "Time from a request's arrival to its being sent."),
+		timeToFirstToken:  newHistogram("galenastair_first_token_seconds", "Time from a request's arrival to its first token."),
+		interTokenLatency: newHistogram("galenastair_between_token_seconds", "Mean time between the tokens of an answer."),
 	}
-	m.registry.MustRegister(m.requests, m.attained, m.tokens, m.refused, m.orders, m.retries, m.queued, m.firstToken, m.betweenToken)
+	m.registry.MustRegister(m.requests, m.attained, m.tokens, m.refusedWithinRate, m.orders, m.retries, m.queueTime, m.timeToFirstToken, m.interTokenLatency)
 	return m
 }
 
-func histogram(name, help string) prometheus.Histogram {
+func newHistogram(name, help string) prometheus.Histogram {
 	return prometheus.NewHistogram(prometheus.HistogramOpts{
 		Name: name, Help: help, Buckets: prometheus.ExponentialBuckets(0.001, 2, 16),
 	})
 }
 
-// Registry returns the registry, for others to add their metrics to.
+// Registry returns the registry, so that other packages can register their metrics.
 func (m *Metrics) Registry() *prometheus.Registry { return m.registry }
 
-// Ordered counts one order that an engine took.
+// OrderAccepted counts an order that an engine accepted.
 func (m *Metrics) Ordered(kind galenastair.OrderKind, reason place.Reason) {
 	m.orders.WithLabelValues(string(kind), string(reason)).Inc()
 }
 
-// withinRate says that a request was not served for a cause of ours, and not for
-// its caller's key, contract, form or rate.
-func withinRate(c galenastair.Code) bool {
+// isSystemFailure reports whether a request failed because of this system, and not
+// because of the client's key, contract, rate or the form of the request.
+func isSystemFailure(c galenastair.Code) bool {
 	switch c {
 	case "RateUnavailable", "Overloaded", "NoBackendServer", "NotMember", "Stopping", "ClaimUnavailable",
 		"BackendServer", "AnswerCut", "Timeout", "NoConfiguration":
@@ -85,12 +85,12 @@
 	return false
 }
 
-// RequestEnded counts one request.
+// RequestEnded implements request.Recorder.
 func (m *Metrics) RequestEnded(e request.Ending) {
 	organisation := string(e.Organisation)
 	m.requests.WithLabelValues(organisation, string(e.Code), string(e.Outcome)).Inc()
-	if withinRate(e.Code) {
-		m.refused.WithLabelValues(organisation, string(e.Code)).Inc()
+	if isSystemFailure(e.Code) {
+		m.refusedWithinRate.WithLabelValues(organisation, string(e.Code)).Inc()
 	}
 	m.tokens.WithLabelValues(organisation).Add(float64(e.Used))
 	if e.Attempts > 1 {
@@ -99,10 +99,10 @@
 	if e.FirstToken == 0 {
 		return
 	}
-	m.queued.Observe(e.Queued.Seconds())
-	m.firstToken.Observe(e.FirstToken.Seconds())
-	m.betweenToken.Observe(e.BetweenToken.Seconds())
-	if e.Code == "" && e.FirstToken <= aimFirstToken && e.BetweenToken <= aimBetweenToken {
+	m.queueTime.Observe(e.Queued.Seconds())
+	m.timeToFirstToken.Observe(e.FirstToken.Seconds())
+	m.interTokenLatency.Observe(e.BetweenToken.Seconds())
+	if e.Code == "" && e.FirstToken <= targetTimeToFirstToken && e.BetweenToken <= targetInterTokenLatency {
 		m.attained.WithLabelValues(organisation).Inc()
 	}
 }
--- a/operator/status.go
+++ b/operator/status.go
@@ -6,36 +6,38 @@
 	"galenastair"
 )
 
-// Status is what an instance knows of the system, as /status shows it.
+// Status is the state of an instance, and of the system as it knows it. It is the
+// response to /status; the names of the fields are those of the JSON object.
 type Status struct {
 	Instance         galenastair.InstanceID
 	Region           galenastair.Region
 	AvailabilityZone galenastair.AvailabilityZone
 	Ready            bool
-	// NotReady says why an instance takes no requests.
+	// NotReady is the reason why the instance does not accept requests; empty if it does.
 	NotReady string
-	// ConfigurationOffset is the next record of the configuration that the instance waits for.
+	// ConfigurationOffset is the offset of the next configuration record to read.
 	ConfigurationOffset galenastair.Offset
-	// LogContact is how long ago the log last answered.
+	// LogContact is the time since the last response of the log.
 	LogContact time.Duration
 	Epoch      galenastair.Epoch
 	HoldsLease bool
 	Leader     galenastair.InstanceID
 	Fence      galenastair.Fence
 	Members    []MemberStatus
-	// Requests counts those under way.
+	// Requests is the number of requests in flight.
 	Requests       int
 	BackendServers []BackendServerStatus
 }
 
-// MemberStatus is one member of the region.
+// MemberStatus describes a member of the region.
 type MemberStatus struct {
 	Instance         galenastair.InstanceID
 	AvailabilityZone galenastair.AvailabilityZone
 	PeerAddress      string
 }
 
-// BackendServerStatus is one listed backend server and what it has loaded.
+// BackendServerStatus describes a backend server of the instance list and its last
+// report.
 type BackendServerStatus struct {
 	BackendServer    galenastair.BackendServerID
 	Role             galenastair.Role
