--- a/service/client.go
+++ b/service/client.go
@@ -15,26 +15,27 @@
 	headerRequestID = "X-Request-Id"
 	headerOutcome   = "X-Outcome"
 	outcomeNotRun   = "NotRun"
-	// maxDetail bounds what is kept of an error's text.
-	maxDetail = 4 << 10
+	// maxErrorDetailBytes bounds the text of an error response that is kept.
+	maxErrorDetailBytes = 4 << 10
 )
 
-// Client calls plain services at the addresses that it is given.
+// Client sends requests to plain services.
 type Client struct {
 	pool *httpclient.Pool
 }
 
 var _ galenastair.Service = (*Client)(nil)
 
-// New returns a client of all plain services.
+// New returns a Client for plain services at any address.
 func New() *Client { return &Client{pool: httpclient.NewPool()} }
 
 // Close closes idle connections.
 func (c *Client) Close() { c.pool.Close() }
 
-// Call sends one call; its error wraps ErrNotSent or ErrDeclined when it certainly did not run.
+// Call sends a request. An error that wraps ErrNotSent or ErrDeclined means that the
+// service did not execute it.
 func (c *Client) Call(ctx context.Context, server string, call galenastair.ServiceCall) (galenastair.ServiceAnswer, error) {
-	req, err := request(server, call)
+	req, err := newRequest(server, call)
 	if err != nil {
 		return galenastair.ServiceAnswer{}, eris.Wrapf(galenastair.ErrNotSent, "%v", err)
 	}
@@ -45,7 +46,7 @@
 	}
 	if resp.StatusCode >= http.StatusBadRequest && resp.Header.Get(headerOutcome) == outcomeNotRun {
 		defer resp.Body.Close()
-		detail, _ := io.ReadAll(io.LimitReader(resp.Body, maxDetail))
+		detail, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorDetailBytes))
 		return galenastair.ServiceAnswer{}, eris.Wrapf(galenastair.ErrDeclined, "status %d: %s", resp.StatusCode, detail)
 	}
 	httpclient.DropPrivate(resp.Header)
@@ -57,7 +58,7 @@
 	}, nil
 }
 
-func request(server string, call galenastair.ServiceCall) (*http.Request, error) {
+func newRequest(server string, call galenastair.ServiceCall) (*http.Request, error) {
 	url := "http://" + server + call.Path
 	if call.Query != "" {
 		url += "?" + call.Query
--- a/service/client_test.go
+++ b/service/client_test.go
@@ -15,11 +15,10 @@
 	standin "galenastair/standin/service"
 )
 
-// An auction house finds one bid twice, or none although its caller read that it
-// ran; and a plain service finds the caller's key in its logs. Each failure of a
-// service is caused in turn. Seen failing with Authorization not dropped, and
-// with an error status alone taken for the word that nothing ran.
-func TestCallRunsAtMostOnceAndShowsNoKey(t *testing.T) {
+// Whatever the failure of the service, a request must be executed at most once, and its
+// error must be ErrDeclined only if the service states that it did not execute it: an
+// error status alone does not say so. The service must not receive the API key.
+func TestCallRunsAtMostOnceWithoutKey(t *testing.T) {
 	s := standin.New(standin.WithExit(func() {}))
 	server := httptest.NewServer(s.Handler())
 	defer server.Close()
@@ -63,7 +62,8 @@
 	is.New(t).Equal(s.Calls().Keys, 0)
 }
 
-func TestCutAnswerOfAServiceIsAnError(t *testing.T) {
+// Reading the body of a truncated response must fail.
+func TestTruncatedResponseIsAnError(t *testing.T) {
 	is := is.New(t)
 	s := standin.New()
 	s.Switch(func(sw *standin.Switches) { sw.CutAnswers = true })
--- a/service/doc.go
+++ b/service/doc.go
@@ -1,11 +1,11 @@
-// Package service speaks to plain services over HTTP: any method and path, with
-// the caller's body and headers but without its key, and X-Request-Id set.
+// Package service is an HTTP client of plain services. It forwards any method and path,
+// with the client's body and headers but without its API key, and sets X-Request-Id.
 //
-// Errors: a call of which no byte was sent maps to ErrNotSent; an error status
-// with the header X-Outcome: NotRun is the service's word that it did not run the
-// call and maps to ErrDeclined; a call without an answer maps to
-// ErrBackendServer, and its outcome is unknown. Any other answer is the caller's.
-// A call is sent at most once, whatever its method and headers.
+// Errors: a request of which no byte was sent returns ErrNotSent. An error status with
+// the header X-Outcome: NotRun means that the service did not execute the request, and
+// returns ErrDeclined. A request without a response returns ErrBackendServer, and its
+// outcome is unknown. Any other response is returned as it is. A request is sent at
+// most once, whatever its method and headers.
 //
-// Size: an open call holds about 10 KB of connection buffers.
+// Size: a request in flight uses about 10 KB of connection buffers.
 package service
