--- a/peer/planning/client.go
+++ b/peer/planning/client.go
@@ -14,32 +14,33 @@
 	"galenastair/quota"
 )
 
-// PathPrefix is where the service is mounted on the peers' port.
+// PathPrefix is the path prefix of the service on the peers' port.
 const PathPrefix = planningpb.PlanningPathPrefix
 
-// callTimeout is far above a round trip between availability zones and a wait for the
-// planner's loop; callers of a request that waits for the answer lose no more.
+// callTimeout is well above a round trip between availability zones and the wait for the
+// planner's loop. It also bounds the delay of a request that waits for the reply.
 const callTimeout = 400 * time.Millisecond
 
-// borrowTimeout is far above what a loan takes, a few milliseconds: requests wait for it, and
-// where the lender is gone all that come until the first has given up.
-const borrowTimeout = 150 * time.Millisecond
+// blockingCallTimeout bounds Borrow, Charge and Admit, for which requests wait. They take
+// a few milliseconds; if the called instance is down, all requests that arrive until the
+// first call times out are delayed.
+const blockingCallTimeout = 150 * time.Millisecond
 
-// Client calls the instance that plans.
+// Client calls the leader and other instances.
 type Client struct{ http *http.Client }
 
-// NewClient returns a client over a pooling HTTP client.
+// NewClient returns a Client that uses an HTTP client with pooled connections.
 func NewClient(c *http.Client) *Client { return &Client{c} }
 
-func (c *Client) at(address string) planningpb.Planning {
+func (c *Client) client(address string) planningpb.Planning {
 	return planningpb.NewPlanningProtobufClient("http://"+address, c.http)
 }
 
-// Exchange tells a report and returns the planner's update.
+// Exchange sends a report and returns the leader's update.
 func (c *Client) Exchange(ctx context.Context, address string, r planner.Report) (planner.Update, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reply, err := c.at(address).Exchange(ctx, encodeReport(r))
+	reply, err := c.client(address).Exchange(ctx, encodeReport(r))
 	if err != nil {
 		return planner.Update{}, err
 	}
@@ -49,11 +50,12 @@
 	return decodeUpdate(reply), nil
 }
 
-// EnsureLoaded asks for a place for a model or adapter.
+// EnsureLoaded requests that a model or adapter be loaded on a backend server, and returns where
+// and when it will be ready.
 func (c *Client) EnsureLoaded(ctx context.Context, address string, name galenastair.ModelName) (planner.Availability, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reply, err := c.at(address).Need(ctx, &planningpb.NeedRequest{Name: string(name)})
+	reply, err := c.client(address).Need(ctx, &planningpb.NeedRequest{Name: string(name)})
 	if err != nil {
 		return planner.Availability{}, err
 	}
@@ -66,11 +68,11 @@
 	}, nil
 }
 
-// Borrow asks for what one request lacks.
+// Borrow requests a loan of the quota that one request lacks.
 func (c *Client) Borrow(ctx context.Context, address string, a quota.LoanRequest) (float64, error) {
-	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
+	ctx, cancel := context.WithTimeout(ctx, blockingCallTimeout)
 	defer cancel()
-	reply, err := c.at(address).Borrow(ctx, &planningpb.Loan{Organisation: string(a.Organisation), Amount: a.Amount})
+	reply, err := c.client(address).Borrow(ctx, &planningpb.Loan{Organisation: string(a.Organisation), Amount: a.Amount})
 	if err != nil {
 		return 0, err
 	}
