--- a/caller/answer_test.go
+++ b/caller/answer_test.go
@@ -101,30 +101,30 @@
 func TestSendReadsResponses(t *testing.T) {
 	text := `{"id":"r","model":"model-1","choices":[{"index":0,"text":"Hello","finish_reason":"length"}]}`
 	for name, c := range map[string]struct {
-		q      Question
+		q      Request
 		events []string
 	}{
-		"chat":          {Question{Text: "q"}, []string{firstToken, lastToken, usageEvent}},
-		"streamed chat": {Question{Text: "q", Stream: true}, []string{firstToken, lastToken, usageEvent}},
-		"text":          {Question{Text: "q", Prompt: true}, []string{text, usageEvent}},
-		"streamed text": {Question{Text: "q", Prompt: true, Stream: true}, []string{text, usageEvent}},
+		"chat":          {Request{Text: "q"}, []string{firstToken, lastToken, usageEvent}},
+		"streamed chat": {Request{Text: "q", Stream: true}, []string{firstToken, lastToken, usageEvent}},
+		"text":          {Request{Text: "q", TextCompletion: true}, []string{text, usageEvent}},
+		"streamed text": {Request{Text: "q", TextCompletion: true, Stream: true}, []string{text, usageEvent}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			s := &fakeServer{events: c.events, complete: true}
 			x := newTestServer(t, s)
-			c.q.Entry, c.q.Key, c.q.Model, c.q.MaxTokens = strings.TrimPrefix(x.url, "http://"), testKey, "model-1", 2
-			r, err := Ask(t.Context(), http.DefaultClient, c.q)
+			c.q.Address, c.q.Key, c.q.Model, c.q.MaxTokens = strings.TrimPrefix(x.url, "http://"), testKey, "model-1", 2
+			r, err := Send(t.Context(), http.DefaultClient, c.q)
 			is.NoErr(err)
-			is.True(r.Whole)
+			is.True(r.Complete)
 			is.Equal(r.Text, "Hello")
 			is.Equal(r.Usage, Usage{3, 2})
 			is.Equal(s.completions[0].OutputTokens, galenastair.Tokens(2))
 			truncated := newTestServer(t, &fakeServer{events: c.events, err: errTruncated})
-			c.q.Entry = strings.TrimPrefix(truncated.url, "http://")
-			r, err = Ask(t.Context(), http.DefaultClient, c.q)
+			c.q.Address = strings.TrimPrefix(truncated.url, "http://")
+			r, err = Send(t.Context(), http.DefaultClient, c.q)
 			is.NoErr(err)
-			is.True(!r.Whole)
+			is.True(!r.Complete)
 			is.Equal(r.Code, galenastair.Code("AnswerCut"))
 			is.Equal(r.Outcome, galenastair.Ran)
 		})
--- a/caller/ask.go
+++ b/caller/ask.go
@@ -15,10 +15,10 @@
 )
 
 // Request is a request to an entry instance, as the command line and the tests send it.
-type Question struct {
+type Request struct {
 	// Address is the host:port of the entry instance.
-	Entry string
-	Key   string
+	Address string
+	Key     string
 	// Model is the model or adapter to use; ignored if Service is set.
 	Model galenastair.ModelName
 	// Service is the name of a plain service and the path after it.
@@ -26,7 +26,7 @@
 	// Method is the HTTP method of a request to a service; POST if empty.
 	Method string
 	// TextCompletion selects /v1/completions instead of /v1/chat/completions.
-	Prompt         bool
+	TextCompletion bool
 	Text           string
 	MaxTokens      galenastair.Tokens
 	Stream         bool
@@ -35,16 +35,16 @@
 }
 
 // Response is the response of an entry instance.
-type Reply struct {
+type Response struct {
 	Status    int
 	Outcome   galenastair.Outcome
 	Code      galenastair.Code
 	RequestID galenastair.RequestID
 	// Complete reports whether a successful response was received to its end; a streamed
 	// one ends with "data: [DONE]".
-	Whole bool
-	Text  string
-	Usage Usage
+	Complete bool
+	Text     string
+	Usage    Usage
 	// RetryAfter is the Retry-After header, in seconds; empty if there was none.
 	RetryAfter string
 }
@@ -79,17 +79,17 @@
 // Send sends a request and reads the response to its end. It returns an error if
 // the request failed before a response header was received, or if the body of an
 // error response could not be read.
-func Ask(ctx context.Context, client *http.Client, request Question) (Reply, error) {
+func Send(ctx context.Context, client *http.Client, request Request) (Response, error) {
 	req, err := request.httpRequest(ctx)
 	if err != nil {
-		return Reply{}, err
+		return Response{}, err
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return Reply{}, err
+		return Response{}, err
 	}
 	defer resp.Body.Close()
-	r := Reply{
+	r := Response{
 		Status:     resp.StatusCode,
 		RequestID:  galenastair.RequestID(resp.Header.Get(headerRequestID)),
 		RetryAfter: resp.Header.Get("Retry-After"),
@@ -110,7 +110,7 @@
 }
 
 // target returns the method, path and body of the HTTP request.
-func (r Question) target() (method, path string, body []byte, err error) {
+func (r Request) target() (method, path string, body []byte, err error) {
 	if r.Service != "" {
 		method = http.MethodPost
 		if r.Method != "" {
@@ -122,7 +122,7 @@
 	if r.Stream {
 		options = &streamOptions{IncludeUsage: true}
 	}
-	if r.Prompt {
+	if r.TextCompletion {
 		body, err = json.Marshal(textCompletionBody{r.Model, r.Stream, options, r.MaxTokens, r.Text})
 		return http.MethodPost, "/v1/completions", body, err
 	}
@@ -130,12 +130,12 @@
 	return http.MethodPost, "/v1/chat/completions", body, err
 }
 
-func (r Question) httpRequest(ctx context.Context) (*http.Request, error) {
+func (r Request) httpRequest(ctx context.Context) (*http.Request, error) {
 	method, path, body, err := r.target()
 	if err != nil {
 		return nil, err
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+r.Entry+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+r.Address+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
@@ -152,7 +152,7 @@
 	return req, nil
 }
 
-func (r *Reply) readError(body io.Reader) error {
+func (r *Response) readError(body io.Reader) error {
 	raw, err := io.ReadAll(body)
 	if err != nil {
 		return err
@@ -161,7 +161,7 @@
 	return nil
 }
 
-func (r *Reply) setError(raw []byte) {
+func (r *Response) setError(raw []byte) {
 	var e errorBody
 	if json.Unmarshal(raw, &e) != nil || e.Error.Code == "" {
 		r.Outcome = galenastair.Unknown
@@ -171,12 +171,12 @@
 	r.Outcome, r.Code, r.Text = e.Error.Outcome, e.Error.Code, e.Error.Message
 }
 
-func (r *Reply) readText(body io.Reader) {
+func (r *Response) readText(body io.Reader) {
 	raw, err := io.ReadAll(body)
-	r.Text, r.Whole = string(raw), err == nil
+	r.Text, r.Complete = string(raw), err == nil
 }
 
-func (r *Reply) readNonStreamed(body io.Reader) {
+func (r *Response) readNonStreamed(body io.Reader) {
 	var a responseBody
 	if err := json.NewDecoder(body).Decode(&a); err != nil || len(a.Choices) == 0 {
 		r.Outcome = galenastair.Unknown
@@ -186,13 +186,13 @@
 	choice := a.Choices[0]
 	switch {
 	case choice.Message != nil:
-		r.Text, r.Whole = choice.Message.Content, true
+		r.Text, r.Complete = choice.Message.Content, true
 	case choice.Text != nil:
-		r.Text, r.Whole = *choice.Text, true
+		r.Text, r.Complete = *choice.Text, true
 	}
 }
 
-func (r *Reply) readStream(body io.Reader) {
+func (r *Response) readStream(body io.Reader) {
 	var text strings.Builder
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, 1<<20)
@@ -202,7 +202,7 @@
 			continue
 		}
 		if data == "[DONE]" {
-			r.Whole = true
+			r.Complete = true
 			break
 		}
 		if err := r.readEvent(data, &text); err != nil {
@@ -216,7 +216,7 @@
 
 var errErrorEvent = eris.New("response ended with an error event")
 
-func (r *Reply) readEvent(data string, text *strings.Builder) error {
+func (r *Response) readEvent(data string, text *strings.Builder) error {
 	var b chunkBody
 	if err := json.Unmarshal([]byte(data), &b); err != nil || len(b.Choices) == 0 && strings.Contains(data, `"error"`) {
 		r.setError([]byte(data))
--- a/caller/body.go
+++ b/caller/body.go
@@ -84,15 +84,15 @@
 }
 
 func (b completionBody) outputLimit(limits Limits) (galenastair.Tokens, error) {
-	asked := limits.DefaultOutput
+	asked := limits.DefaultOutputTokens
 	if b.MaxTokens != nil {
 		asked = *b.MaxTokens
 	}
 	if b.MaxCompletionTokens != nil {
 		asked = *b.MaxCompletionTokens
 	}
-	if asked < 1 || asked > limits.MaxOutput {
-		return 0, badRequest("max_tokens must be from 1 to %d", limits.MaxOutput)
+	if asked < 1 || asked > limits.MaxOutputTokens {
+		return 0, badRequest("max_tokens must be from 1 to %d", limits.MaxOutputTokens)
 	}
 	return asked, nil
 }
--- a/caller/body_test.go
+++ b/caller/body_test.go
@@ -98,7 +98,7 @@
 			t.Fatalf("charged for %d: %s", r.outputTokens, r.engineBody)
 		case !one(anyCase.N), !one(anyCase.BestOf), !anyCase.Stream:
 			t.Fatalf("admitted for one completion: %s", r.engineBody)
-		case r.outputTokens < 1, r.outputTokens > DefaultLimits().MaxOutput:
+		case r.outputTokens < 1, r.outputTokens > DefaultLimits().MaxOutputTokens:
 			t.Fatalf("admitted for %d tokens", r.outputTokens)
 		}
 	})
--- a/caller/error_test.go
+++ b/caller/error_test.go
@@ -18,7 +18,7 @@
 // Retry-After is rounded up.
 func TestErrors(t *testing.T) {
 	small := DefaultLimits()
-	small.BodyBytes = 100
+	small.MaxBodyBytes = 100
 	long := strings.Repeat("x", 200)
 	for name, c := range map[string]struct {
 		method, path, body string
@@ -91,6 +91,6 @@
 	}
 	is.True(s.completions[0].ID != s.completions[1].ID)
 	is.True(s.services[0].ID != s.services[1].ID)
-	is.Equal(ShownID(s.completions[0].ID), galenastair.RequestID("1~2"))
+	is.Equal(ExternalID(s.completions[0].ID), galenastair.RequestID("1~2"))
 	is.Equal(s.services[0].IdempotencyKey, galenastair.IdempotencyKey("bid-1"))
 }
--- a/caller/handler.go
+++ b/caller/handler.go
@@ -89,7 +89,7 @@
 }
 
 func (h *Handler) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, h.limits.BodyBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, h.limits.MaxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return nil, eris.Wrapf(galenastair.ErrTooLarge, "body is over %d bytes", tooLarge.Limit)
@@ -143,7 +143,7 @@
 		Body:           body.engineBody,
 		Prompt:         body.prompt,
 		OutputTokens:   body.outputTokens,
-		Deadline:       time.Now().Add(h.limits.Request),
+		Deadline:       time.Now().Add(h.limits.RequestTimeout),
 	}, body, nil
 }
 
@@ -167,12 +167,12 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		ticker := time.NewTicker(h.limits.Ping)
+		ticker := time.NewTicker(h.limits.PingPeriod)
 		defer ticker.Stop()
 		for {
 			select {
 			case <-ticker.C:
-				s.ping(h.limits.Ping)
+				s.ping(h.limits.PingPeriod)
 			case <-ctx.Done():
 				return
 			}
--- a/caller/id.go
+++ b/caller/id.go
@@ -26,7 +26,7 @@
 }
 
 // ExternalID returns the X-Request-Id that the client of a request was given.
-func ShownID(internal galenastair.RequestID) galenastair.RequestID {
+func ExternalID(internal galenastair.RequestID) galenastair.RequestID {
 	if i := strings.LastIndex(string(internal), idSeparator); i >= 0 {
 		return internal[:i]
 	}
--- a/caller/limits.go
+++ b/caller/limits.go
@@ -10,30 +10,30 @@
 type Limits struct {
 	// MaxHeaderBytes and MaxBodyBytes keep a few large requests from using up the memory
 	// of a small instance.
-	HeaderBytes int
-	BodyBytes   int64
+	MaxHeaderBytes int
+	MaxBodyBytes   int64
 	// ReadHeaderTimeout closes connections whose request header is not received in time.
-	ReadHeader time.Duration
+	ReadHeaderTimeout time.Duration
 	// RequestTimeout bounds the time from the end of the request body to the end of the
 	// response.
-	Request time.Duration
+	RequestTimeout time.Duration
 	// PingPeriod is how long a stream may be idle before a comment is sent, so that
 	// neither end takes the connection to a slow model for dead.
-	Ping time.Duration
+	PingPeriod time.Duration
 	// DefaultOutputTokens applies to requests without max_tokens.
-	DefaultOutput galenastair.Tokens
-	MaxOutput     galenastair.Tokens
+	DefaultOutputTokens galenastair.Tokens
+	MaxOutputTokens     galenastair.Tokens
 }
 
 // DefaultLimits returns limits for chat traffic on a small instance.
 func DefaultLimits() Limits {
 	return Limits{
-		HeaderBytes:   16 << 10,
-		BodyBytes:     1 << 20,
-		ReadHeader:    5 * time.Second,
-		Request:       2 * time.Minute,
-		Ping:          10 * time.Second,
-		DefaultOutput: 256,
-		MaxOutput:     8192,
+		MaxHeaderBytes:      16 << 10,
+		MaxBodyBytes:        1 << 20,
+		ReadHeaderTimeout:   5 * time.Second,
+		RequestTimeout:      2 * time.Minute,
+		PingPeriod:          10 * time.Second,
+		DefaultOutputTokens: 256,
+		MaxOutputTokens:     8192,
 	}
 }
--- a/caller/service.go
+++ b/caller/service.go
@@ -64,7 +64,7 @@
 		Service:        galenastair.ServiceName(name),
 		Key:            key,
 		IdempotencyKey: idempotency,
-		Deadline:       time.Now().Add(h.limits.Request),
+		Deadline:       time.Now().Add(h.limits.RequestTimeout),
 	}, nil
 }
 
--- a/cmd/galenastair-standin/serve.go
+++ b/cmd/galenastair-standin/serve.go
@@ -122,7 +122,7 @@
 	r.instance.Leaving = true
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_ = r.client.Announce(ctx, r.instance)
+	_ = r.client.Heartbeat(ctx, r.instance)
 	time.Sleep(notice)
 }
 
@@ -133,6 +133,6 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_ = r.client.Withdraw(ctx, r.instance.ID)
+	_ = r.client.Deregister(ctx, r.instance.ID)
 	r.client.Close()
 }
--- a/cmd/galenastair/cmd_call.go
+++ b/cmd/galenastair/cmd_call.go
@@ -22,10 +22,10 @@
 }
 
 func runCall(ctx context.Context, args []string, out, errOut io.Writer) error {
-	var q caller.Question
+	var q caller.Request
 	f := flag.NewFlagSet("call", flag.ContinueOnError)
 	f.SetOutput(errOut)
-	f.StringVar(&q.Entry, "entry", "", "address of the callers' port of an entry")
+	f.StringVar(&q.Address, "entry", "", "address of the callers' port of an entry")
 	f.StringVar(&q.Key, "key", os.Getenv("GALENASTAIR_KEY"), "key of the organisation; the default is GALENASTAIR_KEY")
 	f.StringVar((*string)(&q.Model), "model", "", "model or adapter to send the request to")
 	f.BoolVar(&q.Stream, "stream", false, "request a streamed answer")
@@ -36,17 +36,17 @@
 	if err := parseFlags(f, args); err != nil {
 		return err
 	}
-	if q.Entry == "" || (q.Model == "") == (q.Service == "") {
+	if q.Address == "" || (q.Model == "") == (q.Service == "") {
 		return usageError("call", "-entry and either -model or -service are required")
 	}
 	q.Text = strings.Join(f.Args(), " ")
 	q.MaxTokens = galenastair.Tokens(*tokens)
 	ctx, cancel := context.WithTimeout(ctx, *timeout)
 	defer cancel()
-	a, err := caller.Ask(ctx, http.DefaultClient, q)
+	a, err := caller.Send(ctx, http.DefaultClient, q)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "status=%d outcome=%s code=%s whole=%t request=%s text=%q\n", a.Status, a.Outcome, a.Code, a.Whole, a.RequestID, a.Text)
+	fmt.Fprintf(out, "status=%d outcome=%s code=%s whole=%t request=%s text=%q\n", a.Status, a.Outcome, a.Code, a.Complete, a.RequestID, a.Text)
 	return nil
 }
--- a/cmd/galenastair/cmd_gateway.go
+++ b/cmd/galenastair/cmd_gateway.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	debug.SetMemoryLimit(int64(softLimitShare * float64(s.Memory)))
+	debug.SetMemoryLimit(int64(softLimitShare * float64(s.MemoryLimit)))
 	logs := logline.New(out)
 	writeErr := make(chan error, 1)
 	writeCtx, cancelWrite := context.WithCancel(context.WithoutCancel(ctx))
@@ -59,7 +59,7 @@
 		}
 	}()
 	logger := log.With(log.NewLogfmtLogger(logs), "ts", log.DefaultTimestampUTC, "instance", s.ID)
-	logger.Log("event", "start", "zone", s.AvailabilityZone, "store", s.StoreAddress, "memory", int64(s.Memory))
+	logger.Log("event", "start", "zone", s.AvailabilityZone, "store", s.StoreAddress, "memory", int64(s.MemoryLimit))
 	stop := onHangup(func() {
 		if _, err := settings.LoadGateway(*path); err != nil {
 			logger.Log("event", "reload", "err", err)
--- a/engine/client.go
+++ b/engine/client.go
@@ -38,7 +38,7 @@
 type Option func(*Client)
 
 // WithIdleTimeout sets how long a stream may receive no byte before it fails with ErrSilent.
-func WithSilence(d time.Duration) Option {
+func WithIdleTimeout(d time.Duration) Option {
 	return func(c *Client) { c.idleTimeout = d }
 }
 
--- a/engine/client_test.go
+++ b/engine/client_test.go
@@ -90,7 +90,7 @@
 	r, err := relay.New(address)
 	is.NoErr(err)
 	defer r.Close()
-	c := engine.New(engine.WithSilence(100 * time.Millisecond))
+	c := engine.New(engine.WithIdleTimeout(100 * time.Millisecond))
 	defer c.Close()
 
 	s, err := c.Complete(context.Background(), r.Address(), request("r1", 30))
@@ -144,7 +144,7 @@
 		{"response to another request", wrongIDServer.Listener.Addr().String(), request("r1", 1), galenastair.ErrCrossed},
 		{"no response headers", hungAddress, request("r1", 1), galenastair.ErrSilent},
 	}
-	c := engine.New(engine.WithSilence(100 * time.Millisecond))
+	c := engine.New(engine.WithIdleTimeout(100 * time.Millisecond))
 	defer c.Close()
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/engine/control.go
+++ b/engine/control.go
@@ -24,7 +24,7 @@
 
 // CacheEvents returns the cache events published so far after the given sequence.
 func (c *Client) CacheEvents(ctx context.Context, server string, after int64) ([]galenastair.CacheEvent, error) {
-	var resp EventsAnswer
+	var resp EventsResponse
 	path := fmt.Sprintf("/control/events?after=%d", after)
 	err := c.callControl(ctx, server, http.MethodGet, path, nil, &resp)
 	return resp.Events, err
--- a/engine/wire.go
+++ b/engine/wire.go
@@ -16,7 +16,7 @@
 )
 
 // EventsResponse holds cache events in ascending order of sequence; there may be gaps.
-type EventsAnswer struct {
+type EventsResponse struct {
 	Events []galenastair.CacheEvent
 }
 
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -113,7 +113,7 @@
 		rate.WithHTTPClient(&http.Client{Transport: httpclient.NewTransport()}),
 		rate.WithMetrics(e.metrics.Registry()),
 	}
-	h, err := openGrantHistory(e.settings.Instance.History)
+	h, err := openGrantHistory(e.settings.Instance.HistoryPath)
 	if err != nil {
 		return nil, err
 	}
@@ -179,7 +179,7 @@
 	})
 	withdrawCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Second)
 	defer cancel()
-	if err := e.instanceList.Withdraw(withdrawCtx, string(e.settings.Instance.ID)); err != nil {
+	if err := e.instanceList.Deregister(withdrawCtx, string(e.settings.Instance.ID)); err != nil {
 		e.logger.Log("event", "withdraw", "err", err)
 	}
 	return err
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -153,9 +153,9 @@
 	}
 }
 
-func (x *testSite) complete(tokens galenastair.Tokens) (caller.Reply, error) {
-	return caller.Ask(x.t.Context(), &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, caller.Question{
-		Entry: x.settings.Instance.CallerAddress, Key: testKey, Model: "model-1", Text: "hello", MaxTokens: tokens, Stream: true,
+func (x *testSite) complete(tokens galenastair.Tokens) (caller.Response, error) {
+	return caller.Send(x.t.Context(), &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, caller.Request{
+		Address: x.settings.Instance.CallerAddress, Key: testKey, Model: "model-1", Text: "hello", MaxTokens: tokens, Stream: true,
 	})
 }
 
@@ -169,9 +169,9 @@
 	x := newTestSite(t)
 	x.start()
 	x.waitUntil("the instance is ready", func() bool { status, _ := x.get("/readyz"); return status == http.StatusOK })
-	x.waitUntil("a request is served", func() bool { r, err := x.complete(1); return err == nil && r.Whole })
+	x.waitUntil("a request is served", func() bool { r, err := x.complete(1); return err == nil && r.Complete })
 
-	long := make(chan caller.Reply, 1)
+	long := make(chan caller.Response, 1)
 	go func() {
 		r, _ := x.complete(60)
 		long <- r
@@ -184,7 +184,7 @@
 	})
 	r, err := x.complete(1)
 	is.NoErr(err)
-	is.True(r.Whole)
+	is.True(r.Complete)
 	leaving := func() bool {
 		listed, err := x.client.List(t.Context())
 		for _, l := range listed {
@@ -196,7 +196,7 @@
 	}
 	x.waitUntil("the list shows the instance as leaving", leaving)
 	r = <-long
-	is.True(r.Whole)
+	is.True(r.Complete)
 	is.NoErr(<-x.runErr)
 	_, err = x.complete(1)
 	is.True(err != nil)
@@ -208,7 +208,7 @@
 	is := is.New(t)
 	x := newTestSite(t)
 	x.start()
-	x.waitUntil("a request is served", func() bool { r, err := x.complete(1); return err == nil && r.Whole })
+	x.waitUntil("a request is served", func() bool { r, err := x.complete(1); return err == nil && r.Complete })
 	x.waitUntil("the engine's report has arrived", func() bool { _, s := x.get("/status"); return strings.Contains(s, `"Ready":["model-1"]`) })
 	_, status := x.get("/status")
 	for _, part := range []string{`"Instance":"entry-1"`, `"HoldsLease":true`, `"Leader":"entry-1"`, `"Ready":true`, `"PeerAddress":"` + x.settings.Instance.PeerAddress} {
@@ -273,14 +273,14 @@
 	is := is.New(t)
 	x := newTestSite(t)
 	e := x.start()
-	x.waitUntil("a request is served", func() bool { r, err := x.complete(1); return err == nil && r.Whole })
+	x.waitUntil("a request is served", func() bool { r, err := x.complete(1); return err == nil && r.Complete })
 	x.platformServer.Switch(func(s *standin.Switches) { s.ListOutage = true })
 	x.waitUntil("the list is unavailable", func() bool { _, err := x.client.List(t.Context()); return err != nil })
 	e.refreshInstances(t.Context())
 	is.Equal(len(e.fleet.engineServers()), 1)
 	r, err := x.complete(1)
 	is.NoErr(err)
-	is.True(r.Whole)
+	is.True(r.Complete)
 	x.stop()
 	is.NoErr(<-x.runErr)
 }
--- a/entry/listen.go
+++ b/entry/listen.go
@@ -28,10 +28,10 @@
 	}
 	server := &http.Server{
 		Handler:           h,
-		MaxHeaderBytes:    e.settings.Callers.HeaderBytes,
-		ReadHeaderTimeout: e.settings.Callers.ReadHeader,
+		MaxHeaderBytes:    e.settings.Callers.MaxHeaderBytes,
+		ReadHeaderTimeout: e.settings.Callers.ReadHeaderTimeout,
 		// Connections that a caller has abandoned are closed to free their memory.
-		IdleTimeout: 2 * e.settings.Callers.Request,
+		IdleTimeout: 2 * e.settings.Callers.RequestTimeout,
 	}
 	return &listener{name, server, l}, nil
 }
--- a/entry/place.go
+++ b/entry/place.go
@@ -37,7 +37,7 @@
 
 func newEngineClient(s settings.Engines, names func(string) string) engineClient {
 	e := engineClient{
-		Client:      engine.New(engine.WithSilence(s.Progress)),
+		Client:      engine.New(engine.WithIdleTimeout(s.ProgressTimeout)),
 		checksFence: map[string]bool{},
 		nameOf:      names,
 	}
@@ -71,7 +71,7 @@
 		Store:      logservice.New(s.Platform.WeightStoreAddress),
 		Leadership: e.leadership,
 		Loop:       loop,
-	}, place.WithLogger(e.logger), place.WithSettings(planner), place.WithOrderObserver(e.metrics.Ordered),
+	}, place.WithLogger(e.logger), place.WithSettings(planner), place.WithOrderObserver(e.metrics.OrderAccepted),
 		place.WithLogReachable(func(now time.Time) bool { return e.members.Status().LogReachability(now) == member.LogReachable }))
 }
 
@@ -103,7 +103,7 @@
 	case leader.ID == self:
 		return e.leader.RecordDemand(ctx, self, ds)
 	default:
-		return demand.Tell(ctx, client, leader.PeerAddress, self, ds)
+		return demand.Send(ctx, client, leader.PeerAddress, self, ds)
 	}
 }
 
--- a/entry/report.go
+++ b/entry/report.go
@@ -47,19 +47,19 @@
 // Epoch returns the current epoch.
 func (d reportAssignment) Epoch() galenastair.Epoch { return d.s.View.Epoch }
 
-// Reader returns the member that reads the reports of an engine.
-func (d reportAssignment) Reader(id galenastair.BackendServerID) (galenastair.Peer, bool) {
+// Poller returns the member that reads the reports of an engine.
+func (d reportAssignment) Poller(id galenastair.BackendServerID) (galenastair.Peer, bool) {
 	m, ok := d.s.Owner(reportKey(id), reportReaderSlot)
 	return peerOf(m), ok
 }
 
 func (e *Entry) newReporter() *report.Reporter {
-	return report.New(report.Ports{
-		Engine:  e.engine,
-		Duties:  func() report.Duties { return reportAssignment{e.members.Status()} },
-		Servers: e.fleet.engineServers,
-		Deliver: e.handleReport,
-	}, report.WithLogger(e.logger), report.WithShortest(e.settings.Engines.ReportPeriod))
+	return report.New(report.Dependencies{
+		Engine:     e.engine,
+		Assignment: func() report.Assignment { return reportAssignment{e.members.Status()} },
+		Servers:    e.fleet.engineServers,
+		Deliver:    e.handleReport,
+	}, report.WithLogger(e.logger), report.WithMinInterval(e.settings.Engines.ReportPeriod))
 }
 
 // handleReport passes an engine's report to the status page, the dispatcher and the leader.
@@ -92,7 +92,7 @@
 		}
 		assignment := reportAssignment{e.members.Status()}
 		for _, s := range servers {
-			if reader, ok := assignment.Reader(s.ID); ok && reader.ID == e.settings.Instance.ID {
+			if reader, ok := assignment.Poller(s.ID); ok && reader.ID == e.settings.Instance.ID {
 				after[s.ID] = e.fetchCacheEvents(ctx, s, after[s.ID])
 			}
 		}
--- a/httpconn/client.go
+++ b/httpconn/client.go
@@ -33,7 +33,7 @@
 )
 
 // Pool is a pool of connections by address.
-type Client struct {
+type Pool struct {
 	dialer net.Dialer
 
 	mu        sync.Mutex
@@ -42,8 +42,8 @@
 }
 
 // NewPool returns an empty pool.
-func NewClient() *Client {
-	return &Client{
+func NewPool() *Pool {
+	return &Pool{
 		dialer:    net.Dialer{Timeout: dialTimeout, KeepAlive: 5 * time.Second},
 		idle:      map[string][]*Conn{},
 		openCount: map[string]int{},
@@ -53,18 +53,18 @@
 // Conn is a connection. It carries one request at a time.
 type Conn struct {
 	net.Conn
-	pool    *Client
+	pool    *Pool
 	address string
 	reader  *bufio.Reader
 	// Reused is set if the connection has carried a request before.
-	Kept        bool
+	Reused      bool
 	expiresAt   time.Time
 	discardOnce sync.Once
 }
 
 // Get returns an idle connection to the address that is not known to be closed, or dials
 // a new one.
-func (p *Client) Get(ctx context.Context, address string) (*Conn, error) {
+func (p *Pool) Get(ctx context.Context, address string) (*Conn, error) {
 	for {
 		c := p.popIdle(address)
 		if c == nil {
@@ -77,7 +77,7 @@
 	}
 }
 
-func (p *Client) popIdle(address string) *Conn {
+func (p *Pool) popIdle(address string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[address]
@@ -89,7 +89,7 @@
 	return c
 }
 
-func (p *Client) dial(ctx context.Context, address string) (*Conn, error) {
+func (p *Pool) dial(ctx context.Context, address string) (*Conn, error) {
 	conn, err := p.dialer.DialContext(ctx, "tcp", address)
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return nil, fmt.Errorf("dial %s: %w: %w", address, galenastair.ErrAbsent, galenastair.ErrNotSent)
@@ -109,7 +109,7 @@
 // putIdle returns a connection to the pool whose last response was read completely, or
 // closes it if the pool is full. peerTimeout is the keep-alive timeout that the peer
 // announced, or zero.
-func (p *Client) putIdle(c *Conn, peerTimeout time.Duration) {
+func (p *Pool) putIdle(c *Conn, peerTimeout time.Duration) {
 	idle := idleTimeout
 	if peerTimeout > 0 {
 		idle = min(idle, peerTimeout-idleMargin)
@@ -140,7 +140,7 @@
 }
 
 // OpenConnections returns the number of open connections to an address, idle or in use.
-func (p *Client) Open(address string) int {
+func (p *Pool) OpenConnections(address string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.openCount[address]
@@ -149,7 +149,7 @@
 // CloseExpired closes idle connections that have expired. Without it, connections to a
 // backend server that is gone would stay open forever, as Get only closes expired
 // connections to the address that it is called with.
-func (p *Client) Prune(now time.Time) {
+func (p *Pool) CloseExpired(now time.Time) {
 	var expired []*Conn
 	p.mu.Lock()
 	for address, list := range p.idle {
--- a/httpconn/exchange.go
+++ b/httpconn/exchange.go
@@ -154,7 +154,7 @@
 		b.conn.Discard()
 		return
 	}
-	b.conn.Kept = true
+	b.conn.Reused = true
 	b.conn.pool.putIdle(b.conn, keepAliveTimeout(b.resp.Header))
 }
 
--- a/httpconn/httpconn_test.go
+++ b/httpconn/httpconn_test.go
@@ -99,7 +99,7 @@
 }
 
 // sendRequest sends a request and returns the body of the response with the given id.
-func sendRequest(ctx context.Context, pool *Client, address, id string) (string, error) {
+func sendRequest(ctx context.Context, pool *Pool, address, id string) (string, error) {
 	conn, err := pool.Get(ctx, address)
 	if err != nil {
 		return "", err
@@ -121,7 +121,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			server := startRawServer(t, scriptedResponse{raw: okResponse("1", "first")}, s, scriptedResponse{raw: okResponse("2", "again")})
-			pool := NewClient()
+			pool := NewPool()
 			_, err := sendRequest(t.Context(), pool, server.Addr().String(), "1")
 			is.NoErr(err)
 			_, err = sendRequest(t.Context(), pool, server.Addr().String(), "2")
@@ -136,7 +136,7 @@
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	is := is.New(t)
 	server := startRawServer(t, scriptedResponse{raw: okResponse("1", "first"), close: true}, scriptedResponse{raw: okResponse("2", "second")})
-	pool := NewClient()
+	pool := NewPool()
 	_, err := sendRequest(t.Context(), pool, server.Addr().String(), "1")
 	is.NoErr(err)
 	<-server.closed
@@ -151,7 +151,7 @@
 func TestDuplicateResponseIsDropped(t *testing.T) {
 	is := is.New(t)
 	server := startRawServer(t, scriptedResponse{raw: okResponse("1", "first") + okResponse("1", "first")}, scriptedResponse{raw: okResponse("2", "second")})
-	pool := NewClient()
+	pool := NewPool()
 	body, err := sendRequest(t.Context(), pool, server.Addr().String(), "1")
 	is.NoErr(err)
 	is.Equal(body, "first")
@@ -165,7 +165,7 @@
 func TestLateResponseIsSkipped(t *testing.T) {
 	is := is.New(t)
 	server := startRawServer(t, scriptedResponse{raw: okResponse("1", "first")}, scriptedResponse{raw: okResponse("1", "late") + okResponse("2", "second")})
-	pool := NewClient()
+	pool := NewPool()
 	_, err := sendRequest(t.Context(), pool, server.Addr().String(), "1")
 	is.NoErr(err)
 	body, err := sendRequest(t.Context(), pool, server.Addr().String(), "2")
@@ -195,7 +195,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			server := startRawServer(t, c.step)
-			body, err := sendRequest(t.Context(), NewClient(), server.Addr().String(), "1")
+			body, err := sendRequest(t.Context(), NewPool(), server.Addr().String(), "1")
 			is.Equal(errors.Is(err, galenastair.ErrAnswerCut), c.truncated)
 			if !c.truncated {
 				is.NoErr(err)
@@ -212,7 +212,7 @@
 	is.NoErr(err)
 	address := l.Addr().String()
 	is.NoErr(l.Close())
-	_, err = sendRequest(t.Context(), NewClient(), address, "1")
+	_, err = sendRequest(t.Context(), NewPool(), address, "1")
 	is.True(errors.Is(err, galenastair.ErrNotSent))
 	is.True(errors.Is(err, galenastair.ErrAbsent))
 }
@@ -226,7 +226,7 @@
 	errCallerLeft := errors.New("the caller left")
 	time.AfterFunc(30*time.Millisecond, func() { cancel(errCallerLeft) })
 	begun := time.Now()
-	_, err := sendRequest(ctx, NewClient(), server.Addr().String(), "1")
+	_, err := sendRequest(ctx, NewPool(), server.Addr().String(), "1")
 	is.True(errors.Is(err, errCallerLeft))
 	select {
 	case <-server.closed:
@@ -242,7 +242,7 @@
 	is.Equal(keepAliveTimeout(http.Header{"Keep-Alive": {"max=3, timeout=5"}}), 5*time.Second)
 	is.Equal(keepAliveTimeout(http.Header{"Keep-Alive": {"nonsense"}}), time.Duration(0))
 	server := startRawServer(t, scriptedResponse{raw: strings.Replace(okResponse("1", "x"), "\r\n\r\n", "\r\nKeep-Alive: timeout=1\r\n\r\n", 1)}, scriptedResponse{raw: okResponse("2", "y")})
-	pool := NewClient()
+	pool := NewPool()
 	_, err := sendRequest(t.Context(), pool, server.Addr().String(), "1")
 	is.NoErr(err)
 	_, err = sendRequest(t.Context(), pool, server.Addr().String(), "2")
@@ -254,10 +254,10 @@
 func TestCloseExpired(t *testing.T) {
 	is := is.New(t)
 	server := startRawServer(t, scriptedResponse{raw: okResponse("1", "x")})
-	pool := NewClient()
+	pool := NewPool()
 	_, err := sendRequest(t.Context(), pool, server.Addr().String(), "1")
 	is.NoErr(err)
-	is.Equal(pool.Open(server.Addr().String()), 1)
-	pool.Prune(time.Now().Add(2 * idleTimeout))
-	is.Equal(pool.Open(server.Addr().String()), 0)
+	is.Equal(pool.OpenConnections(server.Addr().String()), 1)
+	pool.CloseExpired(time.Now().Add(2 * idleTimeout))
+	is.Equal(pool.OpenConnections(server.Addr().String()), 0)
 }
--- a/logservice/catalogue.go
+++ b/logservice/catalogue.go
@@ -12,7 +12,7 @@
 
 // Catalogue returns all models and adapters of the weight store.
 func (c *Client) Catalogue(ctx context.Context) ([]galenastair.Weight, error) {
-	var resp CatalogueAnswer
+	var resp CatalogueResponse
 	err := c.callJSON(ctx, http.MethodGet, "/catalogue", nil, &resp)
 	return resp.Weights, err
 }
--- a/logservice/client_test.go
+++ b/logservice/client_test.go
@@ -106,9 +106,9 @@
 	p, c := startPlatform(t)
 	ctx := context.Background()
 	in := galenastair.ListedInstance{ID: "e1", Role: galenastair.RoleEngine, Address: "127.0.0.1:1"}
-	is.NoErr(c.Announce(ctx, in))
+	is.NoErr(c.Heartbeat(ctx, in))
 	in.Leaving = true
-	is.NoErr(c.Announce(ctx, in))
+	is.NoErr(c.Heartbeat(ctx, in))
 	list, err := c.List(ctx)
 	is.NoErr(err)
 	is.Equal(list, []galenastair.ListedInstance{in})
--- a/logservice/list.go
+++ b/logservice/list.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "GET /instances")
 	}
-	var list ListAnswer
+	var list ListResponse
 	if err := json.Unmarshal(body, &list); err != nil {
 		return nil, eris.Wrap(err, "GET /instances")
 	}
@@ -74,12 +74,12 @@
 }
 
 // Heartbeat registers an instance or renews its registration.
-func (c *Client) Announce(ctx context.Context, in galenastair.ListedInstance) error {
+func (c *Client) Heartbeat(ctx context.Context, in galenastair.ListedInstance) error {
 	return c.callJSON(ctx, http.MethodPost, "/instances", in, nil)
 }
 
 // Deregister removes an instance from the list.
-func (c *Client) Withdraw(ctx context.Context, id string) error {
+func (c *Client) Deregister(ctx context.Context, id string) error {
 	return c.callJSON(ctx, http.MethodDelete, "/instances/"+url.PathEscape(id), nil, nil)
 }
 
@@ -90,7 +90,7 @@
 	tick := time.NewTicker(HeartbeatInterval)
 	defer tick.Stop()
 	for {
-		if err := c.Announce(ctx, self()); err != nil && ctx.Err() == nil {
+		if err := c.Heartbeat(ctx, self()); err != nil && ctx.Err() == nil {
 			report(err)
 		}
 		select {
--- a/logservice/log.go
+++ b/logservice/log.go
@@ -37,7 +37,7 @@
 	if status != http.StatusOK {
 		return 0, eris.Wrapf(galenastair.ErrAppendUnknown, "status %d", status)
 	}
-	var resp AppendAnswer
+	var resp AppendResponse
 	if err := json.Unmarshal(body, &resp); err != nil || resp.Offset <= 0 {
 		return 0, eris.Wrapf(galenastair.ErrAppendUnknown, "invalid response: %v", err)
 	}
@@ -66,7 +66,7 @@
 	if status != http.StatusOK {
 		return galenastair.Batch{}, eris.Wrapf(galenastair.ErrLogUnavailable, "status %d", status)
 	}
-	var resp ReadAnswer
+	var resp ReadResponse
 	if err := json.Unmarshal(body, &resp); err != nil {
 		return galenastair.Batch{}, eris.Wrapf(galenastair.ErrLogUnavailable, "invalid response: %v", err)
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -80,7 +80,7 @@
 	pool          *pool.Pool
 	borrower      *quota.Borrower
 	accounts      *account.Accounts
-	backendClient *httpconn.Client
+	backendClient *httpconn.Pool
 	elector       *lease.Elector
 	lease         leaseAdapter
 	planner       *planner.Planner
@@ -121,7 +121,7 @@
 	n.borrower.SetFleet(0)
 	n.pool = pool.New(s.AvailabilityZone, pool.WithLeaveGrace(max(0, s.Bounds.LeaveTimeout-requestTransitTime)), pool.WithFleetSize(n.borrower.ReportedFleet))
 	n.accounts = account.New(s.PeerAddress, tolerance)
-	n.backendClient = httpconn.NewClient()
+	n.backendClient = httpconn.NewPool()
 	backend := platform.NewBackendClient(n.backendClient)
 	l := lease.New(lease.DefaultTiming(s.Bounds.BetweenHolders, s.Bounds.FencesChecked))
 	n.lease = leaseAdapter{l}
@@ -305,7 +305,7 @@
 	for {
 		select {
 		case now := <-tick.C:
-			n.backendClient.Prune(now)
+			n.backendClient.CloseExpired(now)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
--- a/operator/metrics.go
+++ b/operator/metrics.go
@@ -70,7 +70,7 @@
 func (m *Metrics) Registry() *prometheus.Registry { return m.registry }
 
 // OrderAccepted counts an order that an engine accepted.
-func (m *Metrics) Ordered(kind galenastair.OrderKind, reason place.Reason) {
+func (m *Metrics) OrderAccepted(kind galenastair.OrderKind, reason place.Reason) {
 	m.orders.WithLabelValues(string(kind), string(reason)).Inc()
 }
 
--- a/peer/demand/demand.go
+++ b/peer/demand/demand.go
@@ -35,7 +35,7 @@
 }
 
 // Send reports an instance's demand since it started to the leader at an address.
-func Tell(ctx context.Context, c *http.Client, leader string, from galenastair.InstanceID, ds []dispatch.Demand) error {
+func Send(ctx context.Context, c *http.Client, leader string, from galenastair.InstanceID, ds []dispatch.Demand) error {
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	_, err := demandpb.NewDemandProtobufClient("http://"+leader, c).Tell(ctx, encode(from, ds))
--- a/proof/check_backend.go
+++ b/proof/check_backend.go
@@ -34,7 +34,7 @@
 	ran := map[galenastair.RequestID]journal.Entry{}
 	for _, r := range h.Runs {
 		if r.Request != "" {
-			ran[caller.ShownID(r.Request)] = r
+			ran[caller.ExternalID(r.Request)] = r
 		}
 	}
 	for _, r := range h.Requests {
--- a/proof/inject.go
+++ b/proof/inject.go
@@ -201,8 +201,8 @@
 	model := c.models[p.target%len(c.models)]
 	text := fmt.Sprintf("%s %d", PoisonWord, p.start)
 	for n := range attempts {
-		q := caller.Question{
-			Entry: in.generator.balancer.pickEntry(rng), Key: c.key(rng), Model: model, Prompt: true, Text: text, MaxTokens: 4,
+		q := caller.Request{
+			Address: in.generator.balancer.pickEntry(rng), Key: c.key(rng), Model: model, TextCompletion: true, Text: text, MaxTokens: 4,
 			RequestID: galenastair.RequestID(fmt.Sprintf("poison-%d-%d", p.start, n)),
 		}
 		in.recorder.addRequest(in.generator.send(c, q, Request{Model: model}).Request)
--- a/proof/traffic.go
+++ b/proof/traffic.go
@@ -111,15 +111,15 @@
 	if rng.Float64() < longRequestShare {
 		tokens = longTokens
 	}
-	q := caller.Question{
-		Entry:     g.balancer.pickEntry(rng),
-		Key:       c.key(rng),
-		Model:     model,
-		Prompt:    true,
-		Text:      fmt.Sprintf("diary of %s, note %s", c.name, id),
-		MaxTokens: tokens,
-		Stream:    rng.Float64() < streamShare,
-		RequestID: galenastair.RequestID(id),
+	q := caller.Request{
+		Address:        g.balancer.pickEntry(rng),
+		Key:            c.key(rng),
+		Model:          model,
+		TextCompletion: true,
+		Text:           fmt.Sprintf("diary of %s, note %s", c.name, id),
+		MaxTokens:      tokens,
+		Stream:         rng.Float64() < streamShare,
+		RequestID:      galenastair.RequestID(id),
 	}
 	r := g.send(c, q, Request{Model: model})
 	r.Correct = r.served() && expectedText(r.Model, q.Text, q.MaxTokens) == r.text
@@ -144,7 +144,7 @@
 // although they were served.
 func (g *loadGenerator) callService(c *customer, id string, rng *rand.Rand) {
 	body, _ := json.Marshal(callBody{id})
-	q := caller.Question{
+	q := caller.Request{
 		Key:            c.key(rng),
 		Service:        string(c.services[0]) + "/lots",
 		Text:           string(body),
@@ -152,7 +152,7 @@
 	}
 	resend := rng.Float64() < resendShare
 	for n := range maxCallAttempts {
-		q.Entry = g.balancer.pickEntry(rng)
+		q.Address = g.balancer.pickEntry(rng)
 		q.RequestID = galenastair.RequestID(fmt.Sprintf("%s.%d", id, n))
 		r := g.send(c, q, Request{Service: c.services[0], Call: id, IdempotencyKey: q.IdempotencyKey})
 		r.Correct = r.served()
@@ -170,21 +170,21 @@
 	text string
 }
 
-func (g *loadGenerator) send(c *customer, q caller.Question, r Request) response {
+func (g *loadGenerator) send(c *customer, q caller.Request, r Request) response {
 	r.ID, r.Organisation, r.Key = q.RequestID, c.name, galenastair.HashKey(q.Key)
-	r.Entry = g.balancer.entryName(q.Entry)
+	r.Entry = g.balancer.entryName(q.Address)
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	r.Start = time.Now()
-	a, err := caller.Ask(ctx, g.client, q)
+	a, err := caller.Send(ctx, g.client, q)
 	r.End = time.Now()
 	r.ConnectionRefused = errors.Is(err, syscall.ECONNREFUSED)
-	r.ConnectionBroken = err != nil && !r.ConnectionRefused || err == nil && a.Status == http.StatusOK && !a.Whole && a.Code == ""
+	r.ConnectionBroken = err != nil && !r.ConnectionRefused || err == nil && a.Status == http.StatusOK && !a.Complete && a.Code == ""
 	if err != nil {
 		r.Outcome = galenastair.Unknown
 		return response{r, ""}
 	}
-	r.Status, r.Outcome, r.Code, r.RetryAfter, r.Whole = a.Status, a.Outcome, a.Code, a.RetryAfter, a.Whole
+	r.Status, r.Outcome, r.Code, r.RetryAfter, r.Whole = a.Status, a.Outcome, a.Code, a.RetryAfter, a.Complete
 	r.Tokens = a.Usage.PromptTokens + a.Usage.CompletionTokens
 	return response{r, a.Text}
 }
@@ -199,11 +199,11 @@
 // in the history.
 func (g *loadGenerator) modelAnswers(c *customer, model galenastair.ModelName) bool {
 	rng := rand.New(rand.NewPCG(g.seed, 0))
-	q := caller.Question{
-		Entry: g.balancer.pickEntry(rng), Key: c.key(rng), Model: model, Prompt: true, Text: "ready", MaxTokens: 1,
+	q := caller.Request{
+		Address: g.balancer.pickEntry(rng), Key: c.key(rng), Model: model, TextCompletion: true, Text: "ready", MaxTokens: 1,
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	a, err := caller.Ask(ctx, g.client, q)
-	return err == nil && a.Whole
+	a, err := caller.Send(ctx, g.client, q)
+	return err == nil && a.Complete
 }
--- a/report/core.go
+++ b/report/core.go
@@ -15,13 +15,13 @@
 
 // Assignment assigns engines to the members that poll them. Members may disagree for a
 // short time after a change, but should soon see the same assignment.
-type Duties interface {
+type Assignment interface {
 	Self() galenastair.Peer
 	Members() []galenastair.Peer
 	// Epoch changes whenever the members or the pollers do.
 	Epoch() galenastair.Epoch
 	// Poller returns the member that polls an engine.
-	Reader(id galenastair.BackendServerID) (galenastair.Peer, bool)
+	Poller(id galenastair.BackendServerID) (galenastair.Peer, bool)
 }
 
 // trackedEngine is this instance's state of one engine.
--- a/report/plan.go
+++ b/report/plan.go
@@ -59,7 +59,7 @@
 // Plan returns the polls and pushes that are due. All entry instances of a region route
 // to all its engines; if each instance polled each engine, this would be 14,000 polls per
 // interval at 53 instances and 270 engines, 80 times the budget.
-func (t *Tracker) Plan(now time.Time, assignment Duties) Plan {
+func (t *Tracker) Plan(now time.Time, assignment Assignment) Plan {
 	t.updateAssignment(assignment)
 	interval := max(sendInterval(t.assigned.grid, len(t.engines)), t.minInterval)
 	p := Plan{Polls: t.duePolls(now, interval)}
@@ -85,7 +85,7 @@
 }
 
 // updateAssignment recomputes the local assignment if members, pollers or engines have changed.
-func (t *Tracker) updateAssignment(assignment Duties) {
+func (t *Tracker) updateAssignment(assignment Assignment) {
 	if t.assigned.valid && t.assigned.epoch == assignment.Epoch() {
 		return
 	}
@@ -94,7 +94,7 @@
 	s.sortedEngines = slices.Collect(maps.Values(t.engines))
 	slices.SortFunc(s.sortedEngines, func(a, b *trackedEngine) int { return cmp.Compare(a.server.ID, b.server.ID) })
 	for _, e := range s.sortedEngines {
-		poller, ok := assignment.Reader(e.server.ID)
+		poller, ok := assignment.Poller(e.server.ID)
 		e.polledLocally = ok && poller.ID == self
 		if e.polledLocally {
 			s.polled = append(s.polled, e)
--- a/report/region_test.go
+++ b/report/region_test.go
@@ -38,7 +38,7 @@
 func (a testAssignment) Self() galenastair.Peer      { return a.r.peers[a.self] }
 func (a testAssignment) Members() []galenastair.Peer { return a.r.peers }
 func (a testAssignment) Epoch() galenastair.Epoch    { return 1 }
-func (a testAssignment) Reader(id galenastair.BackendServerID) (galenastair.Peer, bool) {
+func (a testAssignment) Poller(id galenastair.BackendServerID) (galenastair.Peer, bool) {
 	return a.r.peers[int(hashEngine(id))%len(a.r.peers)], true
 }
 
--- a/report/reporter.go
+++ b/report/reporter.go
@@ -33,11 +33,11 @@
 }
 
 // Dependencies are what a Reporter depends on; all are required.
-type Ports struct {
+type Dependencies struct {
 	Engine EngineClient
 	// Assignment and Servers return the current assignment and list of engines.
-	Duties  func() Duties
-	Servers func() []Server
+	Assignment func() Assignment
+	Servers    func() []Server
 	// Deliver is called for each report that is newer than the last one of its engine; Age
 	// is set to the report's age. Calls are serialised, so that an older report is never
 	// delivered after a newer one. Deliver must not block.
@@ -46,7 +46,7 @@
 
 // Reporter polls engines and exchanges their reports with other instances.
 type Reporter struct {
-	ports       Ports
+	ports       Dependencies
 	client      *http.Client
 	logger      log.Logger
 	clock       galenastair.Clock
@@ -66,10 +66,10 @@
 func WithClock(c galenastair.Clock) Option { return func(r *Reporter) { r.clock = c } }
 
 // WithMinInterval sets the minimum interval of polls and of rounds.
-func WithShortest(d time.Duration) Option { return func(r *Reporter) { r.minInterval = d } }
+func WithMinInterval(d time.Duration) Option { return func(r *Reporter) { r.minInterval = d } }
 
 // New returns a reporter, which does nothing until Run is called.
-func New(p Ports, opts ...Option) *Reporter {
+func New(p Dependencies, opts ...Option) *Reporter {
 	r := &Reporter{
 		ports:       p,
 		client:      &http.Client{Transport: httpclient.NewTransport(), Timeout: sendTimeout},
@@ -123,7 +123,7 @@
 }
 
 func (r *Reporter) plan() Plan {
-	servers, duties := r.ports.Servers(), r.ports.Duties()
+	servers, duties := r.ports.Servers(), r.ports.Assignment()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tracker.SetServers(servers)
--- a/report/reporter_test.go
+++ b/report/reporter_test.go
@@ -51,7 +51,7 @@
 func (a pairAssignment) Self() galenastair.Peer      { return a.self }
 func (a pairAssignment) Members() []galenastair.Peer { return a.members }
 func (a pairAssignment) Epoch() galenastair.Epoch    { return 1 }
-func (a pairAssignment) Reader(galenastair.BackendServerID) (galenastair.Peer, bool) {
+func (a pairAssignment) Poller(galenastair.BackendServerID) (galenastair.Peer, bool) {
 	return a.members[0], true
 }
 
@@ -93,16 +93,16 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 2)
 	for i, engine := range []EngineClient{&busyEngine{}, unreachableEngine{}} {
-		r := New(Ports{
-			Engine:  engine,
-			Duties:  func() Duties { return pairAssignment{peers[i], peers} },
-			Servers: func() []Server { return []Server{{ID: "e1"}} },
+		r := New(Dependencies{
+			Engine:     engine,
+			Assignment: func() Assignment { return pairAssignment{peers[i], peers} },
+			Servers:    func() []Server { return []Server{{ID: "e1"}} },
 			Deliver: func(rep galenastair.EngineReport) {
 				if i == 1 {
 					delivered <- rep
 				}
 			},
-		}, WithShortest(20*time.Millisecond))
+		}, WithMinInterval(20*time.Millisecond))
 		handlers[i].Store(r)
 		go func() { ended <- r.Run(ctx) }()
 	}
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -23,7 +23,7 @@
 	MetricsAddress string
 	StoreAddress   string
 	// MemoryLimit is the memory limit of the process.
-	Memory galenastair.Bytes
+	MemoryLimit galenastair.Bytes
 	// LinkMbps is the bandwidth of the instance's network link in Mbit/s; 0 if unknown.
 	LinkMbps float64
 	Bounds   Bounds
@@ -61,7 +61,7 @@
 
 func (g *Gateway) fields() fields {
 	b := &g.Bounds
-	memoryLimit := integer("Limits", "MemoryMB", &g.Memory, 32, 1<<20)
+	memoryLimit := integer("Limits", "MemoryMB", &g.MemoryLimit, 32, 1<<20)
 	return fields{
 		name("Gateway", "ID", true, &g.ID),
 		name("Gateway", "Region", true, &g.Region),
@@ -122,6 +122,6 @@
 	if err := fields.assign(file); err != nil {
 		return Gateway{}, err
 	}
-	g.Memory *= bytesPerMB
+	g.MemoryLimit *= bytesPerMB
 	return g, nil
 }
--- a/settings/gateway_test.go
+++ b/settings/gateway_test.go
@@ -43,7 +43,7 @@
 	is := is.New(t)
 	g, err := ParseGateway([]byte(gatewayText))
 	is.NoErr(err)
-	is.Equal(int64(g.Memory), int64(284_000_000))
+	is.Equal(int64(g.MemoryLimit), int64(284_000_000))
 	is.Equal(g.Bounds.KeyLife, 5*time.Second)
 	is.True(g.Bounds.FencesChecked)
 	is.Equal(g.LinkMbps, 1000.0)
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -38,7 +38,7 @@
 	PeerListenAddress string
 	// HistoryPath is a file to which each grant and the end of each request are written,
 	// so that tests can check them. No file is written if it is empty.
-	History string
+	HistoryPath string
 }
 
 // Platform holds the addresses of the platform's services.
@@ -59,7 +59,7 @@
 	CheckFence []galenastair.BackendServerID
 	// ProgressTimeout is how long a stream may be without data before its connection is
 	// considered broken.
-	Progress time.Duration
+	ProgressTimeout time.Duration
 	// ReportPeriod is the interval at which the report of an engine is read.
 	ReportPeriod time.Duration
 }
@@ -86,7 +86,7 @@
 		Instance:    Instance{Region: "region-1"},
 		Platform:    Platform{ListPeriod: time.Second, Retention: time.Hour},
 		Callers:     caller.DefaultLimits(),
-		Engines:     Engines{Progress: 5 * time.Second, ReportPeriod: 500 * time.Millisecond},
+		Engines:     Engines{ProgressTimeout: 5 * time.Second, ReportPeriod: 500 * time.Millisecond},
 		WeightStore: WeightStore{LoadsPerSecond: 1, LoadsInFlight: 2, AdapterLoadsInFlight: 15},
 		Stop:        Stop{Notice: 2 * time.Second, Timeout: 2 * time.Minute},
 	}
--- a/standin/engine/control.go
+++ b/standin/engine/control.go
@@ -136,7 +136,7 @@
 	e.mu.Lock()
 	events := e.cache.after(after, time.Now().Add(-e.settings.EventLag))
 	e.mu.Unlock()
-	writeJSON(w, wire.EventsAnswer{Events: events})
+	writeJSON(w, wire.EventsResponse{Events: events})
 }
 
 func (e *Engine) postTransfer(w http.ResponseWriter, r *http.Request) {
--- a/standin/platform/list.go
+++ b/standin/platform/list.go
@@ -126,7 +126,7 @@
 		return
 	}
 	sw, _ := p.board.get()
-	body, err := json.Marshal(wire.ListAnswer{Instances: p.list.view(time.Now(), sw)})
+	body, err := json.Marshal(wire.ListResponse{Instances: p.list.view(time.Now(), sw)})
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
--- a/standin/platform/log.go
+++ b/standin/platform/log.go
@@ -71,7 +71,7 @@
 	if sw.losesAnswer() {
 		panic(http.ErrAbortHandler)
 	}
-	writeJSON(w, wire.AppendAnswer{Offset: offset})
+	writeJSON(w, wire.AppendResponse{Offset: offset})
 }
 
 func (p *Platform) readRecords(w http.ResponseWriter, r *http.Request) {
@@ -100,7 +100,7 @@
 			return
 		}
 		if len(b.Records) > 0 || !waiting {
-			writeJSON(w, wire.ReadAnswer{First: b.First, Next: b.Next, Records: b.Records})
+			writeJSON(w, wire.ReadResponse{First: b.First, Next: b.Next, Records: b.Records})
 			return
 		}
 		select {
--- a/standin/platform/weights.go
+++ b/standin/platform/weights.go
@@ -102,5 +102,5 @@
 }
 
 func (p *Platform) getCatalogue(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, wire.CatalogueAnswer{Weights: p.catalogue})
+	writeJSON(w, wire.CatalogueResponse{Weights: p.catalogue})
 }
