--- a/load/bench.go
+++ b/load/bench.go
@@ -10,59 +10,61 @@
 	"galenastair"
 )
 
-// BenchConfig compares one engine directly and through one entry.
+// BenchConfig configures a comparison of one engine, called directly and through one
+// entry.
 type BenchConfig struct {
-	// Engine and Entry are addresses; EntryProcess and EngineProcess are process
-	// ids on this machine, for processor time and memory.
+	// Engine and Entry are addresses. EnginePID and EntryPID are process ids on this
+	// machine, used to read processor time and memory; zero skips a process.
 	Engine        string
 	Entry         string
 	EngineProcess int
 	EntryProcess  int
 	Key           string
 	Model         galenastair.ModelName
-	// Rates are run one after the other with short requests of Tokens each.
+	// Rates are the request rates per second, run one after the other with requests
+	// for Tokens tokens each.
 	Rates    []float64
 	Duration time.Duration
 	Tokens   int
-	// Streams are opened within StreamRamp, of StreamTokens each: long enough that
-	// all are open at once.
+	// Streams is the number of streams opened within StreamRamp. StreamTokens is the
+	// length of each, and must be large enough that all are open at the same time.
 	Streams      int
 	StreamRamp   time.Duration
 	StreamTokens int
-	// StreamSlow is told to SetSlow while the streams run, so that their tokens
-	// come at the pace of a model and not of short requests.
+	// StreamSlowdown is passed to SetSlowdown while the streams run, so that their
+	// tokens arrive at the rate of a real model and not at that of short requests.
 	StreamSlow float64
 	SetSlow    func(context.Context, float64) error
 	Seed       uint64
 	Want       func(Question) string
 }
 
-// BenchRow is one load on one target.
+// BenchRow is the result of one load on one target.
 type BenchRow struct {
-	Name           string
-	Through        bool
-	Rate           float64
-	WholePerSecond float64
-	Requests       int
-	Whole          int
-	FirstToken     Quantiles
-	BetweenTokens  Quantiles
-	// EntryCPU and EngineCPU are processor time for each request.
+	Name               string
+	ThroughEntry       bool `json:"Through"`
+	Rate               float64
+	CompletedPerSecond float64 `json:"WholePerSecond"`
+	Requests           int
+	Completed          int `json:"Whole"`
+	FirstToken         Quantiles
+	BetweenTokens      Quantiles
+	// EntryCPU and EngineCPU are the processor time per request.
 	EntryCPU  time.Duration
 	EngineCPU time.Duration
-	// EntryPeak is the entry's highest resident memory since its start.
-	EntryPeak galenastair.Bytes
+	// EntryPeakMemory is the peak resident memory of the entry since its start.
+	EntryPeakMemory galenastair.Bytes `json:"EntryPeak"`
 }
 
-// Bench runs each load directly and through the entry, the lowest first.
+// Bench runs the streams and then each of the rates, directly and through the entry.
 func Bench(ctx context.Context, c BenchConfig) ([]BenchRow, error) {
-	rows, err := c.streams(ctx)
+	rows, err := c.runStreams(ctx)
 	if err != nil {
 		return rows, err
 	}
 	for _, rate := range c.Rates {
 		for _, through := range []bool{false, true} {
-			row, err := c.run(ctx, fmt.Sprintf("%.0f requests/s", rate), through, rate, 0, c.Tokens)
+			row, err := c.runLoad(ctx, fmt.Sprintf("%.0f requests/s", rate), through, rate, 0, c.Tokens)
 			if err != nil {
 				return rows, err
 			}
@@ -72,8 +74,8 @@
 	return rows, nil
 }
 
-// streams opens many streams at once, directly and through the entry.
-func (c BenchConfig) streams(ctx context.Context) ([]BenchRow, error) {
+// runStreams runs the streams, directly and through the entry.
+func (c BenchConfig) runStreams(ctx context.Context) ([]BenchRow, error) {
 	if c.Streams == 0 {
 		return nil, nil
 	}
@@ -82,7 +84,7 @@
 	}
 	var rows []BenchRow
 	for _, through := range []bool{false, true} {
-		row, err := c.run(ctx, fmt.Sprintf("%d streams", c.Streams), through, float64(c.Streams)/c.StreamRamp.Seconds(), c.Streams, c.StreamTokens)
+		row, err := c.runLoad(ctx, fmt.Sprintf("%d streams", c.Streams), through, float64(c.Streams)/c.StreamRamp.Seconds(), c.Streams, c.StreamTokens)
 		if err != nil {
 			return rows, err
 		}
@@ -91,12 +93,12 @@
 	return rows, c.SetSlow(ctx, 1)
 }
 
-func (c BenchConfig) run(ctx context.Context, name string, through bool, rate float64, count, tokens int) (BenchRow, error) {
+func (c BenchConfig) runLoad(ctx context.Context, name string, through bool, rate float64, count, tokens int) (BenchRow, error) {
 	target, key := c.Engine, ""
 	if through {
 		target, key = c.Entry, c.Key
 	}
-	entry, engine, err := c.usages()
+	entry, engine, err := c.processUsages()
 	if err != nil {
 		return BenchRow{}, err
 	}
@@ -120,27 +122,27 @@
 	if err != nil {
 		return BenchRow{}, err
 	}
-	entryAfter, engineAfter, err := c.usages()
+	entryAfter, engineAfter, err := c.processUsages()
 	if err != nil {
 		return BenchRow{}, err
 	}
 	requests := time.Duration(max(r.All.Requests, 1))
 	return BenchRow{
-		Name:           name,
-		Through:        through,
-		Rate:           rate,
-		WholePerSecond: r.WholePerSecond,
-		Requests:       r.All.Requests,
-		Whole:          r.All.Whole(),
-		FirstToken:     r.All.FirstToken,
-		BetweenTokens:  r.All.BetweenTokens,
-		EntryCPU:       (entryAfter.cpu - entry.cpu) / requests,
-		EngineCPU:      (engineAfter.cpu - engine.cpu) / requests,
-		EntryPeak:      entryAfter.peak,
+		Name:               name,
+		ThroughEntry:       through,
+		Rate:               rate,
+		CompletedPerSecond: r.CompletedPerSecond,
+		Requests:           r.All.Requests,
+		Completed:          r.All.Whole(),
+		FirstToken:         r.All.FirstToken,
+		BetweenTokens:      r.All.BetweenTokens,
+		EntryCPU:           (entryAfter.cpu - entry.cpu) / requests,
+		EngineCPU:          (engineAfter.cpu - engine.cpu) / requests,
+		EntryPeakMemory:    entryAfter.peakMemory,
 	}, nil
 }
 
-func (c BenchConfig) usages() (entry, engine usage, err error) {
+func (c BenchConfig) processUsages() (entry, engine usage, err error) {
 	entry, err = processUsage(c.EntryProcess)
 	if err != nil {
 		return entry, engine, err
@@ -155,15 +157,15 @@
 	fmt.Fprintln(t, "load\tpath\trequests\twhole\twhole/s\tfirst p50\tfirst p99\tbetween p50\tbetween p99\tentry CPU\tengine CPU\tentry peak")
 	for _, r := range rows {
 		path := "direct"
-		if r.Through {
+		if r.ThroughEntry {
 			path = "entry"
 		}
 		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%.0f\t%v\t%v\t%v\t%v\t%v\t%v\t%.1f MB\n",
-			r.Name, path, r.Requests, r.Whole, r.WholePerSecond,
-			short(r.FirstToken.P50), short(r.FirstToken.P99),
-			short(r.BetweenTokens.P50), short(r.BetweenTokens.P99),
+			r.Name, path, r.Requests, r.Completed, r.CompletedPerSecond,
+			roundDuration(r.FirstToken.P50), roundDuration(r.FirstToken.P99),
+			roundDuration(r.BetweenTokens.P50), roundDuration(r.BetweenTokens.P99),
 			r.EntryCPU.Round(time.Microsecond), r.EngineCPU.Round(time.Microsecond),
-			float64(r.EntryPeak)/1e6)
+			float64(r.EntryPeakMemory)/1e6)
 	}
 	return t.Flush()
 }
--- a/load/config.go
+++ b/load/config.go
@@ -8,28 +8,31 @@
 	"galenastair"
 )
 
-// ErrConfig says that a load cannot be run as described.
-var ErrConfig = eris.New("the load is not well described")
+// ErrConfig is returned for an invalid Config.
+var ErrConfig = eris.New("invalid load configuration")
 
 // Source is the load of one organisation.
 type Source struct {
 	Organisation galenastair.Organisation
-	// Key goes with each request; none if empty.
+	// Key is the API key sent with each request; if empty, none is sent.
 	Key string
-	// Models are asked at random, each as likely.
+	// Models are the models requested; each request picks one uniformly at random.
 	Models []galenastair.ModelName
-	// Rate is in requests a second.
+	// Rate is the number of requests per second.
 	Rate float64
-	// PromptBytes is the size of a prompt; its first half is the same for all of a model.
+	// PromptBytes is the size of a prompt. The first half is the same in all requests
+	// of the source for one model.
 	PromptBytes int
-	Tokens      int
-	Chat        bool
-	Stream      bool
-	// Route sends requests on the users' platform; nil asks the own interface.
+	// Tokens is the number of tokens requested (max_tokens); zero means 16.
+	Tokens int
+	Chat   bool
+	Stream bool
+	// Route sends requests in the format of the users' platform; if nil, they go to
+	// the completions API.
 	Route *Route
 }
 
-// Question is what one request asks.
+// RequestParams are the parameters of one request.
 type Question struct {
 	Model  galenastair.ModelName
 	Prompt string
@@ -37,39 +40,44 @@
 	Tokens int
 }
 
-// Config describes one run.
+// Config configures one run.
 type Config struct {
-	// Targets are addresses of the form IP:port; requests go to them in turn.
+	// Targets are addresses of the form IP:port, used in round-robin order.
 	Targets []string
 	Sources []Source
-	// Duration bounds the arrivals; open requests may then take Timeout to end.
+	// Duration is how long requests arrive. Requests in flight at its end may take
+	// up to Timeout to finish.
 	Duration time.Duration
-	// MaxRequests bounds the arrivals in count, if not zero.
+	// MaxRequests is the maximum number of arrivals; zero means no limit.
 	MaxRequests int
-	// MaxOpen bounds the requests open at once.
+	// MaxInFlight is the maximum number of concurrent requests; zero means 4096.
 	MaxOpen int
-	// Timeout bounds one request.
+	// Timeout is the timeout of one request; zero means 30 s.
 	Timeout time.Duration
-	// Even spaces arrivals evenly; they come at random (Poisson) otherwise.
+	// EvenlySpaced makes the intervals between arrivals constant; otherwise arrivals
+	// are a Poisson process.
 	Even bool
+	// Seed determines the arrivals, models and prompts.
 	Seed uint64
-	// Want returns the whole answer that a question must get; nil verifies none.
+	// ExpectedText returns the complete text of the response expected for a request;
+	// if nil, texts are not verified.
 	Want func(Question) string
 }
 
 const (
-	defaultMaxOpen = 4096
-	defaultTimeout = 30 * time.Second
-	defaultTokens  = 16
+	defaultMaxInFlight = 4096
+	defaultTimeout     = 30 * time.Second
+	defaultTokens      = 16
 )
 
-// complete fills in what was left out and refuses what cannot be run.
-func (c Config) complete() (Config, error) {
+// withDefaults returns the configuration with defaults filled in, or an error if it is
+// invalid.
+func (c Config) withDefaults() (Config, error) {
 	if len(c.Targets) == 0 || len(c.Sources) == 0 || c.Duration <= 0 {
-		return c, eris.Wrap(ErrConfig, "targets, sources and a duration are needed")
+		return c, eris.Wrap(ErrConfig, "targets, sources and a duration above zero are required")
 	}
 	if c.MaxOpen == 0 {
-		c.MaxOpen = defaultMaxOpen
+		c.MaxOpen = defaultMaxInFlight
 	}
 	if c.Timeout == 0 {
 		c.Timeout = defaultTimeout
@@ -78,11 +86,11 @@
 	for i := range c.Sources {
 		s := &c.Sources[i]
 		if s.Route != nil && len(s.Models) == 0 {
-			// a plain service needs no model
+			// Services that are not engines take requests without a model.
 			s.Models = []galenastair.ModelName{""}
 		}
 		if len(s.Models) == 0 || s.Rate <= 0 {
-			return c, eris.Wrapf(ErrConfig, "source %d needs models and a rate", i)
+			return c, eris.Wrapf(ErrConfig, "source %d: models and a rate above zero are required", i)
 		}
 		if s.Tokens == 0 {
 			s.Tokens = defaultTokens
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestRunVerifiesWholeAnswers(t *testing.T) {
+func TestRunVerifiesCompleteResponses(t *testing.T) {
 	is := is.New(t)
 	_, address := startEngine(t)
 	r, err := load.Run(context.Background(), config(address))
@@ -67,10 +67,11 @@
 	is.True(strings.Contains(text.String(), "nursery"))
 }
 
-// A load that calls every answer whole hides that callers read cut or foreign
-// words. Answers are cut, or differ from what must come. Seen failing with the
-// end of the body taken for the end mark, and with the comparison taken out.
-func TestRunTellsCutAndWrongAnswers(t *testing.T) {
+// Responses that are truncated or contain the wrong text must not count as complete, or
+// the result hides that callers received them. The engine truncates its responses, then
+// the expected text differs. Fails if the end of the body is taken for the [DONE] marker,
+// or if texts are not compared.
+func TestRunReportsTruncatedAndWrongResponses(t *testing.T) {
 	is := is.New(t)
 	e, address := startEngine(t)
 	c := config(address)
@@ -103,8 +104,9 @@
 	is.True(r.All.Count("Dropped") > 0)
 }
 
-// A load on the users' platform: each request has an id of its own, says how long it waits
-// and what it asks of which model, and its answers are counted by how they end.
+// Requests with a Route: each must have a unique id and carry the time left until its
+// deadline, the key and the hints. Responses must be counted by status, and as truncated
+// if the body is shorter than its Content-Length.
 func TestRunOnTheUsersPlatform(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
--- a/load/opaque.go
+++ b/load/opaque.go
@@ -17,20 +17,21 @@
 	"galenastair/platform"
 )
 
-// Route is where requests go that the system passes on without reading them, on the users'
-// platform. The prompt is their body, and only its size matters.
+// Route is the destination of requests in the format of the users' platform, which the
+// system forwards without parsing their body. The body is the prompt, and only its size
+// matters.
 type Route struct {
 	Host string
 	Path string
 }
 
-// bytesPerToken is about what a token of plain text takes; it turns a prompt's size into
-// the hint that an engine's caller gives.
+// bytesPerToken is the approximate size of a token of plain text. It converts the size
+// of a prompt into the token count that callers of an engine pass as a hint.
 const bytesPerToken = 4
 
-// newOpaque returns a request on the users' platform.
-func newOpaque(ctx context.Context, target string, a arrival) (*http.Request, error) {
-	body := strings.NewReader(a.question.Prompt)
+// newOpaqueRequest returns a request in the format of the users' platform.
+func newOpaqueRequest(ctx context.Context, target string, a arrival) (*http.Request, error) {
+	body := strings.NewReader(a.params.Prompt)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+target+a.source.Route.Path, body)
 	if err != nil {
 		return nil, err
@@ -40,11 +41,11 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		c.Left = time.Until(deadline)
 	}
-	if a.question.Model != "" {
+	if a.params.Model != "" {
 		c.Hints = galenastair.Hints{
-			Model:   a.question.Model,
-			Prompt:  galenastair.Tokens(len(a.question.Prompt) / bytesPerToken),
-			Output:  galenastair.Tokens(a.question.Tokens),
+			Model:   a.params.Model,
+			Prompt:  galenastair.Tokens(len(a.params.Prompt) / bytesPerToken),
+			Output:  galenastair.Tokens(a.params.Tokens),
 			Counted: true,
 		}
 	}
@@ -52,29 +53,30 @@
 	return req, nil
 }
 
-// readOpaque reads an answer of the users' platform: whole if its framing ends well.
-func (s *sample) readOpaque(ctx context.Context, resp *http.Response, due time.Time) {
+// readOpaqueResponse reads a response to a request sent with a Route. The response is
+// complete if its HTTP framing ends without an error.
+func (s *sample) readOpaqueResponse(ctx context.Context, resp *http.Response, due time.Time) {
 	if resp.StatusCode != http.StatusOK {
-		_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxAnswer))
+		_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBytes))
 		s.code = galenastair.Code(fmt.Sprintf("Status%d", resp.StatusCode))
 		if platform.PromisesNotRun(resp.StatusCode) {
 			s.outcome = galenastair.NotRun
 		}
 		return
 	}
-	r := bufio.NewReaderSize(resp.Body, readBuffer)
+	r := bufio.NewReaderSize(resp.Body, readBufferBytes)
 	for {
 		line, err := r.ReadBytes('\n')
-		if s.last.IsZero() && len(line) > 0 || bytes.HasPrefix(line, dataField) {
-			s.token(time.Now(), due)
+		if s.lastTokenAt.IsZero() && len(line) > 0 || bytes.HasPrefix(line, dataPrefix) {
+			s.recordToken(time.Now(), due)
 		}
 		switch {
 		case errors.Is(err, io.EOF):
-			s.code, s.outcome = codeWhole, galenastair.Ran
+			s.code, s.outcome = codeComplete, galenastair.Ran
 			return
 		case err != nil:
-			s.code = codeCut
-			s.lost(ctx)
+			s.code = codeTruncated
+			s.markTimeout(ctx)
 			return
 		}
 	}
--- a/load/process.go
+++ b/load/process.go
@@ -8,13 +8,13 @@
 	"galenastair"
 )
 
-// usage is what a process has used so far.
+// usage is the resource usage of a process since its start.
 type usage struct {
-	cpu  time.Duration
-	peak galenastair.Bytes
+	cpu        time.Duration
+	peakMemory galenastair.Bytes
 }
 
-// processUsage reads the usage of a process; a process that is not named has none.
+// processUsage reads the usage of a process; it is zero if pid is 0.
 func processUsage(pid int) (usage, error) {
 	if pid == 0 {
 		return usage{}, nil
@@ -32,7 +32,7 @@
 		return usage{}, err
 	}
 	return usage{
-		cpu:  time.Duration(stat.CPUTime() * float64(time.Second)),
-		peak: galenastair.Bytes(status.VmHWM),
+		cpu:        time.Duration(stat.CPUTime() * float64(time.Second)),
+		peakMemory: galenastair.Bytes(status.VmHWM),
 	}, nil
 }
--- a/load/result.go
+++ b/load/result.go
@@ -9,33 +9,35 @@
 	"galenastair"
 )
 
-// Quantiles sums up one histogram.
+// Quantiles summarises one histogram.
 type Quantiles struct {
 	Count                         int64
 	P50, P90, P95, P99, P999, Max time.Duration
 }
 
-// OutcomeCount says how often requests ended one way.
+// OutcomeCount is the number of requests that ended with a code and an outcome.
 type OutcomeCount struct {
 	Code    galenastair.Code
 	Outcome galenastair.Outcome
 	Count   int
 }
 
-// OrganisationResult tells how one organisation fared.
+// OrganisationResult is the result of the requests of one organisation. The latencies
+// are those of requests that got a complete response.
 type OrganisationResult struct {
-	Organisation  galenastair.Organisation
-	Requests      int
-	Outcomes      []OutcomeCount
+	Organisation galenastair.Organisation
+	Requests     int
+	Outcomes     []OutcomeCount
+	// FirstToken is the time to first token, BetweenTokens the inter-token latency.
 	FirstToken    Quantiles
 	BetweenTokens Quantiles
 	Total         Quantiles
 }
 
-// Whole returns how many requests got their whole answer.
-func (r OrganisationResult) Whole() int { return r.Count(codeWhole) }
+// Completed returns the number of requests that got a complete response.
+func (r OrganisationResult) Whole() int { return r.Count(codeComplete) }
 
-// Count returns how many requests ended with a code.
+// Count returns the number of requests that ended with the given code.
 func (r OrganisationResult) Count(code galenastair.Code) int {
 	n := 0
 	for _, o := range r.Outcomes {
@@ -46,26 +48,27 @@
 	return n
 }
 
-// Result tells how a run went; All sums up the organisations.
+// Result is the result of a run; All aggregates the organisations.
 type Result struct {
 	Seed    uint64
 	Elapsed time.Duration
-	// WholePerSecond is the rate of requests that got their whole answer.
-	WholePerSecond float64
-	All            OrganisationResult
-	Organisations  []OrganisationResult
+	// CompletedPerSecond is the rate of requests that got a complete response.
+	CompletedPerSecond float64 `json:"WholePerSecond"`
+	All                OrganisationResult
+	Organisations      []OrganisationResult
 }
 
-// WriteText writes the result as a table, a line each for the organisations and for all.
+// WriteText writes the result as a table with a row for each organisation and one for
+// all of them.
 func (r Result) WriteText(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "organisation\trequests\twhole\tfirst p50\tp95\tp99\tbetween p50\tp95\tp99\ttotal p99\tmax")
 	for _, o := range append(r.Organisations[:len(r.Organisations):len(r.Organisations)], r.All) {
 		fmt.Fprintf(t, "%s\t%d\t%d\t%v\t%v\t%v\t%v\t%v\t%v\t%v\t%v\n",
 			o.Organisation, o.Requests, o.Whole(),
-			short(o.FirstToken.P50), short(o.FirstToken.P95), short(o.FirstToken.P99),
-			short(o.BetweenTokens.P50), short(o.BetweenTokens.P95), short(o.BetweenTokens.P99),
-			short(o.Total.P99), short(o.Total.Max))
+			roundDuration(o.FirstToken.P50), roundDuration(o.FirstToken.P95), roundDuration(o.FirstToken.P99),
+			roundDuration(o.BetweenTokens.P50), roundDuration(o.BetweenTokens.P95), roundDuration(o.BetweenTokens.P99),
+			roundDuration(o.Total.P99), roundDuration(o.Total.Max))
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -75,8 +78,8 @@
 			return err
 		}
 	}
-	_, err := fmt.Fprintf(w, "seed %d: %.0f whole answers/s over %v\n", r.Seed, r.WholePerSecond, r.Elapsed.Round(time.Millisecond))
+	_, err := fmt.Fprintf(w, "seed %d: %.0f whole answers/s over %v\n", r.Seed, r.CompletedPerSecond, r.Elapsed.Round(time.Millisecond))
 	return err
 }
 
-func short(d time.Duration) time.Duration { return d.Round(10 * time.Microsecond) }
+func roundDuration(d time.Duration) time.Duration { return d.Round(10 * time.Microsecond) }
--- a/load/run.go
+++ b/load/run.go
@@ -10,23 +10,23 @@
 	"galenastair"
 )
 
-// allOrganisations names the sum in a result.
+// allOrganisations is the name under which Result.All is reported.
 const allOrganisations galenastair.Organisation = "ALL"
 
-// runner sends what the schedules say.
+// runner sends the requests of one run.
 type runner struct {
-	config Config
-	client *http.Client
-	begin  time.Time
-	open   chan struct{}
-	sent   atomic.Int64
-	group  sync.WaitGroup
+	config    Config
+	client    *http.Client
+	startedAt time.Time
+	inFlight  chan struct{}
+	arrivals  atomic.Int64
+	wg        sync.WaitGroup
 }
 
-// Run puts the load on and returns once every request has ended; an early end of
-// the context ends the arrivals and the open requests.
+// Run generates the load and returns once every request has finished. Cancelling the
+// context stops the arrivals and cancels the requests in flight.
 func Run(ctx context.Context, c Config) (Result, error) {
-	c, err := c.complete()
+	c, err := c.withDefaults()
 	if err != nil {
 		return Result{}, err
 	}
@@ -37,54 +37,56 @@
 	}
 	defer transport.CloseIdleConnections()
 	r := &runner{
-		config: c,
-		client: &http.Client{Transport: transport},
-		begin:  time.Now(),
-		open:   make(chan struct{}, c.MaxOpen),
+		config:    c,
+		client:    &http.Client{Transport: transport},
+		startedAt: time.Now(),
+		inFlight:  make(chan struct{}, c.MaxOpen),
 	}
 	tallies := make([]*tally, len(c.Sources))
 	for i := range c.Sources {
 		tallies[i] = newTally(c.Sources[i].Organisation)
-		r.group.Go(func() { r.follow(ctx, newSchedule(c, i), tallies[i]) })
+		r.wg.Go(func() { r.runSchedule(ctx, newSchedule(c, i), tallies[i]) })
 	}
-	r.group.Wait()
+	r.wg.Wait()
 	return r.result(tallies), nil
 }
 
-// follow sends each arrival of one schedule when it is due.
-func (r *runner) follow(ctx context.Context, s *schedule, t *tally) {
+// runSchedule sends each request of one schedule when it is due.
+func (r *runner) runSchedule(ctx context.Context, s *schedule, t *tally) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		a := s.take()
+		a := s.next()
 		if a.at > r.config.Duration {
 			return
 		}
-		due := r.begin.Add(a.at)
+		due := r.startedAt.Add(a.at)
 		timer.Reset(time.Until(due))
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
 			return
 		}
-		n := r.sent.Add(1)
+		n := r.arrivals.Add(1)
 		if r.config.MaxRequests > 0 && n > int64(r.config.MaxRequests) {
 			return
 		}
-		r.start(ctx, a, due, r.config.Targets[n%int64(len(r.config.Targets))], t)
+		r.startRequest(ctx, a, due, r.config.Targets[n%int64(len(r.config.Targets))], t)
 	}
 }
 
-// start sends one request, unless too many are open: an open loop must not wait.
-func (r *runner) start(ctx context.Context, a arrival, due time.Time, target string, t *tally) {
+// startRequest sends one request in a goroutine of its own. It drops the request if
+// MaxInFlight is reached: waiting for a free slot would delay later arrivals and make the
+// load a closed loop.
+func (r *runner) startRequest(ctx context.Context, a arrival, due time.Time, target string, t *tally) {
 	select {
-	case r.open <- struct{}{}:
+	case r.inFlight <- struct{}{}:
 	default:
-		t.drop()
+		t.addDropped()
 		return
 	}
-	r.group.Go(func() {
-		defer func() { <-r.open }()
+	r.wg.Go(func() {
+		defer func() { <-r.inFlight }()
 		ctx, cancel := context.WithTimeout(ctx, r.config.Timeout)
 		defer cancel()
 		t.add(send(ctx, r.client, target, a, due, r.config.Want))
@@ -92,20 +94,20 @@
 }
 
 func (r *runner) result(tallies []*tally) Result {
-	elapsed := time.Since(r.begin)
+	elapsed := time.Since(r.startedAt)
 	all := newTally(allOrganisations)
 	result := Result{Seed: r.config.Seed, Elapsed: elapsed}
-	for _, t := range byOrganisation(tallies) {
+	for _, t := range mergeByOrganisation(tallies) {
 		all.merge(t)
 		result.Organisations = append(result.Organisations, t.result())
 	}
 	result.All = all.result()
-	result.WholePerSecond = float64(result.All.Whole()) / elapsed.Seconds()
+	result.CompletedPerSecond = float64(result.All.Whole()) / elapsed.Seconds()
 	return result
 }
 
-// byOrganisation merges the tallies of sources that share an organisation.
-func byOrganisation(tallies []*tally) []*tally {
+// mergeByOrganisation merges the tallies of sources with the same organisation.
+func mergeByOrganisation(tallies []*tally) []*tally {
 	var merged []*tally
 	byName := map[galenastair.Organisation]*tally{}
 	for _, t := range tallies {
--- a/load/schedule.go
+++ b/load/schedule.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// arrival is one request that is due.
+// arrival is one scheduled request.
 type arrival struct {
-	at       time.Duration
-	source   *Source
-	question Question
+	at     time.Duration // since the start of the run
+	source *Source
+	params Question
 }
 
-// schedule gives the arrivals of one source, the same from the same seed.
+// schedule generates the arrivals of one source; the same seed gives the same arrivals.
 type schedule struct {
 	source *Source
 	even   bool
 	rand   *rand.Rand
-	next   time.Duration
+	nextAt time.Duration
 	count  int
 }
 
@@ -31,19 +31,19 @@
 	}
 }
 
-// take returns the next arrival.
-func (s *schedule) take() arrival {
+// next returns the next arrival.
+func (s *schedule) next() arrival {
 	gap := 1.0
 	if !s.even {
 		gap = s.rand.ExpFloat64()
 	}
-	s.next += time.Duration(gap / s.source.Rate * float64(time.Second))
+	s.nextAt += time.Duration(gap / s.source.Rate * float64(time.Second))
 	s.count++
 	model := s.source.Models[s.rand.IntN(len(s.source.Models))]
 	return arrival{
-		at:     s.next,
+		at:     s.nextAt,
 		source: s.source,
-		question: Question{
+		params: Question{
 			Model:  model,
 			Prompt: s.prompt(string(model)),
 			Chat:   s.source.Chat,
@@ -52,16 +52,18 @@
 	}
 }
 
-// prompt returns a text whose first half is common to a source and model, as templates are.
+// prompt returns a text whose first half is the same for all prompts of a source and
+// model, like a prompt template.
 func (s *schedule) prompt(model string) string {
 	common := string(s.source.Organisation) + " asks " + model + ". "
-	own := strconv.FormatUint(s.rand.Uint64(), 36) + " "
+	unique := strconv.FormatUint(s.rand.Uint64(), 36) + " "
 	half := s.source.PromptBytes / 2
-	return fill(common, half) + fill(own, s.source.PromptBytes-half)
+	return repeatToLength(common, half) + repeatToLength(unique, s.source.PromptBytes-half)
 }
 
-// fill repeats a text to a length, but keeps it whole once.
-func fill(text string, length int) string {
+// repeatToLength repeats text up to length bytes. It never truncates the first copy, so
+// that the result may be longer.
+func repeatToLength(text string, length int) string {
 	n := length/len(text) + 1
 	return strings.Repeat(text, n)[:max(length, len(text))]
 }
--- a/load/send.go
+++ b/load/send.go
@@ -14,32 +14,32 @@
 )
 
 const (
-	// readBuffer holds dozens of token events.
-	readBuffer = 8 << 10
-	// maxAnswer bounds the memory of one plain answer.
-	maxAnswer = 4 << 20
+	// readBufferBytes is enough for dozens of token events.
+	readBufferBytes = 8 << 10
+	// maxResponseBytes bounds the memory used for one response without streaming.
+	maxResponseBytes = 4 << 20
 )
 
-// The codes that a load gives to what carries no code of its own.
+// Codes of requests whose response carries no error code.
 const (
-	codeWhole     galenastair.Code = "Whole"
-	codeWrong     galenastair.Code = "WrongAnswer"
-	codeCut       galenastair.Code = "CutUntold"
-	codeNoAnswer  galenastair.Code = "NoAnswer"
-	codeTimeout   galenastair.Code = "ClientTimeout"
-	codeUncoded   galenastair.Code = "Uncoded"
-	codeUnsettled galenastair.Code = "Dropped"
+	codeComplete    galenastair.Code = "Whole"
+	codeWrongAnswer galenastair.Code = "WrongAnswer"
+	codeTruncated   galenastair.Code = "CutUntold"
+	codeNoAnswer    galenastair.Code = "NoAnswer"
+	codeTimeout     galenastair.Code = "ClientTimeout"
+	codeNoErrorCode galenastair.Code = "Uncoded"
+	codeDropped     galenastair.Code = "Dropped"
 )
 
-// sample is what one request showed.
+// sample is the measurement of one request.
 type sample struct {
-	code    galenastair.Code
-	outcome galenastair.Outcome
-	first   time.Duration
-	gaps    []time.Duration
-	total   time.Duration
-	text    strings.Builder
-	last    time.Time
+	code        galenastair.Code
+	outcome     galenastair.Outcome
+	firstToken  time.Duration
+	gaps        []time.Duration
+	total       time.Duration
+	text        strings.Builder
+	lastTokenAt time.Time
 }
 
 type chatMessage struct {
@@ -57,15 +57,15 @@
 
 func newRequest(ctx context.Context, target string, a arrival) (*http.Request, error) {
 	if a.source.Route != nil {
-		return newOpaque(ctx, target, a)
+		return newOpaqueRequest(ctx, target, a)
 	}
-	b := requestBody{Model: a.question.Model, MaxTokens: a.question.Tokens, Stream: a.source.Stream}
+	b := requestBody{Model: a.params.Model, MaxTokens: a.params.Tokens, Stream: a.source.Stream}
 	path := "/v1/completions"
-	if a.question.Chat {
+	if a.params.Chat {
 		path = "/v1/chat/completions"
-		b.Messages = []chatMessage{{"user", a.question.Prompt}}
+		b.Messages = []chatMessage{{"user", a.params.Prompt}}
 	} else {
-		b.Prompt = a.question.Prompt
+		b.Prompt = a.params.Prompt
 	}
 	body, err := json.Marshal(b)
 	if err != nil {
@@ -82,8 +82,9 @@
 	return req, nil
 }
 
-// send makes one request and returns what it showed; due is when it should have been sent.
-func send(ctx context.Context, client *http.Client, target string, a arrival, due time.Time, want func(Question) string) *sample {
+// send sends one request and returns its measurement. Latencies are measured from due,
+// the scheduled time of the request.
+func send(ctx context.Context, client *http.Client, target string, a arrival, due time.Time, expectedText func(Question) string) *sample {
 	s := &sample{code: codeNoAnswer, outcome: galenastair.Unknown}
 	defer func() { s.total = time.Since(due) }()
 	req, err := newRequest(ctx, target, a)
@@ -92,44 +93,44 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		s.lost(ctx)
+		s.markTimeout(ctx)
 		return s
 	}
 	defer resp.Body.Close()
 	switch {
 	case a.source.Route != nil:
-		s.readOpaque(ctx, resp, due)
+		s.readOpaqueResponse(ctx, resp, due)
 	case resp.StatusCode != http.StatusOK:
-		body, _ := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
-		s.refused(body)
+		body, _ := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
+		s.parseError(body)
 	case a.source.Stream:
-		s.readStream(ctx, resp.Body, due, want != nil)
+		s.readStream(ctx, resp.Body, due, expectedText != nil)
 	default:
-		s.readWhole(ctx, resp.Body, due)
+		s.readBody(ctx, resp.Body, due)
 	}
-	if s.code == codeWhole && want != nil && s.text.String() != want(a.question) {
-		s.code = codeWrong
+	if s.code == codeComplete && expectedText != nil && s.text.String() != expectedText(a.params) {
+		s.code = codeWrongAnswer
 	}
 	return s
 }
 
-func (s *sample) lost(ctx context.Context) {
+func (s *sample) markTimeout(ctx context.Context) {
 	if ctx.Err() != nil {
 		s.code = codeTimeout
 	}
 }
 
-type errorBody struct {
+type errorResponse struct {
 	Error *struct {
 		Code    galenastair.Code    `json:"code"`
 		Outcome galenastair.Outcome `json:"outcome"`
 	} `json:"error"`
 }
 
-// refused takes the code from an error object.
-func (s *sample) refused(body []byte) {
-	s.code = codeUncoded
-	var e errorBody
+// parseError sets code and outcome from an error response.
+func (s *sample) parseError(body []byte) {
+	s.code = codeNoErrorCode
+	var e errorResponse
 	if json.Unmarshal(body, &e) != nil || e.Error == nil || e.Error.Code == "" {
 		return
 	}
@@ -138,51 +139,52 @@
 }
 
 var (
-	dataField  = []byte("data: ")
-	endMark    = []byte("[DONE]")
-	errorField = []byte(`{"error"`)
-	noChoice   = []byte(`"choices":[]`)
+	dataPrefix   = []byte("data: ")
+	doneMarker   = []byte("[DONE]")
+	errorPrefix  = []byte(`{"error"`)
+	emptyChoices = []byte(`"choices":[]`)
 )
 
-// readStream reads events up to the end mark; a body that ends without it was cut.
+// readStream reads events up to the [DONE] marker. A body that ends without it is
+// truncated.
 func (s *sample) readStream(ctx context.Context, body io.Reader, due time.Time, keepText bool) {
-	r := bufio.NewReaderSize(body, readBuffer)
+	r := bufio.NewReaderSize(body, readBufferBytes)
 	for {
 		line, err := r.ReadBytes('\n')
 		if err != nil {
-			s.code = codeCut
-			s.lost(ctx)
+			s.code = codeTruncated
+			s.markTimeout(ctx)
 			return
 		}
-		data, ok := bytes.CutPrefix(bytes.TrimSpace(line), dataField)
+		data, ok := bytes.CutPrefix(bytes.TrimSpace(line), dataPrefix)
 		switch {
 		case !ok:
-		case bytes.Equal(data, endMark):
-			s.code, s.outcome = codeWhole, galenastair.Ran
+		case bytes.Equal(data, doneMarker):
+			s.code, s.outcome = codeComplete, galenastair.Ran
 			_, _ = io.Copy(io.Discard, r)
 			return
-		case bytes.HasPrefix(data, errorField):
-			s.refused(data)
+		case bytes.HasPrefix(data, errorPrefix):
+			s.parseError(data)
 			return
-		case !bytes.Contains(data, noChoice):
-			s.token(time.Now(), due)
+		case !bytes.Contains(data, emptyChoices):
+			s.recordToken(time.Now(), due)
 			if keepText {
-				s.keep(data)
+				s.appendText(data)
 			}
 		}
 	}
 }
 
-func (s *sample) token(now, due time.Time) {
-	if s.last.IsZero() {
-		s.first = now.Sub(due)
+func (s *sample) recordToken(now, due time.Time) {
+	if s.lastTokenAt.IsZero() {
+		s.firstToken = now.Sub(due)
 	} else {
-		s.gaps = append(s.gaps, now.Sub(s.last))
+		s.gaps = append(s.gaps, now.Sub(s.lastTokenAt))
 	}
-	s.last = now
+	s.lastTokenAt = now
 }
 
-type answerBody struct {
+type completionResponse struct {
 	Choices []struct {
 		Text    string      `json:"text"`
 		Delta   chatMessage `json:"delta"`
@@ -190,8 +192,8 @@
 	} `json:"choices"`
 }
 
-func (s *sample) keep(data []byte) {
-	var a answerBody
+func (s *sample) appendText(data []byte) {
+	var a completionResponse
 	if json.Unmarshal(data, &a) != nil || len(a.Choices) == 0 {
 		return
 	}
@@ -199,14 +201,14 @@
 	s.text.WriteString(c.Text + c.Delta.Content + c.Message.Content)
 }
 
-func (s *sample) readWhole(ctx context.Context, body io.Reader, due time.Time) {
-	data, err := io.ReadAll(io.LimitReader(body, maxAnswer))
+func (s *sample) readBody(ctx context.Context, body io.Reader, due time.Time) {
+	data, err := io.ReadAll(io.LimitReader(body, maxResponseBytes))
 	if err != nil {
-		s.code = codeCut
-		s.lost(ctx)
+		s.code = codeTruncated
+		s.markTimeout(ctx)
 		return
 	}
-	s.token(time.Now(), due)
-	s.keep(data)
-	s.code, s.outcome = codeWhole, galenastair.Ran
+	s.recordToken(time.Now(), due)
+	s.appendText(data)
+	s.code, s.outcome = codeComplete, galenastair.Ran
 }
--- a/load/tally.go
+++ b/load/tally.go
@@ -12,70 +12,72 @@
 )
 
 const (
-	// histograms hold 1 us to 10 minutes with two digits, about 40 KB each.
-	lowest = int64(time.Microsecond)
-	most   = int64(10 * time.Minute)
-	digits = 2
+	// Histograms cover 1 µs to 10 minutes with two significant digits and take about
+	// 40 KB each.
+	lowest  = int64(time.Microsecond)
+	highest = int64(10 * time.Minute)
+	digits  = 2
 )
 
-func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(lowest, most, digits) }
+func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(lowest, highest, digits) }
 
 type outcomeKey struct {
 	code    galenastair.Code
 	outcome galenastair.Outcome
 }
 
-// tally counts what the requests of one organisation showed.
+// tally accumulates the samples of one organisation.
 type tally struct {
 	organisation galenastair.Organisation
 
-	mu       sync.Mutex
-	first    *hdrhistogram.Histogram
-	between  *hdrhistogram.Histogram
-	total    *hdrhistogram.Histogram
-	outcomes map[outcomeKey]int
+	mu            sync.Mutex
+	firstToken    *hdrhistogram.Histogram
+	betweenTokens *hdrhistogram.Histogram
+	total         *hdrhistogram.Histogram
+	outcomes      map[outcomeKey]int
 }
 
 func newTally(o galenastair.Organisation) *tally {
 	return &tally{
-		organisation: o,
-		first:        newHistogram(),
-		between:      newHistogram(),
-		total:        newHistogram(),
-		outcomes:     map[outcomeKey]int{},
+		organisation:  o,
+		firstToken:    newHistogram(),
+		betweenTokens: newHistogram(),
+		total:         newHistogram(),
+		outcomes:      map[outcomeKey]int{},
 	}
 }
 
-// add counts one request; only whole answers count in the times.
+// add adds one request. The latencies include only requests with a complete response.
 func (t *tally) add(s *sample) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.outcomes[outcomeKey{s.code, s.outcome}]++
-	if s.code != codeWhole {
+	if s.code != codeComplete {
 		return
 	}
-	record(t.first, s.first)
+	record(t.firstToken, s.firstToken)
 	record(t.total, s.total)
 	for _, gap := range s.gaps {
-		record(t.between, gap)
+		record(t.betweenTokens, gap)
 	}
 }
 
-func (t *tally) drop() {
+func (t *tally) addDropped() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.outcomes[outcomeKey{codeUnsettled, galenastair.NotRun}]++
+	t.outcomes[outcomeKey{codeDropped, galenastair.NotRun}]++
 }
 
-// record leaves out what the histogram cannot hold, which Max would show anyway.
+// record adds d to the histogram, clamped to the range that the histogram covers. A Max
+// of 10 minutes shows that longer durations were clamped.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(int64(d), lowest), most))
+	_ = h.RecordValue(min(max(int64(d), lowest), highest))
 }
 
-// merge adds another tally to this one.
+// merge adds the samples of another tally to this one.
 func (t *tally) merge(o *tally) {
-	t.first.Merge(o.first)
-	t.between.Merge(o.between)
+	t.firstToken.Merge(o.firstToken)
+	t.betweenTokens.Merge(o.betweenTokens)
 	t.total.Merge(o.total)
 	for k, n := range o.outcomes {
 		t.outcomes[k] += n
@@ -85,8 +87,8 @@
 func (t *tally) result() OrganisationResult {
 	r := OrganisationResult{
 		Organisation:  t.organisation,
-		FirstToken:    quantiles(t.first),
-		BetweenTokens: quantiles(t.between),
+		FirstToken:    quantiles(t.firstToken),
+		BetweenTokens: quantiles(t.betweenTokens),
 		Total:         quantiles(t.total),
 	}
 	for k, n := range t.outcomes {
