--- a/measure/clock.go
+++ b/measure/clock.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// event is something due at a time; equal times go in the order of their making.
+// event is an action scheduled at a time. Events at the same time run in the order in
+// which they were scheduled.
 type event struct {
-	at    time.Time
-	order int
-	do    func()
+	at     time.Time
+	seq    int
+	action func()
 }
 
 type events []event
@@ -17,7 +18,7 @@
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
 	if e[i].at.Equal(e[j].at) {
-		return e[i].order < e[j].order
+		return e[i].seq < e[j].seq
 	}
 	return e[i].at.Before(e[j].at)
 }
@@ -30,18 +31,18 @@
 	return x
 }
 
-// clock is the time of one run, moved by hand from event to event.
+// clock is the virtual clock of one run; it advances from event to event.
 type clock struct {
-	now   time.Time
-	due   events
-	order int
+	now     time.Time
+	pending events
+	seq     int
 }
 
 func (c *clock) after(d time.Duration, do func()) { c.at(c.now.Add(d), do) }
 
 func (c *clock) at(t time.Time, do func()) {
-	c.order++
-	heap.Push(&c.due, event{t, c.order, do})
+	c.seq++
+	heap.Push(&c.pending, event{t, c.seq, do})
 }
 
 func (c *clock) every(d time.Duration, do func()) {
@@ -52,9 +53,9 @@
 }
 
 func (c *clock) run(until time.Time) {
-	for len(c.due) > 0 && c.due[0].at.Before(until) {
-		e := heap.Pop(&c.due).(event)
+	for len(c.pending) > 0 && c.pending[0].at.Before(until) {
+		e := heap.Pop(&c.pending).(event)
 		c.now = e.at
-		e.do()
+		e.action()
 	}
 }
--- a/measure/engine.go
+++ b/measure/engine.go
@@ -7,29 +7,30 @@
 	"galenastair"
 )
 
-// sequence is one request in an engine.
+// sequence is one request on an engine.
 type sequence struct {
-	call     *call
-	priority int
-	toRead   int
-	written  int
-	first    func()
-	done     func(ok bool)
+	call         *call
+	priority     int
+	promptLeft   int
+	outputTokens int
+	onFirstToken func()
+	onDone       func(ok bool)
 }
 
-// engine is the plain cost model: steps over a batch, prompts read in chunks.
+// engine is the cost model of an engine: it processes a batch in steps and prefills
+// prompts in chunks.
 type engine struct {
-	id       galenastair.BackendServerID
-	zone     galenastair.AvailabilityZone
-	slowness float64
-	dead     bool
-	running  []*sequence
-	waiting  []*sequence
-	cache    map[uint64]int
-	used     int
-	stepping bool
-	events   []galenastair.CacheEvent
-	loaded   []galenastair.LoadedWeight
+	id          galenastair.BackendServerID
+	zone        galenastair.AvailabilityZone
+	slowdown    float64
+	failed      bool
+	running     []*sequence
+	waiting     []*sequence
+	cache       map[uint64]int
+	lastUse     int
+	inStep      bool
+	cacheEvents []galenastair.CacheEvent
+	loaded      []galenastair.LoadedWeight
 }
 
 func (e *engine) ready(m galenastair.ModelName) bool {
@@ -49,12 +50,12 @@
 	e.waiting = slices.Insert(e.waiting, i, s)
 }
 
-// step begins one step and returns how long it takes; zero if there is no work.
-func (e *engine) step() time.Duration {
+// startStep starts a step and returns its duration, or zero if there is no work.
+func (e *engine) startStep() time.Duration {
 	for len(e.running) < batchSize && len(e.waiting) > 0 {
 		s := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		s.toRead = max(1, s.call.prompt-blockTokens*e.cached(s.call.prefix))
+		s.promptLeft = max(1, s.call.prompt-blockTokens*e.cachedBlocks(s.call.prefix))
 		e.running = append(e.running, s)
 	}
 	if len(e.running) == 0 {
@@ -62,35 +63,35 @@
 	}
 	var took time.Duration
 	models := map[galenastair.ModelName]bool{}
-	chunk := promptChunk
+	chunk := promptChunkTokens
 	for _, s := range e.running {
 		models[s.call.model[:3]] = true
-		took += stepPerSequence
-		read := min(chunk, s.toRead)
+		took += stepTimePerSequence
+		read := min(chunk, s.promptLeft)
 		chunk -= read
-		s.toRead -= read
-		took += time.Duration(read) * stepPerPrompt
-		if read > 0 && s.toRead == 0 {
-			e.remember(s.call.prefix)
+		s.promptLeft -= read
+		took += time.Duration(read) * stepTimePerPromptToken
+		if read > 0 && s.promptLeft == 0 {
+			e.cachePrompt(s.call.prefix)
 		}
 	}
-	took += time.Duration(len(models)) * stepPerModel
-	return time.Duration(float64(took) * e.slowness)
+	took += time.Duration(len(models)) * stepTimePerModel
+	return time.Duration(float64(took) * e.slowdown)
 }
 
-// finish ends a step: every sequence whose prompt is read has one more token.
-func (e *engine) finish() (first, done []*sequence) {
+// finishStep ends a step: every sequence with a prefilled prompt outputs one token.
+func (e *engine) finishStep() (first, done []*sequence) {
 	kept := e.running[:0]
 	for _, s := range e.running {
-		if s.toRead > 0 {
+		if s.promptLeft > 0 {
 			kept = append(kept, s)
 			continue
 		}
-		s.written++
-		if s.written == 1 {
+		s.outputTokens++
+		if s.outputTokens == 1 {
 			first = append(first, s)
 		}
-		if s.written >= s.call.output {
+		if s.outputTokens >= s.call.output {
 			done = append(done, s)
 			continue
 		}
@@ -100,25 +101,26 @@
 	return first, done
 }
 
-func (e *engine) cached(prefix []uint64) int {
+func (e *engine) cachedBlocks(prefix []uint64) int {
 	for i, h := range prefix {
 		if _, ok := e.cache[h]; !ok {
 			return i
 		}
-		e.used++
-		e.cache[h] = e.used
+		e.lastUse++
+		e.cache[h] = e.lastUse
 	}
 	return len(prefix)
 }
 
-// remember caches a prompt and drops what was used longest ago.
-func (e *engine) remember(prefix []uint64) {
+// cachePrompt caches the blocks of a prompt. Once the cache exceeds cacheBlocks by a
+// quarter, it evicts the least recently used blocks down to cacheBlocks.
+func (e *engine) cachePrompt(prefix []uint64) {
 	for _, h := range prefix {
 		if _, ok := e.cache[h]; !ok {
-			e.events = append(e.events, galenastair.CacheEvent{Prefix: h})
+			e.cacheEvents = append(e.cacheEvents, galenastair.CacheEvent{Prefix: h})
 		}
-		e.used++
-		e.cache[h] = e.used
+		e.lastUse++
+		e.cache[h] = e.lastUse
 	}
 	if len(e.cache) < cacheBlocks+cacheBlocks/4 {
 		return
@@ -138,7 +140,7 @@
 	slices.Sort(dropped)
 	for _, h := range dropped {
 		delete(e.cache, h)
-		e.events = append(e.events, galenastair.CacheEvent{Prefix: h, Dropped: true})
+		e.cacheEvents = append(e.cacheEvents, galenastair.CacheEvent{Prefix: h, Dropped: true})
 	}
 }
 
@@ -152,10 +154,11 @@
 	}
 }
 
-// fail ends all that an engine runs, as when its process dies.
+// fail makes the engine fail, as if its process had crashed. It returns the sequences
+// that were running or waiting.
 func (e *engine) fail() []*sequence {
 	all := append(slices.Clone(e.running), e.waiting...)
 	e.running, e.waiting, e.loaded = nil, nil, nil
-	e.dead = true
+	e.failed = true
 	return all
 }
--- a/measure/fleet.go
+++ b/measure/fleet.go
@@ -9,89 +9,91 @@
 	"galenastair/dispatch"
 )
 
-// fleet is one run: entries with the decisions, engines with the cost model.
+// fleet is the simulated system of one run: entries that run the schedulers under test,
+// engines with the cost model, and the leader.
 type fleet struct {
 	clock
-	site     site
-	scenario scenario
-	policy   policy
-	rng      *rand.Rand
-	begin    time.Time
-	entries  []*entry
-	engines  []*engine
-	listed   []dispatch.Server
-	loads    *loads
-	calls    []*call
-	placing  *placing
+	site          site
+	scenario      scenario
+	policy        policy
+	rng           *rand.Rand
+	start         time.Time
+	entries       []*entry
+	engines       []*engine
+	listedServers []dispatch.Server
+	generator     *loadGenerator
+	calls         []*call
+	leader        *leader
 }
 
 type entry struct {
 	decider
-	budget  *dispatch.RetryBudget
-	calls   map[*dispatch.Ticket]*call
-	counted map[galenastair.ModelName]float64
+	budget       *dispatch.RetryBudget
+	calls        map[*dispatch.Ticket]*call
+	observedWork map[galenastair.ModelName]float64
 }
 
 func newFleet(s site, sc scenario, p policy, seed uint64) *fleet {
 	f := &fleet{
 		site: s, scenario: sc, policy: p,
-		rng:   rand.New(rand.NewPCG(seed, 13)),
-		loads: newLoads(s, sc, seed),
+		rng:       rand.New(rand.NewPCG(seed, 13)),
+		generator: newLoadGenerator(s, sc, seed),
 	}
 	f.now = time.Unix(1_000_000, 0)
-	f.begin = f.now.Add(warmUp)
+	f.start = f.now.Add(warmUp)
 	for i := range s.engines {
 		f.engines = append(f.engines, &engine{
 			id:       galenastair.BackendServerID(fmt.Sprintf("e%d", i)),
 			zone:     galenastair.AvailabilityZone(fmt.Sprintf("z%d", i%s.zones)),
-			slowness: 1,
+			slowdown: 1,
 			cache:    map[uint64]int{},
 		})
 	}
 	for i := range s.entries {
 		f.entries = append(f.entries, &entry{
-			decider: p.decider(seed + uint64(i)),
-			budget:  dispatch.NewRetryBudget(),
-			calls:   map[*dispatch.Ticket]*call{},
-			counted: map[galenastair.ModelName]float64{},
+			decider:      p.newScheduler(seed + uint64(i)),
+			budget:       dispatch.NewRetryBudget(),
+			calls:        map[*dispatch.Ticket]*call{},
+			observedWork: map[galenastair.ModelName]float64{},
 		})
 	}
-	f.placing = newPlacing(f)
+	f.leader = newLeader(f)
 	return f
 }
 
-// tick is how far ahead calls are drawn.
+// tick is the interval at which calls are generated.
 const tick = 100 * time.Millisecond
 
 func (f *fleet) run() []*call {
-	f.list()
-	f.every(reportPeriod, f.reports)
-	f.every(time.Second, f.list)
-	f.every(planPeriod, f.placing.plan)
-	f.every(demandPeriod, f.placing.observe)
+	f.updateServers()
+	f.every(reportPeriod, f.sendReports)
+	f.every(time.Second, f.updateServers)
+	f.every(planPeriod, f.leader.plan)
+	f.every(demandPeriod, f.leader.observeDemand)
 	for at := time.Duration(0); at < warmUp; at += tick {
 		f.at(f.now.Add(at), func() {})
 	}
-	f.at(f.begin.Add(-warmUp/3), func() { f.arrivals(-warmUp / 3) })
-	f.disturb()
-	end := f.begin.Add(f.scenario.span)
-	f.clock.run(end.Add(patience))
+	f.at(f.start.Add(-warmUp/3), func() { f.arrivals(-warmUp / 3) })
+	f.scheduleFaults()
+	end := f.start.Add(f.scenario.duration)
+	f.clock.run(end.Add(requestTimeout))
 	return f.calls
 }
 
-// arrivals draws calls; those before the beginning warm up the forecast and caches.
+// arrivals generates the calls of each tick until the scenario ends. Calls before the
+// start warm up the forecast and the caches, and are not counted.
 func (f *fleet) arrivals(at time.Duration) {
-	if at >= f.scenario.span {
+	if at >= f.scenario.duration {
 		return
 	}
-	for _, c := range f.loads.next(f.begin, max(at, 0), tick) {
+	for _, c := range f.generator.next(f.start, max(at, 0), tick) {
 		if at < 0 {
 			c.arrived = f.now
 			f.at(c.arrived, func() { f.submit(c, nil) })
 			continue
 		}
-		if !c.within && !f.scenario.unlimited {
-			continue // the limiter refuses it before any decision here
+		if !c.withinRate && !f.scenario.noRateLimit {
+			continue // the rate limiter refuses it before it reaches the scheduler
 		}
 		f.calls = append(f.calls, c)
 		f.at(c.arrived, func() { f.submit(c, nil) })
@@ -103,15 +105,15 @@
 	e := f.entries[c.entry]
 	r := dispatch.Request{
 		Organisation: galenastair.Organisation(fmt.Sprint("o", c.organisation)),
-		Weight:       galenastair.TokensPerSecond(f.loads.rate(c.organisation)),
+		Weight:       galenastair.TokensPerSecond(f.generator.rate(c.organisation)),
 		Model:        c.model,
 		PromptTokens: galenastair.Tokens(c.prompt),
-		OutputTokens: galenastair.Tokens(c.permitted),
+		OutputTokens: galenastair.Tokens(c.maxTokens),
 		Prefix:       c.prefix,
-		Deadline:     c.arrived.Add(patience),
+		Deadline:     c.arrived.Add(requestTimeout),
 		Exclude:      exclude,
 	}
-	if f.policy.oneFlow {
+	if f.policy.singleFlow {
 		r.Organisation, r.Weight = "all", 1000
 	}
 	if exclude == nil {
@@ -121,7 +123,7 @@
 	e.calls[t] = c
 	f.poll(e)
 	if _, waits := e.calls[t]; waits && c.firstToken.IsZero() {
-		f.after(patience+time.Millisecond, func() {
+		f.after(requestTimeout+time.Millisecond, func() {
 			e.Expire(f.now, c.model)
 			f.poll(e)
 		})
@@ -143,13 +145,13 @@
 func (f *fleet) send(e *entry, c *call, d dispatch.Decision) {
 	en := f.engine(d.Choice.Server)
 	s := &sequence{call: c, priority: d.Choice.Priority}
-	s.first = func() {
+	s.onFirstToken = func() {
 		c.firstToken = f.now
 		e.FirstToken(f.now, d.Ticket)
 	}
-	s.done = func(ok bool) {
+	s.onDone = func(ok bool) {
 		delete(e.calls, d.Ticket)
-		e.Done(f.now, d.Ticket, dispatch.Result{OutputTokens: galenastair.Tokens(s.written), Failed: !ok})
+		e.Done(f.now, d.Ticket, dispatch.Result{OutputTokens: galenastair.Tokens(s.outputTokens), Failed: !ok})
 		if ok {
 			c.finished = f.now
 		} else {
@@ -157,15 +159,15 @@
 		}
 		f.poll(e)
 	}
-	if en.dead || !en.ready(c.model) {
-		f.after(time.Millisecond, func() { s.done(false) })
+	if en.failed || !en.ready(c.model) {
+		f.after(time.Millisecond, func() { s.onDone(false) })
 		return
 	}
 	en.add(s)
-	f.step(en)
+	f.runEngine(en)
 }
 
-// retry tries a failed request once more elsewhere, within the budget.
+// retry sends a failed request to another engine once, if the retry budget permits.
 func (f *fleet) retry(e *entry, c *call, failed galenastair.BackendServerID) {
 	c.attempts++
 	if c.attempts > 1 || !c.firstToken.IsZero() || !e.budget.Spend() {
@@ -184,32 +186,32 @@
 	return nil
 }
 
-// step lets an engine work until it has nothing left to do.
-func (f *fleet) step(en *engine) {
-	if en.stepping {
+// runEngine runs the steps of an engine until it has no work left.
+func (f *fleet) runEngine(en *engine) {
+	if en.inStep {
 		return
 	}
-	took := en.step()
+	took := en.startStep()
 	if took == 0 {
 		return
 	}
-	en.stepping = true
+	en.inStep = true
 	f.after(took, func() {
-		en.stepping = false
-		first, done := en.finish()
+		en.inStep = false
+		first, done := en.finishStep()
 		for _, s := range first {
-			s.first()
+			s.onFirstToken()
 		}
 		for _, s := range done {
-			s.done(true)
+			s.onDone(true)
 		}
-		f.step(en)
+		f.runEngine(en)
 	})
 }
 
-func (f *fleet) reports() {
+func (f *fleet) sendReports() {
 	for _, en := range f.engines {
-		if en.dead {
+		if en.failed {
 			continue
 		}
 		r := en.report()
@@ -219,49 +221,50 @@
 				f.poll(e)
 			}
 		})
-		events := en.events
-		en.events = nil
+		events := en.cacheEvents
+		en.cacheEvents = nil
 		for _, e := range f.entries {
 			var kept []galenastair.CacheEvent
 			for _, ev := range events {
-				if f.rng.Float64() >= eventLoss {
+				if f.rng.Float64() >= cacheEventLoss {
 					kept = append(kept, ev)
 				}
 			}
-			f.after(eventLag, func() { e.CacheEvents(en.id, kept) })
+			f.after(cacheEventLag, func() { e.CacheEvents(en.id, kept) })
 		}
 	}
 }
 
-// list lets the entries see the platform's list, some seconds late.
-func (f *fleet) list() {
+// updateServers passes the current list of engines to the entries after serverListLag.
+// The first list arrives at once.
+func (f *fleet) updateServers() {
 	var servers []dispatch.Server
 	for _, en := range f.engines {
-		if !en.dead {
+		if !en.failed {
 			servers = append(servers, dispatch.Server{ID: en.id, AvailabilityZone: en.zone})
 		}
 	}
-	lag := listLag
-	if f.listed == nil {
+	lag := serverListLag
+	if f.listedServers == nil {
 		lag = 0
 	}
 	f.after(lag, func() {
-		f.listed = servers
+		f.listedServers = servers
 		for _, e := range f.entries {
 			e.SetServers(f.now, servers)
 		}
 	})
 }
 
-func (f *fleet) disturb() {
-	if f.scenario.slow {
-		f.at(f.begin.Add(disturbedFrom), func() { f.engines[2].slowness = 5 })
-		f.at(f.begin.Add(disturbedTo), func() { f.engines[2].slowness = 1 })
+func (f *fleet) scheduleFaults() {
+	if f.scenario.slowEngine {
+		f.at(f.start.Add(faultStart), func() { f.engines[2].slowdown = 5 })
+		f.at(f.start.Add(faultEnd), func() { f.engines[2].slowdown = 1 })
 	}
-	if f.scenario.dies {
-		f.at(f.begin.Add(disturbedFrom), func() {
+	if f.scenario.failingEngine {
+		f.at(f.start.Add(faultStart), func() {
 			for _, s := range f.engines[2].fail() {
-				s.done(false)
+				s.onDone(false)
 			}
 		})
 	}
--- a/measure/load.go
+++ b/measure/load.go
@@ -9,16 +9,16 @@
 	"galenastair"
 )
 
-// call is one request of a caller and what became of it.
+// call is one request of a caller and its result.
 type call struct {
 	arrived      time.Time
 	organisation int
 	model        galenastair.ModelName
 	prompt       int
 	output       int
-	permitted    int
+	maxTokens    int
 	prefix       []uint64
-	within       bool
+	withinRate   bool
 	attempts     int
 
 	firstToken time.Time
@@ -27,28 +27,29 @@
 	entry      int
 }
 
-// good says whether the caller got what it was promised.
-func (c *call) good() bool {
+// meetsGoals reports whether the call finished within firstTokenGoal and interTokenGoal.
+func (c *call) meetsGoals() bool {
 	if c.finished.IsZero() || c.firstToken.Sub(c.arrived) > firstTokenGoal {
 		return false
 	}
-	return c.output < 2 || c.finished.Sub(c.firstToken)/time.Duration(c.output-1) <= gapGoal
+	return c.output < 2 || c.finished.Sub(c.firstToken)/time.Duration(c.output-1) <= interTokenGoal
 }
 
-// loads draws the calls of a scenario; equal seeds give equal calls.
-type loads struct {
+// loadGenerator generates the calls of a scenario; the same seed gives the same calls.
+type loadGenerator struct {
 	site     site
 	scenario scenario
 	rng      *rand.Rand
-	// weight is each organisation's base demand for each model.
-	weight  [][]float64
-	buckets []float64
-	filled  time.Duration
+	// modelShares are the shares of the models in the demand of each organisation,
+	// before the scenario scales them.
+	modelShares [][]float64
+	buckets     []float64
+	refilledAt  time.Duration
 }
 
-func newLoads(s site, sc scenario, seed uint64) *loads {
-	l := &loads{site: s, scenario: sc, rng: rand.New(rand.NewPCG(seed, 7))}
-	for range s.shares {
+func newLoadGenerator(s site, sc scenario, seed uint64) *loadGenerator {
+	l := &loadGenerator{site: s, scenario: sc, rng: rand.New(rand.NewPCG(seed, 7))}
+	for range s.rateShares {
 		ws := make([]float64, s.models)
 		sum := 0.0
 		for i, rank := range l.rng.Perm(s.models) {
@@ -58,7 +59,7 @@
 		for i := range ws {
 			ws[i] /= sum
 		}
-		l.weight = append(l.weight, ws)
+		l.modelShares = append(l.modelShares, ws)
 		l.buckets = append(l.buckets, 0)
 	}
 	for o := range l.buckets {
@@ -67,46 +68,47 @@
 	return l
 }
 
-// rate is an organisation's contract rate in tokens a second.
-func (l *loads) rate(o int) float64 {
-	return l.site.shares[o] * booked * l.site.capacity * l.site.tokens()
+// rate returns the contracted rate of an organisation in tokens per second.
+func (l *loadGenerator) rate(o int) float64 {
+	return l.site.rateShares[o] * overbookingFactor * l.site.capacity * l.site.meanCharge()
 }
 
-// next draws the calls of one tick of the driver.
-func (l *loads) next(begin time.Time, at, tick time.Duration) []*call {
+// next returns the calls that arrive within one tick.
+func (l *loadGenerator) next(begin time.Time, at, tick time.Duration) []*call {
 	l.refill(at)
 	var out []*call
 	scale, total := l.demands(at)
 	mean := total * l.site.capacity * l.scenario.load * tick.Seconds()
 	for range poisson(l.rng, mean) {
-		c := l.draw(scale, total)
+		c := l.drawCall(scale, total)
 		c.arrived = begin.Add(at + time.Duration(l.rng.Float64()*float64(tick)))
-		c.within = l.charge(c)
+		c.withinRate = l.allow(c)
 		out = append(out, c)
 	}
 	return out
 }
 
-// demands returns each organisation's demand for each model, as a part of the load.
-func (l *loads) demands(at time.Duration) ([][]float64, float64) {
-	out := make([][]float64, len(l.site.shares))
+// demands returns the demand of each organisation for each model, as a share of the
+// load, and the sum of all demands.
+func (l *loadGenerator) demands(at time.Duration) ([][]float64, float64) {
+	out := make([][]float64, len(l.site.rateShares))
 	total := 0.0
-	for o, share := range l.site.shares {
+	for o, share := range l.site.rateShares {
 		out[o] = make([]float64, l.site.models)
 		sum := 0.0
 		for m := range out[o] {
-			out[o][m] = l.weight[o][m]
-			if l.scenario.demand != nil {
-				out[o][m] *= l.scenario.demand(at, o, m)
+			out[o][m] = l.modelShares[o][m]
+			if l.scenario.modelDemand != nil {
+				out[o][m] *= l.scenario.modelDemand(at, o, m)
 			}
 			sum += out[o][m]
 		}
 		part := share
-		if l.scenario.organisation != nil {
-			part *= l.scenario.organisation(at, o)
+		if l.scenario.organisationDemand != nil {
+			part *= l.scenario.organisationDemand(at, o)
 		}
 		for m := range out[o] {
-			// skew moves demand between models; the organisation's sum stays
+			// Skew shifts demand between models; the organisation's total is unchanged.
 			out[o][m] *= part / sum
 			total += out[o][m]
 		}
@@ -114,31 +116,32 @@
 	return out, total
 }
 
-func (l *loads) draw(scale [][]float64, total float64) *call {
+func (l *loadGenerator) drawCall(scale [][]float64, total float64) *call {
 	x := l.rng.Float64() * total
 	for o := range scale {
 		for m := range scale[o] {
 			if x -= scale[o][m]; x <= 0 {
-				return l.call(o, m)
+				return l.newCall(o, m)
 			}
 		}
 	}
-	return l.call(0, 0)
+	return l.newCall(0, 0)
 }
 
-func (l *loads) call(o, m int) *call {
+func (l *loadGenerator) newCall(o, m int) *call {
 	c := &call{organisation: o, entry: l.rng.IntN(l.site.entries)}
 	c.model = modelName(m)
 	if a := l.rng.IntN(l.site.adaptersPerModel + 1); a > 0 {
 		c.model = adapterName(m, a-1)
 	}
-	c.prompt = logNormal(l.rng, l.site.prompt)
-	c.output = logNormal(l.rng, l.site.output)
-	if l.rng.Float64() < l.scenario.long {
+	c.prompt = logNormal(l.rng, l.site.meanPrompt)
+	c.output = logNormal(l.rng, l.site.meanOutput)
+	if l.rng.Float64() < l.scenario.longShare {
 		c.prompt, c.output = 4*c.prompt, 10*c.output
 	}
-	c.permitted = int(float64(c.output) * permitted)
-	// three templates for each organisation and model, then text of its own
+	c.maxTokens = int(float64(c.output) * maxTokensRatio)
+	// The first half of a prompt comes from one of three templates of the organisation
+	// and model; the rest is unique.
 	template := uint64(o*1000+m*10+l.rng.IntN(3)) << 20
 	blocks := min(32, c.prompt/blockTokens)
 	for i := range blocks {
@@ -151,17 +154,18 @@
 	return c
 }
 
-func (l *loads) refill(at time.Duration) {
-	passed := (at - l.filled).Seconds()
-	l.filled = at
+func (l *loadGenerator) refill(at time.Duration) {
+	passed := (at - l.refilledAt).Seconds()
+	l.refilledAt = at
 	for o := range l.buckets {
 		l.buckets[o] = min(l.buckets[o]+passed*l.rate(o), l.rate(o)*burstSeconds)
 	}
 }
 
-// charge says whether a call is within its organisation's rate and burst.
-func (l *loads) charge(c *call) bool {
-	cost := float64(c.prompt + c.permitted)
+// allow takes the tokens of a call from its organisation's bucket. It returns false if
+// the call exceeds the organisation's rate and burst.
+func (l *loadGenerator) allow(c *call) bool {
+	cost := float64(c.prompt + c.maxTokens)
 	if l.buckets[c.organisation] < cost {
 		return false
 	}
@@ -177,7 +181,8 @@
 	return galenastair.ModelName(fmt.Sprintf("m%02d-a%d", m, a))
 }
 
-// logNormal draws a length with the given mean and a heavy tail, cut at six times it.
+// logNormal draws a length from a log-normal distribution with the given mean, limited to
+// at least 8 and at most six times the mean.
 func logNormal(rng *rand.Rand, mean float64) int {
 	const sigma = 0.6
 	x := mean * math.Exp(sigma*rng.NormFloat64()-sigma*sigma/2)
--- a/measure/placing.go
+++ b/measure/placing.go
@@ -10,68 +10,70 @@
 	"galenastair/place"
 )
 
-// placing is the leader's side: the forecast, the planner and what engines make of it.
-type placing struct {
-	f         *fleet
-	planner   *place.Planner
-	forecast  *forecast.Forecast
-	catalogue []galenastair.Weight
-	moves     int
-	models    int
-	adapters  int
+// leader is the leader of the fleet: it forecasts demand, plans the placement and applies
+// the plan to the engines.
+type leader struct {
+	fleet           *fleet
+	planner         *place.Planner
+	forecast        *forecast.Forecast
+	catalogue       []galenastair.Weight
+	moves           int
+	modelsLoading   int
+	adaptersLoading int
 }
 
-func newPlacing(f *fleet) *placing {
-	s := f.site.settings()
-	if f.policy.eager {
+func newLeader(f *fleet) *leader {
+	s := f.site.placementSettings()
+	if f.policy.noHysteresis {
 		s.Busy, s.Gain, s.Calm, s.Stay = 0, 0.01, 0, 0
 	}
-	p := &placing{f: f, planner: place.NewPlanner(s), forecast: forecast.New()}
+	l := &leader{fleet: f, planner: place.NewPlanner(s), forecast: forecast.New()}
 	for m := range f.site.models {
-		p.catalogue = append(p.catalogue, galenastair.Weight{Name: modelName(m), Memory: galenastair.Bytes(10 + m%7)})
+		l.catalogue = append(l.catalogue, galenastair.Weight{Name: modelName(m), Memory: galenastair.Bytes(10 + m%7)})
 		for a := range f.site.adaptersPerModel {
-			p.catalogue = append(p.catalogue, galenastair.Weight{Name: adapterName(m, a), Base: modelName(m), Memory: 1})
+			l.catalogue = append(l.catalogue, galenastair.Weight{Name: adapterName(m, a), Base: modelName(m), Memory: 1})
 		}
 	}
-	return p
+	return l
 }
 
-func (p *placing) observe() {
-	for _, e := range p.f.entries {
+func (l *leader) observeDemand() {
+	for _, e := range l.fleet.entries {
 		for _, d := range e.Demand() {
-			p.forecast.Observe(d.Model, d.Work-e.counted[d.Model])
-			e.counted[d.Model] = d.Work
+			l.forecast.Observe(d.Model, d.Work-e.observedWork[d.Model])
+			e.observedWork[d.Model] = d.Work
 		}
 	}
-	p.forecast.Step(p.f.now)
+	l.forecast.Step(l.fleet.now)
 }
 
-func (p *placing) plan() {
-	if p.f.policy.static && !p.f.now.Before(p.f.begin) {
+func (l *leader) plan() {
+	if l.fleet.policy.staticPlacement && !l.fleet.now.Before(l.fleet.start) {
 		return
 	}
-	in := place.Input{Now: p.f.now, Catalogue: p.catalogue, Work: p.forecast.Work}
-	for _, s := range p.f.listed {
-		en := p.f.engine(s.ID)
-		if en.dead {
+	in := place.Input{Now: l.fleet.now, Catalogue: l.catalogue, Work: l.forecast.Work}
+	for _, s := range l.fleet.listedServers {
+		en := l.fleet.engine(s.ID)
+		if en.failed {
 			continue
 		}
-		sv := place.Server{ID: s.ID, AvailabilityZone: s.AvailabilityZone, Free: p.f.site.memory, Slow: p.slow(s.ID)}
-		for _, l := range en.loaded {
-			sv.Free -= l.Weight.Memory
-			sv.Copies = append(sv.Copies, place.Copy{Weight: l.Weight, State: copyState(l.State)})
+		server := place.Server{ID: s.ID, AvailabilityZone: s.AvailabilityZone, Free: l.fleet.site.memory, Slow: l.isUnhealthy(s.ID)}
+		for _, loaded := range en.loaded {
+			server.Free -= loaded.Weight.Memory
+			server.Copies = append(server.Copies, place.Copy{Weight: loaded.Weight, State: copyState(loaded.State)})
 		}
-		in.Servers = append(in.Servers, sv)
+		in.Servers = append(in.Servers, server)
 	}
-	for _, st := range p.planner.Plan(in) {
-		p.carryOut(st)
+	for _, step := range l.planner.Plan(in) {
+		l.applyStep(step)
 	}
 }
 
-// slow asks the leader's own router, as the assembly does.
-func (p *placing) slow(id galenastair.BackendServerID) bool {
-	c, ok := p.f.entries[0].decider.(*dispatch.Core)
-	return ok && slices.Contains(c.Slow(p.f.now), id)
+// isUnhealthy returns the verdict of the scheduler of the first entry. In the real system,
+// the leader likewise uses the scheduler of its own instance.
+func (l *leader) isUnhealthy(id galenastair.BackendServerID) bool {
+	c, ok := l.fleet.entries[0].decider.(*dispatch.Core)
+	return ok && slices.Contains(c.Slow(l.fleet.now), id)
 }
 
 func copyState(s galenastair.LoadState) place.CopyState {
@@ -84,33 +86,34 @@
 	return place.Coming
 }
 
-func (p *placing) carryOut(s place.Step) {
-	en := p.f.engine(s.Server)
-	if p.f.now.After(p.f.begin) && s.Weight.Base == "" && s.Kind == galenastair.LoadModel {
-		p.moves++
+func (l *leader) applyStep(s place.Step) {
+	en := l.fleet.engine(s.Server)
+	if l.fleet.now.After(l.fleet.start) && s.Weight.Base == "" && s.Kind == galenastair.LoadModel {
+		l.moves++
 	}
 	if s.Kind == galenastair.UnloadModel {
-		en.mark(s.Weight, galenastair.Unloading)
-		p.f.after(time.Second, func() { en.drop(s.Weight) })
+		en.setState(s.Weight, galenastair.Unloading)
+		l.fleet.after(time.Second, func() { en.remove(s.Weight) })
 		return
 	}
 	en.loaded = append(en.loaded, galenastair.LoadedWeight{Weight: s.Weight, State: galenastair.Loading})
-	p.f.after(p.takes(s.Weight), func() { en.mark(s.Weight, galenastair.Ready) })
+	l.fleet.after(l.loadDuration(s.Weight), func() { en.setState(s.Weight, galenastair.Ready) })
 }
 
-// takes is how long a load takes; beyond what the store stands all get slower.
-func (p *placing) takes(w galenastair.Weight) time.Duration {
-	count, most, took := &p.models, p.f.site.loadsInFlight, loadTime
+// loadDuration returns how long loading a model or adapter takes. Once more loads are in
+// flight than the weight store can serve, each new one takes proportionally longer.
+func (l *leader) loadDuration(w galenastair.Weight) time.Duration {
+	loading, limit, duration := &l.modelsLoading, l.fleet.site.loadsInFlight, modelLoadTime
 	if w.Base != "" {
-		count, most, took = &p.adapters, p.f.site.adaptersInFlight, adapterTime
+		loading, limit, duration = &l.adaptersLoading, l.fleet.site.adaptersInFlight, adapterLoadTime
 	}
-	*count++
-	took = time.Duration(float64(took) * max(1, float64(*count)/float64(most)))
-	p.f.after(took, func() { *count-- })
-	return took
+	*loading++
+	duration = time.Duration(float64(duration) * max(1, float64(*loading)/float64(limit)))
+	l.fleet.after(duration, func() { *loading-- })
+	return duration
 }
 
-func (e *engine) mark(w galenastair.Weight, s galenastair.LoadState) {
+func (e *engine) setState(w galenastair.Weight, s galenastair.LoadState) {
 	for i := range e.loaded {
 		if e.loaded[i].Weight == w {
 			e.loaded[i].State = s
@@ -118,7 +121,7 @@
 	}
 }
 
-func (e *engine) drop(w galenastair.Weight) {
+func (e *engine) remove(w galenastair.Weight) {
 	for i := range e.loaded {
 		if e.loaded[i].Weight == w {
 			e.loaded = append(e.loaded[:i], e.loaded[i+1:]...)
--- a/measure/policy.go
+++ b/measure/policy.go
@@ -9,39 +9,43 @@
 	"galenastair/dispatch"
 )
 
-// policy is what is measured: ours, or a baseline.
+// policy is a combination of scheduling and placement: ours, a baseline, or ours with one
+// part removed.
 type policy struct {
 	name string
-	// plain sends at once to what next picks, without a queue at the entries.
-	plain func(r *plain, copies []galenastair.BackendServerID) int
-	// oneFlow gives the fair queue all requests as if one organisation sent them.
-	oneFlow bool
-	// window bounds what a plain entry has in flight at a backend server; the rest
-	// waits in one queue in order of arrival. Zero sends all at once.
-	window int
-	// static keeps the placement of the beginning.
-	static bool
-	// eager places without hysteresis.
-	eager bool
+	// pick selects the engine of a request in baselineScheduler, which replaces the
+	// fair queue; if nil, dispatch.Scheduler is used.
+	pick func(r *plain, copies []galenastair.BackendServerID) int
+	// singleFlow makes the fair queue treat all requests as those of one organisation.
+	singleFlow bool
+	// maxInFlight is the maximum number of requests that a baselineScheduler has in
+	// flight on one backend server. Requests beyond it wait in a single first-come
+	// queue. Zero sends all requests immediately.
+	maxInFlight int
+	// staticPlacement keeps the placement that the warm-up ends with.
+	staticPlacement bool
+	// noHysteresis removes the thresholds and minimum times that limit moves.
+	noHysteresis bool
 }
 
 func policies() []policy {
 	return []policy{
 		{name: "ours"},
-		{name: "first come", plain: leastInFlight, window: plainWindow},
-		{name: "round robin", plain: roundRobin},
-		{name: "static placement", static: true},
-		{name: "all three plain", plain: roundRobin, window: plainWindow, static: true},
-		{name: "one flow for all", oneFlow: true},
-		{name: "no hysteresis", eager: true},
-		{name: "version 606034a", plain: leastInFlight, static: true},
+		{name: "first come", pick: pickLeastInFlight, maxInFlight: baselineMaxInFlight},
+		{name: "round robin", pick: pickRoundRobin},
+		{name: "static placement", staticPlacement: true},
+		{name: "all three plain", pick: pickRoundRobin, maxInFlight: baselineMaxInFlight, staticPlacement: true},
+		{name: "one flow for all", singleFlow: true},
+		{name: "no hysteresis", noHysteresis: true},
+		{name: "version 606034a", pick: pickLeastInFlight, staticPlacement: true},
 	}
 }
 
-// plainWindow lets six entries fill a batch together.
-const plainWindow = 6
+// baselineMaxInFlight lets six entries together fill a batch of 32.
+const baselineMaxInFlight = 6
 
-// decider is what an entry asks; dispatch.Core is one.
+// scheduler assigns the requests of an entry to backend servers; it is implemented by
+// dispatch.Scheduler.
 type decider interface {
 	Submit(now time.Time, r dispatch.Request) *dispatch.Ticket
 	Expire(now time.Time, m galenastair.ModelName)
@@ -54,45 +58,45 @@
 	Demand() []dispatch.Demand
 }
 
-func (p policy) decider(seed uint64) decider {
+func (p policy) newScheduler(seed uint64) decider {
 	rng := rand.New(rand.NewPCG(seed, 11))
-	if p.plain != nil {
-		return newPlain(p)
+	if p.pick != nil {
+		return newBaselineScheduler(p)
 	}
 	return dispatch.NewCore(rng)
 }
 
-// plain is a router without queue, health or affinity.
+// baselineScheduler is a scheduler without fair queueing, health checks or prefix affinity.
 type plain struct {
-	policy   policy
-	list     []dispatch.Server
-	ready    map[galenastair.BackendServerID]galenastair.EngineReport
-	inFlight map[galenastair.BackendServerID]int
-	sent     map[*dispatch.Ticket]galenastair.BackendServerID
-	turn     map[galenastair.ModelName]int
-	model    galenastair.ModelName
-	waiting  []*dispatch.Ticket
-	demand   map[galenastair.ModelName]*dispatch.Demand
-	out      []dispatch.Decision
-}
-
-func newPlain(p policy) *plain {
+	policy    policy
+	servers   []dispatch.Server
+	reports   map[galenastair.BackendServerID]galenastair.EngineReport
+	inFlight  map[galenastair.BackendServerID]int
+	sentTo    map[*dispatch.Ticket]galenastair.BackendServerID
+	nextIndex map[galenastair.ModelName]int
+	model     galenastair.ModelName
+	waiting   []*dispatch.Ticket
+	demand    map[galenastair.ModelName]*dispatch.Demand
+	decisions []dispatch.Decision
+}
+
+func newBaselineScheduler(p policy) *plain {
 	return &plain{
-		policy:   p,
-		ready:    map[galenastair.BackendServerID]galenastair.EngineReport{},
-		inFlight: map[galenastair.BackendServerID]int{},
-		sent:     map[*dispatch.Ticket]galenastair.BackendServerID{},
-		turn:     map[galenastair.ModelName]int{},
-		demand:   map[galenastair.ModelName]*dispatch.Demand{},
+		policy:    p,
+		reports:   map[galenastair.BackendServerID]galenastair.EngineReport{},
+		inFlight:  map[galenastair.BackendServerID]int{},
+		sentTo:    map[*dispatch.Ticket]galenastair.BackendServerID{},
+		nextIndex: map[galenastair.ModelName]int{},
+		demand:    map[galenastair.ModelName]*dispatch.Demand{},
 	}
 }
 
-func roundRobin(r *plain, copies []galenastair.BackendServerID) int {
-	r.turn[r.model]++
-	return r.turn[r.model] % len(copies)
+func pickRoundRobin(r *plain, copies []galenastair.BackendServerID) int {
+	r.nextIndex[r.model]++
+	return r.nextIndex[r.model] % len(copies)
 }
 
-func leastInFlight(r *plain, copies []galenastair.BackendServerID) int {
+func pickLeastInFlight(r *plain, copies []galenastair.BackendServerID) int {
 	best := 0
 	for i, id := range copies {
 		if r.inFlight[id] < r.inFlight[copies[best]] {
@@ -110,8 +114,8 @@
 		r.demand[req.Model] = d
 	}
 	d.Work += 0.1*float64(req.PromptTokens) + float64(req.OutputTokens)
-	if !r.known(req) {
-		r.out = append(r.out, dispatch.Decision{Ticket: t, Err: galenastair.Refuse(galenastair.ErrNoBackendServer, time.Second, "")})
+	if !r.hasCopy(req) {
+		r.decisions = append(r.decisions, dispatch.Decision{Ticket: t, Err: galenastair.Refuse(galenastair.ErrNoBackendServer, time.Second, "")})
 		return t
 	}
 	if !r.send(t) {
@@ -120,13 +124,14 @@
 	return t
 }
 
-func (r *plain) known(req dispatch.Request) bool { return len(r.copies(req, 1<<30)) > 0 }
+func (r *plain) hasCopy(req dispatch.Request) bool { return len(r.copies(req, 1<<30)) > 0 }
 
-// copies returns the backend servers with a ready copy and fewer than most in flight.
-func (r *plain) copies(req dispatch.Request, most int) []galenastair.BackendServerID {
+// copies returns the backend servers that have a ready copy of the model and fewer than
+// limit requests in flight, except the one that the request excludes.
+func (r *plain) copies(req dispatch.Request, limit int) []galenastair.BackendServerID {
 	var out []galenastair.BackendServerID
-	for _, s := range r.list {
-		if r.inFlight[s.ID] >= most || !has(r.ready[s.ID], req.Model) {
+	for _, s := range r.servers {
+		if r.inFlight[s.ID] >= limit || !hasReadyCopy(r.reports[s.ID], req.Model) {
 			continue
 		}
 		if len(req.Exclude) == 0 || req.Exclude[0] != s.ID {
@@ -137,25 +142,25 @@
 }
 
 func (r *plain) send(t *dispatch.Ticket) bool {
-	most := r.policy.window
-	if most == 0 {
-		most = 1 << 30
+	limit := r.policy.maxInFlight
+	if limit == 0 {
+		limit = 1 << 30
 	}
-	copies := r.copies(t.Request, most)
+	copies := r.copies(t.Request, limit)
 	if len(copies) == 0 {
 		return false
 	}
 	r.model = t.Request.Model
-	id := copies[r.policy.plain(r, copies)]
+	id := copies[r.policy.pick(r, copies)]
 	r.inFlight[id]++
-	r.sent[t] = id
+	r.sentTo[t] = id
 	dec := dispatch.Decision{Ticket: t}
 	dec.Choice.Server = id
-	r.out = append(r.out, dec)
+	r.decisions = append(r.decisions, dec)
 	return true
 }
 
-func has(r galenastair.EngineReport, m galenastair.ModelName) bool {
+func hasReadyCopy(r galenastair.EngineReport, m galenastair.ModelName) bool {
 	for _, l := range r.Loaded {
 		if l.Weight.Name == m && l.State == galenastair.Ready {
 			return true
@@ -165,13 +170,13 @@
 }
 
 func (r *plain) FirstToken(time.Time, *dispatch.Ticket)                            {}
-func (r *plain) SetServers(_ time.Time, l []dispatch.Server)                       { r.list = l }
-func (r *plain) Report(_ time.Time, e galenastair.EngineReport)                    { r.ready[e.BackendServer] = e }
+func (r *plain) SetServers(_ time.Time, l []dispatch.Server)                       { r.servers = l }
+func (r *plain) Report(_ time.Time, e galenastair.EngineReport)                    { r.reports[e.BackendServer] = e }
 func (r *plain) CacheEvents(galenastair.BackendServerID, []galenastair.CacheEvent) {}
 
 func (r *plain) Done(_ time.Time, t *dispatch.Ticket, _ dispatch.Result) {
-	r.inFlight[r.sent[t]]--
-	delete(r.sent, t)
+	r.inFlight[r.sentTo[t]]--
+	delete(r.sentTo, t)
 	r.waiting = slices.DeleteFunc(r.waiting, r.send)
 }
 
@@ -180,14 +185,14 @@
 		if now.Before(t.Request.Deadline) {
 			return false
 		}
-		r.out = append(r.out, dispatch.Decision{Ticket: t, Err: galenastair.Refuse(galenastair.ErrOverloaded, time.Second, "")})
+		r.decisions = append(r.decisions, dispatch.Decision{Ticket: t, Err: galenastair.Refuse(galenastair.ErrOverloaded, time.Second, "")})
 		return true
 	})
 }
 
 func (r *plain) Poll() []dispatch.Decision {
-	out := r.out
-	r.out = nil
+	out := r.decisions
+	r.decisions = nil
 	return out
 }
 
--- a/measure/run.go
+++ b/measure/run.go
@@ -10,34 +10,36 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Options say what to run.
+// Options select the runs.
 type Options struct {
-	// Seed is printed and gives the same figures every time.
+	// Seed is printed with the results; the same seed gives the same figures.
 	Seed uint64
-	// Site and Scenario restrict the runs to one; empty for all.
+	// Site and Scenario restrict the runs to one site and one scenario; empty means all.
 	Site     string
 	Scenario string
-	// Policies restricts the runs to the first so many; zero for all.
+	// Policies restricts the runs to the first Policies policies; zero means all.
 	Policies int
 }
 
-// result is what one run showed.
+// result is the result of one run.
 type result struct {
 	site     site
 	scenario scenario
 	policy   policy
-	// attained is the part of calls within rate that got what was promised.
-	attained float64
-	worst    float64
-	best     float64
-	refused  float64
-	goodput  float64
-	// served counts answers a second, late ones included.
-	served float64
-	moves  int
+	// attainment is the share of the calls within rate that met the goals;
+	// worstAttainment and bestAttainment are those of single organisations.
+	attainment      float64
+	worstAttainment float64
+	bestAttainment  float64
+	refusedShare    float64
+	// goodput is the rate of calls that met the goals, and throughput the rate of all
+	// finished calls, late ones included; both are in calls per second.
+	goodput    float64
+	throughput float64
+	moves      int
 }
 
-// Run drives every scenario under every policy and prints the tables.
+// Run runs every scenario under every policy and prints the tables.
 func Run(ctx context.Context, opts Options, w io.Writer) error {
 	var results []*result
 	for _, s := range sites {
@@ -59,7 +61,7 @@
 			if err := ctx.Err(); err != nil {
 				return err
 			}
-			r.measure(newFleet(r.site, r.scenario, r.policy, opts.Seed))
+			r.run(newFleet(r.site, r.scenario, r.policy, opts.Seed))
 			return nil
 		})
 	}
@@ -69,13 +71,13 @@
 	return printTable(w, opts.Seed, results)
 }
 
-func (r *result) measure(f *fleet) {
+func (r *result) run(f *fleet) {
 	calls := f.run()
-	n := len(r.site.shares)
+	n := len(r.site.rateShares)
 	offered, good := make([]float64, n), make([]float64, n)
 	var all, attained, refused float64
 	for _, c := range calls {
-		if !c.within || c.organisation == r.scenario.beyond-1 {
+		if !c.withinRate || c.organisation == r.scenario.aboveRate-1 {
 			continue
 		}
 		all++
@@ -83,43 +85,43 @@
 		if c.refused {
 			refused++
 		}
-		if c.good() {
+		if c.meetsGoals() {
 			attained++
 			good[c.organisation]++
 		}
 	}
-	r.attained = attained / all
-	r.refused = refused / all
+	r.attainment = attained / all
+	r.refusedShare = refused / all
 	for _, c := range calls {
-		if c.good() {
+		if c.meetsGoals() {
 			r.goodput++
 		}
 		if !c.finished.IsZero() {
-			r.served++
+			r.throughput++
 		}
 	}
-	r.goodput /= r.scenario.span.Seconds()
-	r.served /= r.scenario.span.Seconds()
-	r.worst = 1
+	r.goodput /= r.scenario.duration.Seconds()
+	r.throughput /= r.scenario.duration.Seconds()
+	r.worstAttainment = 1
 	for o := range offered {
-		if o == r.scenario.beyond-1 {
+		if o == r.scenario.aboveRate-1 {
 			continue
 		}
 		share := good[o] / max(1, offered[o])
-		r.worst = min(r.worst, share)
-		r.best = max(r.best, share)
+		r.worstAttainment = min(r.worstAttainment, share)
+		r.bestAttainment = max(r.bestAttainment, share)
 	}
-	r.moves = f.placing.moves
+	r.moves = f.leader.moves
 }
 
 func printTable(w io.Writer, seed uint64, results []*result) error {
-	fmt.Fprintf(w, "seed %d; attained: first token within %v and %v between tokens, of the requests within rate\n", seed, firstTokenGoal, gapGoal)
+	fmt.Fprintf(w, "seed %d; attained: first token within %v and %v between tokens, of the requests within rate\n", seed, firstTokenGoal, interTokenGoal)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "site\tscenario\tpolicy\tattained\tper accelerator\tworst organisation\tof best\trefused within rate\tgoodput/s\tserved/s\tmoves")
 	for _, r := range results {
 		fmt.Fprintf(t, "%s\t%s\t%s\t%.1f%%\t%.2f/s\t%.1f%%\t%.2f\t%.2f%%\t%.1f\t%.1f\t%d\n",
-			r.site.name, r.scenario.name, r.policy.name, 100*r.attained, r.goodput/float64(r.site.engines),
-			100*r.worst, r.worst/max(r.best, 1e-9), 100*r.refused, r.goodput, r.served, r.moves)
+			r.site.name, r.scenario.name, r.policy.name, 100*r.attainment, r.goodput/float64(r.site.engines),
+			100*r.worstAttainment, r.worstAttainment/max(r.bestAttainment, 1e-9), 100*r.refusedShare, r.goodput, r.throughput, r.moves)
 	}
 	if err := t.Flush(); err != nil {
 		return err
--- a/measure/scenario.go
+++ b/measure/scenario.go
@@ -5,51 +5,56 @@
 	"time"
 )
 
-// scenario is a load and what goes wrong in it.
+// scenario is a load and the faults injected during it.
 type scenario struct {
 	name string
-	// load is the part of the capacity that is asked for.
-	load float64
-	span time.Duration
-	// below says that the load stays below saturation.
-	below bool
-	// demand returns how an organisation's and a model's demand is scaled at a time.
-	demand func(at time.Duration, organisation, model int) float64
-	// organisation returns how an organisation's whole demand is scaled at a time.
-	organisation func(at time.Duration, organisation int) float64
-	// unlimited leaves the limiter out, so that the queue alone must cope.
-	unlimited bool
-	// beyond is the number, from 1, of the organisation that sends beyond its rate; it
-	// is left out of the figures for requests within rate.
-	beyond int
-	// long is the part of requests that are ten times as long.
-	long float64
-	slow bool
-	dies bool
+	// load is the offered load as a multiple of the site's capacity.
+	load     float64
+	duration time.Duration
+	// belowSaturation marks the scenarios to which the aims for load below saturation
+	// apply.
+	belowSaturation bool
+	// modelDemand returns the factor that scales the demand of an organisation for a
+	// model at a time.
+	modelDemand func(at time.Duration, organisation, model int) float64
+	// organisationDemand returns the factor that scales the total demand of an
+	// organisation at a time.
+	organisationDemand func(at time.Duration, organisation int) float64
+	// noRateLimit disables the rate limiter, so that only the queue protects the
+	// organisations from each other.
+	noRateLimit bool
+	// aboveRate is the number of the organisation that exceeds its rate, counted from 1;
+	// zero means none. The figures for requests within rate exclude it.
+	aboveRate int
+	// longShare is the share of requests with a prompt 4 times and an output 10 times as
+	// long as others.
+	longShare     float64
+	slowEngine    bool
+	failingEngine bool
 }
 
 const (
-	disturbedFrom = 100 * time.Second
-	disturbedTo   = 200 * time.Second
+	faultStart = 100 * time.Second
+	faultEnd   = 200 * time.Second
 )
 
 func scenarios() []scenario {
 	span := 300 * time.Second
 	return []scenario{
-		{name: "steady", load: 0.85, span: span, below: true},
-		{name: "bursts", load: 0.5, span: span, below: true, organisation: bursts},
-		{name: "moving skew", load: 0.75, span: 900 * time.Second, below: true, demand: movingSkew},
-		{name: "tenfold and back", load: 0.5, span: 2400 * time.Second, below: true, demand: tenfold},
-		{name: "one slow", load: 0.7, span: span, below: true, slow: true},
-		{name: "one dying", load: 0.7, span: span, below: true, dies: true},
-		{name: "long and short", load: 0.7, span: span, below: true, long: 0.05},
-		{name: "five times its rate", load: 0.6, span: span, unlimited: true, beyond: 2, organisation: fiveTimes},
-		{name: "saturation", load: 1.3, span: span, unlimited: true},
-		{name: "twice the capacity", load: 2, span: span, unlimited: true},
+		{name: "steady", load: 0.85, duration: span, belowSaturation: true},
+		{name: "bursts", load: 0.5, duration: span, belowSaturation: true, organisationDemand: bursts},
+		{name: "moving skew", load: 0.75, duration: 900 * time.Second, belowSaturation: true, modelDemand: movingSkew},
+		{name: "tenfold and back", load: 0.5, duration: 2400 * time.Second, belowSaturation: true, modelDemand: tenfold},
+		{name: "one slow", load: 0.7, duration: span, belowSaturation: true, slowEngine: true},
+		{name: "one dying", load: 0.7, duration: span, belowSaturation: true, failingEngine: true},
+		{name: "long and short", load: 0.7, duration: span, belowSaturation: true, longShare: 0.05},
+		{name: "five times its rate", load: 0.6, duration: span, noRateLimit: true, aboveRate: 2, organisationDemand: fiveTimes},
+		{name: "saturation", load: 1.3, duration: span, noRateLimit: true},
+		{name: "twice the capacity", load: 2, duration: span, noRateLimit: true},
 	}
 }
 
-// bursts lets each organisation in turn send four times as much for ten seconds.
+// bursts makes each organisation in turn send four times its usual load for ten seconds.
 func bursts(at time.Duration, o int) float64 {
 	if int(at/(10*time.Second))%10 == o {
 		return 4
@@ -57,7 +62,8 @@
 	return 1
 }
 
-// movingSkew puts a third of the demand on two models, which change every three minutes.
+// movingSkew multiplies the demand for two models by 8, which gives them a third of the
+// demand or more. The two models change every three minutes.
 func movingSkew(at time.Duration, _, m int) float64 {
 	turn := int(at / (3 * time.Minute))
 	if m == (7*turn+3)%20 || m == (7*turn+11)%20 {
@@ -66,7 +72,8 @@
 	return 1
 }
 
-// tenfold lets the demand for two models grow tenfold in twenty minutes and back.
+// tenfold makes the demand for two models grow tenfold within twenty minutes and shrink
+// back within another twenty.
 func tenfold(at time.Duration, _, m int) float64 {
 	if m != 4 && m != 9 {
 		return 1
@@ -76,10 +83,12 @@
 	return math.Pow(10, max(0, up))
 }
 
-// fiveTimes lets the second organisation send five times its contract rate.
+// fiveTimes makes the second organisation send five times its contracted rate. The factor
+// applies to a load of 0.6 of the capacity, while the contracted rates add up to
+// overbookingFactor times the capacity.
 func fiveTimes(_ time.Duration, o int) float64 {
 	if o == 1 {
-		return 5 * booked / 0.6
+		return 5 * overbookingFactor / 0.6
 	}
 	return 1
 }
--- a/measure/site.go
+++ b/measure/site.go
@@ -7,7 +7,7 @@
 	"galenastair/place"
 )
 
-// site is one of today's sizes.
+// site is the size of one deployment.
 type site struct {
 	name             string
 	zones            int
@@ -18,72 +18,75 @@
 	memory           galenastair.Bytes
 	loadsInFlight    int
 	adaptersInFlight int
-	// shares are the organisations' parts of the contracted rate.
-	shares []float64
-	prompt float64
-	output float64
-	// capacity is the steady load, in requests a second, at which 95 in 100 calls of
-	// our policy still attain.
+	// rateShares are the shares of the organisations in the total contracted rate.
+	rateShares []float64
+	meanPrompt float64
+	meanOutput float64
+	// capacity is the steady load, in requests per second, at which 95 % of the calls
+	// still meet the goals under our policy.
 	capacity float64
 }
 
-// sites are the sizes of the brief. Model memory of 10 to 16 against 54 an engine
-// makes room for all models with their adapters some 1.6 times.
+// sites are the deployment sizes to measure. A model takes 10 to 16 units of memory and
+// an engine has 54, so that the engines have room for all models and adapters about 1.6
+// times.
 var sites = []site{
 	{
 		name: "four-zones", zones: 4, engines: 9, entries: 6, models: 20, adaptersPerModel: 2,
 		memory: 54, loadsInFlight: 2, adaptersInFlight: 15,
-		shares: []float64{0.4, 0.3, 0.2, 0.07, 0.03}, prompt: 400, output: 120, capacity: 51,
+		rateShares: []float64{0.4, 0.3, 0.2, 0.07, 0.03}, meanPrompt: 400, meanOutput: 120, capacity: 51,
 	},
 	{
 		name: "three-zones", zones: 3, engines: 9, entries: 9, models: 20, adaptersPerModel: 2,
 		memory: 54, loadsInFlight: 3, adaptersInFlight: 25,
-		shares: []float64{0.35, 0.3, 0.25, 0.05, 0.05}, prompt: 700, output: 80, capacity: 63,
+		rateShares: []float64{0.35, 0.3, 0.25, 0.05, 0.05}, meanPrompt: 700, meanOutput: 80, capacity: 63,
 	},
 }
 
-// The cost model of an engine: a step costs a fixed time for each model in the
-// batch, a little for each sequence, and what it reads of prompts.
+// Parameters of the simulation. The duration of an engine's step is the sum of a fixed
+// time for each model in the batch, a shorter one for each sequence, and a time for each
+// prompt token prefilled.
 const (
-	stepPerModel    = 7 * time.Millisecond
-	stepPerSequence = 400 * time.Microsecond
-	stepPerPrompt   = 80 * time.Microsecond
-	promptChunk     = 256
-	batchSize       = 32
-	cacheBlocks     = 2000
-	blockTokens     = 64
-	loadTime        = 2 * time.Second
-	adapterTime     = 40 * time.Millisecond
-	reportPeriod    = time.Second
-	reportLag       = time.Second
-	eventLag        = 2 * time.Second
-	eventLoss       = 0.2
-	listLag         = 3 * time.Second
-	demandPeriod    = 5 * time.Second
-	planPeriod      = 250 * time.Millisecond
-	warmUp          = 60 * time.Second
-	firstTokenGoal  = 1800 * time.Millisecond
-	gapGoal         = 64 * time.Millisecond
-	patience        = 10 * time.Second
-	// booked is how much more rate is contracted than the accelerators can serve.
-	booked = 1.3
-	// burstSeconds of the rate may be used at once.
+	stepTimePerModel       = 7 * time.Millisecond
+	stepTimePerSequence    = 400 * time.Microsecond
+	stepTimePerPromptToken = 80 * time.Microsecond
+	promptChunkTokens      = 256
+	batchSize              = 32
+	cacheBlocks            = 2000
+	blockTokens            = 64
+	modelLoadTime          = 2 * time.Second
+	adapterLoadTime        = 40 * time.Millisecond
+	reportPeriod           = time.Second
+	reportLag              = time.Second
+	cacheEventLag          = 2 * time.Second
+	cacheEventLoss         = 0.2
+	serverListLag          = 3 * time.Second
+	demandPeriod           = 5 * time.Second
+	planPeriod             = 250 * time.Millisecond
+	warmUp                 = 60 * time.Second
+	firstTokenGoal         = 1800 * time.Millisecond
+	interTokenGoal         = 64 * time.Millisecond
+	requestTimeout         = 10 * time.Second
+	// overbookingFactor is the ratio of the total contracted rate to the capacity.
+	overbookingFactor = 1.3
+	// burstSeconds is the permitted burst, in seconds of the contracted rate.
 	burstSeconds = 20
 )
 
-func (s site) settings() place.Settings {
+func (s site) placementSettings() place.Settings {
 	p := place.DefaultSettings()
 	p.LoadsInFlight = s.loadsInFlight
 	p.AdaptersInFlight = s.adaptersInFlight
-	p.ServerWork = s.capacity / float64(s.engines) * s.work()
+	p.ServerWork = s.capacity / float64(s.engines) * s.meanWork()
 	return p
 }
 
-// permitted is how many tokens a caller lets an answer have, against what it has.
-const permitted = 1.6
+// maxTokensRatio is the ratio of the output tokens that a caller permits (max_tokens) to
+// those that the response has.
+const maxTokensRatio = 1.6
 
-// work is the work of a mean request, as dispatch counts it.
-func (s site) work() float64 { return 0.1*s.prompt + permitted*s.output }
+// meanWork returns the work of an average request, in the units of package dispatch.
+func (s site) meanWork() float64 { return 0.1*s.meanPrompt + maxTokensRatio*s.meanOutput }
 
-// tokens is what a mean request is charged.
-func (s site) tokens() float64 { return s.prompt + permitted*s.output }
+// meanCharge returns the tokens charged for an average request.
+func (s site) meanCharge() float64 { return s.meanPrompt + maxTokensRatio*s.meanOutput }
