--- a/relay/doc.go
+++ b/relay/doc.go
@@ -1,4 +1,5 @@
-// Package relay forwards TCP connections in tests and makes them fail: it cuts
-// them, delays them, or keeps them open and silent for good while new ones work,
-// as a balancer or firewall does that has lost track of them.
+// Package relay is a TCP proxy that injects faults in tests. It can close connections,
+// delay them, refuse new ones, or black-hole the open ones: these stay open but carry no
+// more data, while new connections work, as happens when a load balancer or firewall has
+// lost the state of a connection.
 package relay
--- a/relay/link.go
+++ b/relay/link.go
@@ -8,23 +8,23 @@
 
 const bufferSize = 32 << 10
 
-// link is one forwarded connection.
-type link struct {
-	relay  *Relay
-	near   net.Conn
-	far    net.Conn
-	silent atomic.Bool
+// proxiedConn is one forwarded connection.
+type proxiedConn struct {
+	relay      *Relay
+	downstream net.Conn
+	upstream   net.Conn
+	blackholed atomic.Bool
 }
 
-// copy forwards one direction until either end closes. A silent link stays open
-// at both ends: that of the server too, so that it learns nothing either.
-func (l *link) copy(to, from net.Conn) error {
+// copy forwards data in one direction until either end closes. A black-holed connection
+// stays open at both ends, so that neither the client nor the server notices.
+func (c *proxiedConn) copy(to, from net.Conn) error {
 	buf := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && !l.silent.Load() {
-			time.Sleep(l.relay.currentDelay())
-			l.relay.bytes.Add(int64(n))
+		if n > 0 && !c.blackholed.Load() {
+			time.Sleep(c.relay.currentDelay())
+			c.relay.forwardedBytes.Add(int64(n))
 			if _, err := to.Write(buf[:n]); err != nil {
 				break
 			}
@@ -33,16 +33,16 @@
 			break
 		}
 	}
-	if l.silent.Load() {
+	if c.blackholed.Load() {
 		_ = from.Close()
 		return nil
 	}
-	l.close()
+	c.close()
 	return nil
 }
 
-func (l *link) close() {
-	_ = l.near.Close()
-	_ = l.far.Close()
-	l.relay.forget(l)
+func (c *proxiedConn) close() {
+	_ = c.downstream.Close()
+	_ = c.upstream.Close()
+	c.relay.remove(c)
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -10,30 +10,31 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Relay forwards from its own address to a target.
+// Relay forwards connections from its own address to a target.
 type Relay struct {
-	target  string
-	address string
-	ended   errgroup.Group
-	bytes   atomic.Int64
+	target         string
+	address        string
+	goroutines     errgroup.Group
+	forwardedBytes atomic.Int64
 
 	mu       sync.Mutex
 	listener net.Listener
-	links    map[*link]struct{}
+	conns    map[*proxiedConn]struct{}
 	delay    time.Duration
 	accepted int
 	closed   bool
 }
 
-// Option changes how a relay is made.
+// Option configures a Relay.
 type Option func(*Relay)
 
-// WithAddress makes a relay listen at an address instead of a free port.
+// WithAddress sets the listen address; by default a relay listens on a free port of
+// 127.0.0.1.
 func WithAddress(address string) Option { return func(r *Relay) { r.address = address } }
 
-// New listens and forwards to target; Close ends it.
+// New starts a relay that forwards to target; Close stops it.
 func New(target string, opts ...Option) (*Relay, error) {
-	r := &Relay{target: target, address: "127.0.0.1:0", links: map[*link]struct{}{}}
+	r := &Relay{target: target, address: "127.0.0.1:0", conns: map[*proxiedConn]struct{}{}}
 	for _, opt := range opts {
 		opt(r)
 	}
@@ -52,64 +53,64 @@
 	r.mu.Lock()
 	r.listener = l
 	r.mu.Unlock()
-	r.ended.Go(func() error { return r.accept(l) })
+	r.goroutines.Go(func() error { return r.accept(l) })
 	return nil
 }
 
-// Address is where clients connect.
+// Address returns the address that the relay listens on.
 func (r *Relay) Address() string { return r.address }
 
-// accept takes connections until its listener is closed.
+// accept accepts connections until the listener is closed.
 func (r *Relay) accept(l net.Listener) error {
 	for {
-		near, err := l.Accept()
+		downstream, err := l.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		far, err := net.DialTimeout("tcp", r.target, time.Second)
+		upstream, err := net.DialTimeout("tcp", r.target, time.Second)
 		if err != nil {
-			_ = near.Close()
+			_ = downstream.Close()
 			continue
 		}
-		r.forward(&link{relay: r, near: near, far: far})
+		r.forward(&proxiedConn{relay: r, downstream: downstream, upstream: upstream})
 	}
 }
 
-func (r *Relay) forward(l *link) {
+func (r *Relay) forward(c *proxiedConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
-		_ = l.near.Close()
-		_ = l.far.Close()
+		_ = c.downstream.Close()
+		_ = c.upstream.Close()
 		return
 	}
 	r.accepted++
-	r.links[l] = struct{}{}
-	r.ended.Go(func() error { return l.copy(l.far, l.near) })
-	r.ended.Go(func() error { return l.copy(l.near, l.far) })
+	r.conns[c] = struct{}{}
+	r.goroutines.Go(func() error { return c.copy(c.upstream, c.downstream) })
+	r.goroutines.Go(func() error { return c.copy(c.downstream, c.upstream) })
 }
 
-func (r *Relay) forget(l *link) {
+func (r *Relay) remove(c *proxiedConn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.links, l)
+	delete(r.conns, c)
 }
 
-// Accepted returns how many connections have been forwarded so far.
+// Accepted returns the number of connections forwarded so far.
 func (r *Relay) Accepted() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.accepted
 }
 
-// Bytes returns how many bytes have been forwarded so far, both ways together.
-func (r *Relay) Bytes() int64 { return r.bytes.Load() }
+// ForwardedBytes returns the number of bytes forwarded so far in both directions.
+func (r *Relay) Bytes() int64 { return r.forwardedBytes.Load() }
 
-// Delay makes each piece of data wait before it is forwarded.
-func (r *Relay) Delay(d time.Duration) {
+// SetDelay sets the delay before each read of up to 32 KB is forwarded.
+func (r *Relay) SetDelay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = d
@@ -121,46 +122,47 @@
 	return r.delay
 }
 
-// Cut closes the connections that are open now.
+// CloseConns closes the open connections.
 func (r *Relay) Cut() {
-	for _, l := range r.open() {
-		l.close()
+	for _, c := range r.openConns() {
+		c.close()
 	}
 }
 
-// Silence keeps the connections that are open now, and swallows all that comes on them.
+// Blackhole keeps the open connections open and discards all data received on them.
 func (r *Relay) Silence() {
-	for _, l := range r.open() {
-		l.silent.Store(true)
+	for _, c := range r.openConns() {
+		c.blackholed.Store(true)
 	}
 }
 
-func (r *Relay) open() []*link {
+func (r *Relay) openConns() []*proxiedConn {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	links := make([]*link, 0, len(r.links))
-	for l := range r.links {
-		links = append(links, l)
+	conns := make([]*proxiedConn, 0, len(r.conns))
+	for c := range r.conns {
+		conns = append(conns, c)
 	}
-	return links
+	return conns
 }
 
-// Down refuses new connections until Up; open ones go on.
+// StopListening refuses new connections until ResumeListening is called. Open connections
+// are not affected.
 func (r *Relay) Down() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_ = r.listener.Close()
 }
 
-// Up takes new connections again at the same address.
+// ResumeListening accepts new connections again, on the same address.
 func (r *Relay) Up() error { return r.listen(r.address) }
 
-// Close ends the relay and waits for its goroutines.
+// Close stops the relay and waits for its goroutines.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	r.closed = true
 	r.mu.Unlock()
 	r.Down()
 	r.Cut()
-	_ = r.ended.Wait()
+	_ = r.goroutines.Wait()
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -13,7 +13,7 @@
 	"go.uber.org/goleak"
 )
 
-// echoServer answers each line with itself.
+// echoServer starts a server that echoes all data.
 func echoServer(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,7 +32,7 @@
 	return l.Addr().String()
 }
 
-func ask(c net.Conn) error {
+func echo(c net.Conn) error {
 	_ = c.SetDeadline(time.Now().Add(200 * time.Millisecond))
 	if _, err := c.Write([]byte("hello\n")); err != nil {
 		return err
@@ -54,21 +54,21 @@
 		t.Cleanup(func() { c.Close() })
 		return c
 	}
-	silent := dial()
-	is.NoErr(ask(silent))
+	blackholed := dial()
+	is.NoErr(echo(blackholed))
 	r.Silence()
-	err = ask(silent)
-	is.True(errors.Is(err, os.ErrDeadlineExceeded)) // it stays open and shows nothing
+	err = echo(blackholed)
+	is.True(errors.Is(err, os.ErrDeadlineExceeded)) // stays open, but carries no data
 
-	cut := dial()
-	is.NoErr(ask(cut))
+	closed := dial()
+	is.NoErr(echo(closed))
 	r.Cut()
-	is.True(ask(cut) != nil)
+	is.True(echo(closed) != nil)
 
 	r.Down()
 	_, err = net.Dial("tcp", r.Address())
 	is.True(err != nil)
 	is.NoErr(r.Up())
-	is.NoErr(ask(dial()))
+	is.NoErr(echo(dial()))
 	is.Equal(r.Accepted(), 3)
 }
