--- a/backend.go
+++ b/backend.go
@@ -7,125 +7,138 @@
 	"time"
 )
 
-// PromptPart is one part of a prompt that requests may share; parts stand in order.
+// PromptPart is one part of a prompt that several requests may have in common.
 type PromptPart struct {
 	ID     string
 	Tokens Tokens
 }
 
-// Hints are what a caller says of its request; none of them changes what it means.
+// RequestHints describe a request for routing and admission. They come from the caller and
+// don't change the meaning of the request.
 type Hints struct {
-	// Model is the model or adapter that must be loaded; empty for a plain service.
+	// Model is the model or adapter that the request needs; empty for a plain service.
 	Model ModelName
-	// Prompt and Output count tokens; Counted says whether the caller gave them.
+	// PromptTokens and OutputTokens are valid only if HasTokenCounts is set, as the caller
+	// may send no counts.
 	Prompt  Tokens
 	Output  Tokens
 	Counted bool
-	Parts   []PromptPart
+	// PromptParts lists the parts in the order in which they appear in the prompt.
+	Parts []PromptPart
 }
 
-// BackendCall is one request as it goes to a backend server.
+// BackendRequest is a request to a backend server.
 type BackendCall struct {
 	ID     RequestID
 	Method string
-	// Target is the path and query, byte for byte as the caller sent them.
+	// Target is the path and query, byte for byte as received from the caller.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Expect names the backend server that alone may run it.
+	// ExpectedServer is the only backend server that may run the request. Another one that
+	// has taken over the address must decline it.
 	Expect       BackendServerID
 	Organisation Organisation
-	// Left is the time that the caller still waits.
+	// Timeout is the remaining time until the caller's deadline.
 	Left time.Duration
-	// Priority ranks it among the waiting ones; 0 goes first.
+	// Priority orders queued requests; 0 is the highest priority and a negative value means
+	// that none is sent.
 	Priority int
-	// After is the id of the last event that the caller has; empty for a whole stream.
+	// LastEventID is the ID of the last event that the caller has received. If it is empty,
+	// the stream starts at the first event.
 	After string
-	// Usable is asked when a connection is there: if false, the request is not sent. Nil
-	// always sends it.
+	// ShouldSend is called once a connection is available. If it returns false, the request
+	// is not sent. A nil function means that the request is always sent.
 	Usable func() bool
 }
 
-// BackendAnswer is the head of a backend server's answer and the stream of its body.
-// Body returns io.EOF only at the end that the framing gives, and ErrAnswerCut where
-// the answer breaks off. Closing Body early closes the connection, which stops the run.
+// BackendResponse is the header of a backend server's response and a reader of its body.
+// Body returns io.EOF only at the end of the message according to the HTTP framing, and
+// ErrResponseTruncated if the connection ends before. Closing Body early closes the
+// connection, which makes the backend server cancel the request.
 type BackendAnswer struct {
 	Status int
 	Header http.Header
-	// Declined says that the backend server itself states that it did not run the request.
+	// Declined reports whether the backend server stated that it did not run the request.
 	Declined bool
-	// Elsewhere says that another backend server has the address, or that the model
-	// is not loaded.
+	// Misdirected reports whether the request reached the wrong backend server: another
+	// one has the address, or the model is not loaded.
 	Elsewhere bool
-	// Limit is the requests a second that the backend server takes from all instances
-	// together; 0 if it names no limit.
+	// RateLimit is the number of requests per second that the backend server accepts from
+	// all instances together; 0 if it sent no limit.
 	Limit float64
 	Body  io.ReadCloser
 }
 
-// Backend calls backend servers.
+// Backend sends requests to backend servers. It never retries a request.
 //
-// An error wraps ErrNotSent when no byte of the request can have arrived, beside it
-// ErrAbsent when nothing listens at the address, ErrSilent when no answer came in time, and
-// ErrAnswerCut or ErrCrossed where the answer was not one.
-// It never sends a request twice by itself.
+// An error wraps ErrNotSent if no byte of the request can have reached the backend server,
+// and also ErrConnectionRefused if nothing listens on the address. It wraps
+// ErrProgressTimeout if no response came in time, and ErrResponseTruncated or
+// ErrInvalidResponse if the response was incomplete or not one to this request.
 type Backend interface {
 	Call(ctx context.Context, address string, c BackendCall) (*BackendAnswer, error)
 }
 
-// EngineState is what a model engine says about itself.
+// EngineState is the state that a model engine reports.
 type EngineState struct {
-	// Sequence counts the orders that it accepted since its start.
+	// Sequence is the number of orders that the engine has accepted since it started.
 	Sequence int64
-	// Busy says that an order is under way.
+	// Busy reports whether the engine is executing an order.
 	Busy   bool
 	Models []EngineModel
-	// Fetching lists adapters on their way, as MODEL/ADAPTER.
+	// LoadingAdapters lists the adapters that are being loaded, as MODEL/ADAPTER.
 	Fetching []ModelName
 }
 
-// EngineModel is one loaded model with its adapters, named without the model.
+// LoadedModel is a loaded model with its loaded adapters. The names of the adapters have no
+// MODEL/ prefix.
 type EngineModel struct {
 	Name     ModelName
 	Adapters []string
 }
 
-// EngineOrder is one instruction of the planner to a model engine.
+// EngineOrder is an instruction of the planner to a model engine.
 type EngineOrder struct {
 	Kind    OrderKind
 	Model   ModelName
 	Adapter string
-	// Sequence is the count of accepted orders that the order presumes; the engine
-	// refuses it at any other, so that a late order can't act after a newer one.
+	// ExpectedSequence must equal EngineState.Sequence, otherwise the engine refuses the
+	// order. Without this check, a delayed order could take effect after a newer one.
 	Sequence int64
-	Holder   string
-	Fence    Fence
-	Expect   BackendServerID
+	// Holder is the ID of the leader that sends the order.
+	Holder string
+	Fence  Fence
+	// ExpectedServer is the only backend server that may execute the order.
+	Expect BackendServerID
 }
 
-// OrderAnswer is what an engine said to an order.
+// OrderResult is an engine's response to an order.
 type OrderAnswer int
 
-// The answers to an order.
+// Results of an order.
 const (
-	// OrderAccepted says that it is being carried out.
+	// OrderAccepted means that the engine is executing the order.
 	OrderAccepted OrderAnswer = iota
-	// OrderHeld says that it held already, or was done at once.
+	// OrderDone means that the engine had already been in the requested state, or has
+	// executed the order immediately.
 	OrderHeld
-	// OrderBusy says that another order is under way, or that the sequence differs.
+	// OrderConflict means that another order is being executed, or that
+	// EngineOrder.ExpectedSequence does not match.
 	OrderBusy
-	// OrderFenced says that another holder has used a higher fence.
+	// OrderStaleFence means that another holder has used a higher fencing token.
 	OrderFenced
-	// OrderGone says that another backend server has the address.
+	// OrderMisdirected means that another backend server has the address.
 	OrderGone
-	// OrderWrong says that the engine can't read or carry out the order.
+	// OrderInvalid means that the engine can't parse or execute the order.
 	OrderWrong
 )
 
-// EngineControl gives orders to model engines and asks for their state.
+// EngineControl sends orders to model engines and reads their state.
 type EngineControl interface {
 	State(ctx context.Context, address string, id BackendServerID) (EngineState, error)
-	// Order returns an error if no answer came: the order may act seconds later.
+	// SendOrder returns an error if it got no response. The order may then still take
+	// effect, even seconds later.
 	Order(ctx context.Context, address string, o EngineOrder) (OrderAnswer, error)
 }
--- a/clock.go
+++ b/clock.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// Clock gives monotonic readings; they are never compared between instances.
+// Clock returns the current time with a monotonic reading. Times of different instances must
+// not be compared.
 type Clock interface {
 	Now() time.Time
 }
 
-// SystemClock is the clock of the machine.
+// SystemClock is a Clock that uses time.Now.
 type SystemClock struct{}
 
-// Now returns the present reading.
+// Now returns time.Now().
 func (SystemClock) Now() time.Time { return time.Now() }
--- a/doc.go
+++ b/doc.go
@@ -1,5 +1,5 @@
-// Package galenastair holds the ids, units, errors and ports that every other
-// package shares. Ports are the interfaces behind which behaviour varies; their
-// implementations live in the packages below this one, named after the peer or
-// protocol that they speak to.
+// Package galenastair defines the identifiers, units, errors and interfaces that
+// the other packages share. The interfaces describe external systems, such as
+// backend servers, the platform's log and its metadata store. Subpackages
+// implement them and are named after the system or protocol that they access.
 package galenastair
--- a/engine.go
+++ b/engine.go
@@ -9,23 +9,26 @@
 )
 
 var (
-	// ErrStaleFence says that an engine refused an order with an old fencing number.
-	ErrStaleFence = eris.New("the engine has seen a newer fencing number")
-	// ErrNotSent says that no byte of a request can have reached the backend server.
-	ErrNotSent = eris.New("the request was not sent")
-	// ErrAbsent says that nothing listens at the backend server's address.
-	ErrAbsent = eris.New("nothing listens there")
-	// ErrDeclined says that the backend server itself said that it did not run the request.
-	ErrDeclined = eris.New("the backend server declined to run the request")
-	// ErrStreamGone says that an engine no longer knows the stream that was to be resumed.
-	ErrStreamGone = eris.New("the stream can no longer be resumed")
-	// ErrSilent says that a connection made no progress within its timer.
-	ErrSilent = eris.New("the connection went silent")
-	// ErrCrossed says that an answer belonged to another request or skipped tokens.
-	ErrCrossed = eris.New("the answer does not belong to the request")
+	// ErrStaleFence means that an engine refused an order because its fencing token is lower
+	// than one that the engine has already accepted.
+	ErrStaleFence = eris.New("engine has accepted a higher fencing token")
+	// ErrNotSent means that no byte of a request can have reached the backend server.
+	ErrNotSent = eris.New("request not sent to the backend server")
+	// ErrConnectionRefused means that nothing listens on the backend server's address.
+	ErrAbsent = eris.New("connection refused by the backend server")
+	// ErrDeclined means that the backend server stated that it did not run the request.
+	ErrDeclined = eris.New("backend server declined to run the request")
+	// ErrStreamNotFound means that an engine does not know, or no longer knows, the stream to
+	// resume or cancel.
+	ErrStreamGone = eris.New("stream not found on the engine")
+	// ErrProgressTimeout means that a connection made no progress within its timeout.
+	ErrSilent = eris.New("connection made no progress before the timeout")
+	// ErrInvalidResponse means that a response belongs to another request, skips events or has
+	// no usable body.
+	ErrCrossed = eris.New("invalid response to the request")
 )
 
-// Completion is one model request as an entry sends it to an engine.
+// Completion is a model request that an entry instance sends to an engine.
 type Completion struct {
 	ID       RequestID
 	Model    ModelName
@@ -34,32 +37,32 @@
 	Priority int
 }
 
-// Chunk is one event of a streamed answer.
+// Chunk is one event of a streamed response.
 type Chunk struct {
-	// Sequence counts the events of one answer from 1.
+	// Sequence numbers the events of a response, starting at 1.
 	Sequence int64
 	Data     []byte
-	// End is set on the end mark alone; an answer without it is not whole.
+	// End is set on the final event only. A response without a final event is incomplete.
 	End bool
 }
 
-// AnswerStream is a streamed answer; Next returns io.EOF only after the end mark.
+// ResponseStream reads a streamed response. Next returns io.EOF only after the final event.
 type AnswerStream interface {
 	Next() (Chunk, error)
 	io.Closer
 }
 
-// OrderKind says what an order makes an engine do.
+// OrderKind is the action that an order requests.
 type OrderKind string
 
-// The kinds of order.
+// Kinds of orders.
 const (
 	LoadModel   OrderKind = "LoadModel"
 	UnloadModel OrderKind = "UnloadModel"
 	ChangeRole  OrderKind = "ChangeRole"
 )
 
-// Order is one instruction from the leader to an engine.
+// Order is an instruction from the leader to an engine.
 type Order struct {
 	ID            OrderID
 	Fence         Fence
@@ -69,27 +72,27 @@
 	EngineRole    string
 }
 
-// LoadState says how far an engine is with a model or adapter.
+// LoadState is the loading state of a model or adapter on an engine.
 type LoadState string
 
-// The states of a model or adapter on an engine.
+// Loading states.
 const (
 	Loading   LoadState = "Loading"
 	Ready     LoadState = "Ready"
 	Unloading LoadState = "Unloading"
 )
 
-// LoadedWeight is one model or adapter that an engine reports.
+// LoadedWeights is a model or adapter that an engine reports, with its loading state.
 type LoadedWeight struct {
 	Weight Weight
 	State  LoadState
 	Order  OrderID
 }
 
-// EngineReport is what an engine says about itself, with a lag.
+// EngineReport is an engine's report on its own state. It may be out of date, see Age.
 type EngineReport struct {
 	BackendServer BackendServerID
-	// Age is how old the figures were when the engine gave them.
+	// Age is the age of the values at the time when the engine sent them.
 	Age           time.Duration
 	MemoryTotal   Bytes
 	MemoryUsed    Bytes
@@ -98,23 +101,25 @@
 	CacheUsed     Bytes
 	HighestFence  Fence
 	ChecksFence   bool
-	FinishedOrder []OrderID
+	FinishedOrder []OrderID `json:"FinishedOrder"`
 	Loaded        []LoadedWeight
 }
 
-// CacheEvent tells that an engine has cached or dropped a prompt prefix; events come late and with gaps.
+// CacheEvent reports that an engine has added a prompt prefix to its cache or evicted it. Events
+// may arrive late, and some may be missing.
 type CacheEvent struct {
 	Sequence int64
 	Model    ModelName
 	Prefix   uint64
-	Dropped  bool
+	Dropped  bool `json:"Dropped"`
 }
 
-// Engine is a model engine as the system calls it; server is its address as listed.
+// Engine is a client of model engines. The server arguments are addresses from the InstanceList.
 type Engine interface {
-	// Complete starts a request; its error wraps ErrNotSent or ErrDeclined when it certainly did not run.
+	// Complete starts a request. Its error wraps ErrNotSent or ErrDeclined only if the request
+	// cannot have run.
 	Complete(ctx context.Context, server string, c Completion) (AnswerStream, error)
-	// Resume continues an answer after the given sequence on a new connection.
+	// Resume opens a new connection and continues a response after the given sequence.
 	Resume(ctx context.Context, server string, id RequestID, after int64) (AnswerStream, error)
 	Cancel(ctx context.Context, server string, id RequestID) error
 	Order(ctx context.Context, server string, o Order) error
--- a/id.go
+++ b/id.go
@@ -5,43 +5,43 @@
 	"encoding/hex"
 )
 
-// InstanceID names one instance of the system for as long as its process lives.
+// InstanceID identifies an instance of the system for the lifetime of its process.
 type InstanceID string
 
-// AvailabilityZone names the failure domain that an instance or backend server runs in.
+// AvailabilityZone is the failure domain in which an instance or backend server runs.
 type AvailabilityZone string
 
-// Region names a group of availability zones that forms one control domain.
+// Region is a group of availability zones that form one control domain.
 type Region string
 
-// Organisation names a customer, as its contract spells it.
+// Organisation is the name of a customer, as spelled in its contract.
 type Organisation string
 
-// BackendServerID names a model engine or plain service behind the system.
+// BackendServerID identifies a backend server, that is, a model engine or a plain service.
 type BackendServerID string
 
-// ModelName names a model or an adapter, as callers ask for it.
+// ModelName is the name by which callers request a model or an adapter.
 type ModelName string
 
-// ServiceName names a plain service, as callers ask for it.
+// ServiceName is the name by which callers request a plain service.
 type ServiceName string
 
-// RequestID names one request of a caller on its whole way through the system.
+// RequestID identifies a caller's request on all instances and backend servers that handle it.
 type RequestID string
 
-// IdempotencyKey is the caller's own name for a request that may not be repeated.
+// IdempotencyKey is chosen by the caller and identifies a request that must not run twice.
 type IdempotencyKey string
 
-// OrderID names one order to a model engine.
+// OrderID identifies an order to a model engine.
 type OrderID string
 
-// RecordID names one record of the log; its author chooses it before appending.
+// RecordID identifies a record in the log. The author chooses it before the append.
 type RecordID string
 
-// KeyHash is the hex SHA-256 digest of a caller's key; keys themselves are kept nowhere.
+// KeyHash is the hexadecimal SHA-256 digest of a caller's API key. The key itself is never stored.
 type KeyHash string
 
-// HashKey returns the digest under which a key is known to the system.
+// HashKey returns the KeyHash of an API key.
 func HashKey(key string) KeyHash {
 	sum := sha256.Sum256([]byte(key))
 	return KeyHash(hex.EncodeToString(sum[:]))
--- a/instance.go
+++ b/instance.go
@@ -2,42 +2,44 @@
 
 import "context"
 
-// Role says what a listed instance does.
+// Role is the role of an instance in the InstanceList.
 type Role string
 
-// The roles that the platform's list knows.
+// Roles in the platform's instance list.
 const (
 	RoleEntry   Role = "Entry"
 	RoleEngine  Role = "Engine"
 	RoleService Role = "Service"
 )
 
-// ListedInstance is one line of the platform's lagging list.
+// ListedInstance is an entry of the InstanceList.
 type ListedInstance struct {
 	ID               string
 	Role             Role
 	Address          string
 	AvailabilityZone AvailabilityZone
-	// Service is the name of the plain service that it runs, if any.
+	// Service is the name of the plain service that the instance runs, if any.
 	Service ServiceName
 	Leaving bool
 }
 
-// InstanceList is the platform's lagging list of live and leaving instances.
+// InstanceList is the platform's list of the instances that are live or leaving. It is
+// eventually consistent: changes appear with a delay.
 type InstanceList interface {
 	List(ctx context.Context) ([]ListedInstance, error)
 }
 
-// Weight describes what an engine must load before it can answer for a model or adapter.
+// ModelWeights describe the weights that an engine must load to serve a model or adapter.
 type Weight struct {
 	Name    ModelName
 	Version string
-	// Base is the model that an adapter belongs to; empty for a model.
+	// Base is the base model of an adapter; empty for a model.
 	Base   ModelName
 	Memory Bytes
 }
 
-// WeightStore is the platform's rate-limited store of model weights; engines load from it themselves.
+// WeightStore is the platform's store of model weights. Engines load weights from it directly,
+// and the store limits the rate of these loads.
 type WeightStore interface {
 	Catalogue(ctx context.Context) ([]Weight, error)
 }
--- a/log.go
+++ b/log.go
@@ -8,30 +8,30 @@
 	"github.com/rotisserie/eris"
 )
 
-// Stream names one append-only sequence of records in the platform's log.
+// Stream is the name of an append-only sequence of records in the platform's log.
 type Stream string
 
-// ConfigurationStream is where operators publish contracts.
+// ConfigurationStream is the stream to which operators publish contracts.
 const ConfigurationStream Stream = "configuration"
 
-// ControlStream returns the stream of a region's membership and order records.
+// ControlStream returns the stream of the membership and order records of a region.
 func ControlStream(r Region) Stream { return Stream("control-" + string(r)) }
 
 var (
-	// ErrAppendUnknown says that an append may or may not have taken effect.
-	ErrAppendUnknown = eris.New("the outcome of the append is not known")
-	// ErrAppendRefused says that an append certainly took no effect.
-	ErrAppendRefused = eris.New("the log refused the append")
-	// ErrExpired says that records before the oldest kept offset were asked for.
-	ErrExpired = eris.New("the records are no longer kept")
-	// ErrLogUnavailable says that the log cannot be read now.
-	ErrLogUnavailable = eris.New("the log cannot be reached")
+	// ErrAppendUnknown means that an append may or may not have taken effect.
+	ErrAppendUnknown = eris.New("outcome of the append is unknown")
+	// ErrAppendRefused means that an append took no effect.
+	ErrAppendRefused = eris.New("log refused the append")
+	// ErrExpired means that a read requested records before the oldest retained offset.
+	ErrExpired = eris.New("requested records are no longer retained")
+	// ErrLogUnavailable means that the log cannot be read at the moment.
+	ErrLogUnavailable = eris.New("log unavailable")
 )
 
-// RecordKind says which type a record's body has.
+// RecordKind is the type of a record's body.
 type RecordKind string
 
-// Record is the envelope of everything that the system and its operators append.
+// Record is the envelope of all records that the system and its operators append.
 type Record struct {
 	ID     RecordID
 	Kind   RecordKind
@@ -39,25 +39,28 @@
 	Body   json.RawMessage
 }
 
-// LogRecord is a record as it stands in a stream.
+// LogRecord is a record that is stored in a stream.
 type LogRecord struct {
 	Offset Offset
 	Data   []byte
 }
 
-// Batch is the result of one read: records in offset order, and what the stream holds.
+// Batch is the result of a read: records in offset order, and the range of offsets that the
+// stream retains.
 type Batch struct {
 	Records []LogRecord
-	// First is the oldest offset still kept.
+	// First is the oldest retained offset.
 	First Offset
-	// Next is the offset that the next record of the stream will get.
+	// Next is the offset that the next appended record will get.
 	Next Offset
 }
 
 // Log is the platform's append-only log service.
 type Log interface {
-	// Append adds one record; an error that is not ErrAppendRefused leaves its effect unknown.
+	// Append adds a record. After any error other than ErrAppendRefused, the record may or may
+	// not have been added.
 	Append(ctx context.Context, s Stream, data []byte) (Offset, error)
-	// Read returns records from an offset on, waiting up to wait for the first.
+	// Read returns the records from an offset on. If there are none yet, it waits for the
+	// first one, for at most the duration wait.
 	Read(ctx context.Context, s Stream, from Offset, wait time.Duration) (Batch, error)
 }
--- a/outcome.go
+++ b/outcome.go
@@ -1,14 +1,16 @@
 package galenastair
 
-// Outcome tells a caller whether its request had an effect.
+// Outcome tells a caller whether its request has run.
 type Outcome string
 
-// The outcomes that an error can carry.
+// Outcomes that an error can have.
 const (
-	// NotRun says that no backend server received any of the request, or that it said so itself.
+	// OutcomeNotRun means that the request cannot have run: no backend server received any of it,
+	// or the backend server stated that it did not run it.
 	NotRun Outcome = "NotRun"
-	// Ran says that a backend server ran the request, though the answer was cut or refused.
+	// OutcomeRan means that a backend server ran the request, although the response was
+	// truncated or refused.
 	Ran Outcome = "Ran"
-	// Unknown says that the request may or may not have run.
+	// OutcomeUnknown means that the request may or may not have run.
 	Unknown Outcome = "Unknown"
 )
--- a/refusal.go
+++ b/refusal.go
@@ -9,7 +9,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// Sentinel causes of a refusal or cut answer; callers test them with errors.Is.
+// Causes of a Refusal. Test for them with errors.Is. Clients receive their texts in the
+// response body.
 var (
 	ErrKeyMissing         = eris.New("no key came with the request")
 	ErrKeyUnknown         = eris.New("the key is not known")
@@ -35,7 +36,7 @@
 	ErrConfiguration      = eris.New("no configuration is in force yet")
 )
 
-// Code is the stable name of a cause, for callers to test.
+// Code identifies a cause in responses to clients and is stable across versions.
 type Code string
 
 type causeInfo struct {
@@ -44,7 +45,7 @@
 	status int
 }
 
-// causes gives each sentinel its stable code and HTTP status.
+// causes maps each cause to its code and HTTP status.
 var causes = []causeInfo{
 	{ErrKeyMissing, "KeyMissing", http.StatusUnauthorized},
 	{ErrKeyUnknown, "KeyUnknown", http.StatusUnauthorized},
@@ -70,7 +71,8 @@
 	{ErrConfiguration, "NoConfiguration", http.StatusServiceUnavailable},
 }
 
-// Refusal is the error that a caller is shown: its cause, whether the request ran, and when to come back.
+// Refusal is an error that is returned to the client: its cause, whether the request has run, and
+// when the client may retry.
 type Refusal struct {
 	Cause      error
 	Outcome    Outcome
@@ -78,24 +80,24 @@
 	Detail     string
 }
 
-// Refuse returns a refusal of a request that has not run.
+// NewRefusal returns a Refusal of a request that has not run.
 func Refuse(cause error, retryAfter time.Duration, detail string) *Refusal {
 	return &Refusal{Cause: cause, Outcome: NotRun, RetryAfter: retryAfter, Detail: detail}
 }
 
-// After returns the refusal as it must be told once the request has reached an
-// outcome: a key withdrawn in mid-answer refuses a request that has run, and
-// "not run" would make its caller send it again.
+// WithOutcome returns the refusal with the outcome that the request has reached. If a key is
+// withdrawn during the response, for example, the request has run. The outcome NotRun
+// would make the client send it again.
 func (r *Refusal) After(o Outcome) *Refusal {
 	if r.Outcome != NotRun || o == NotRun {
 		return r
 	}
-	told := *r
-	told.Outcome = o
-	return &told
+	refusal := *r
+	refusal.Outcome = o
+	return &refusal
 }
 
-// Error returns the cause and its detail.
+// Error returns the cause and the detail.
 func (r *Refusal) Error() string {
 	if r.Detail == "" {
 		return r.Cause.Error()
@@ -103,10 +105,10 @@
 	return fmt.Sprintf("%s: %s", r.Cause, r.Detail)
 }
 
-// Unwrap returns the sentinel cause.
+// Unwrap returns the cause.
 func (r *Refusal) Unwrap() error { return r.Cause }
 
-// Code returns the stable code of the cause.
+// Code returns the code of the cause.
 func (r *Refusal) Code() Code { return r.info().code }
 
 // Status returns the HTTP status of the cause.
--- a/service.go
+++ b/service.go
@@ -6,7 +6,7 @@
 	"net/http"
 )
 
-// ServiceCall is one request to a plain service.
+// ServiceRequest is a request to a plain service.
 type ServiceCall struct {
 	ID     RequestID
 	Method string
@@ -16,16 +16,16 @@
 	Body   []byte
 }
 
-// ServiceAnswer is the answer of a plain service; the reader closes Body.
+// ServiceResponse is the response of a plain service. The receiver must close Body.
 type ServiceAnswer struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
-	// Length is the number of bytes of Body, or -1 if the service did not say.
+	// ContentLength is the length of Body in bytes, or -1 if it is unknown.
 	Length int64
 }
 
-// Service is a plain service as the system calls it; server is its address as listed.
+// Service is a client of plain services. The server argument is an address from the InstanceList.
 type Service interface {
 	Call(ctx context.Context, server string, c ServiceCall) (ServiceAnswer, error)
 }
--- a/store.go
+++ b/store.go
@@ -7,60 +7,63 @@
 	"github.com/rotisserie/eris"
 )
 
-// Topic names one partitioned sequence of records in the platform's store.
+// Topic is the name of a partitioned sequence of records in the platform's metadata store.
 type Topic string
 
-// KeyedRecord is the newest value of one key; an empty value says that the key is gone.
+// KeyedRecord sets the value of a key. An empty value means that the key was deleted.
 type KeyedRecord struct {
 	Key    string
 	Value  []byte
 	Offset Offset
 }
 
-// KeyedBatch is the result of one read of a keyed topic.
+// KeyedBatch is the result of a read of a keyed topic.
 type KeyedBatch struct {
 	Records []KeyedRecord
-	// Next is the offset to go on from, and End where the topic ended; records between
-	// them were not read yet.
+	// Next is the offset for the next read, and End is the offset after the last record of
+	// the topic. The records between them have not been read yet.
 	Next Offset
 	End  Offset
-	// Skipped is how many records before Next were left out, each superseded by a later one
-	// of its key.
+	// Skipped is the number of records before Next that were omitted because a later record
+	// has the same key.
 	Skipped Offset
 }
 
-// From returns the offset that a read of consecutive records began at.
+// From returns the offset at which a read of consecutive records began.
 func (b KeyedBatch) From() Offset { return b.Next - b.Skipped - Offset(len(b.Records)) }
 
-// ErrConflict says that the store did nothing, since the topic ends elsewhere than presumed.
-var ErrConflict = eris.New("the topic ends elsewhere")
+// ErrConflict means that the write took no effect, as the topic does not end at the expected
+// offset.
+var ErrConflict = eris.New("topic does not end at the expected offset")
 
-// ErrStoreRefused says that the store certainly did nothing.
-var ErrStoreRefused = eris.New("the store refused the call")
+// ErrStoreRefused means that the store refused a request, which took no effect.
+var ErrStoreRefused = eris.New("store refused the request")
 
-// ErrStoreUnavailable says that a call to the store got no usable answer; it may have acted.
-var ErrStoreUnavailable = eris.New("the store gave no answer")
+// ErrStoreUnavailable means that the store gave no valid response. A write may have taken
+// effect.
+var ErrStoreUnavailable = eris.New("no valid response from the store")
 
-// Producer numbers the writes to one topic, so that a repeated write acts once and one that
-// comes late does not act after a newer. A higher epoch ends all lower ones. Without a name
-// nothing is numbered.
+// Producer identifies the writer of a topic and numbers its writes. A repeated write takes effect
+// only once, and a delayed write takes no effect after a newer one. A higher epoch
+// invalidates all lower ones. If Name is empty, writes are not numbered.
 type Producer struct {
 	Name     string
 	Epoch    Fence
 	Sequence int64
 }
 
-// Store is the platform's metadata store. Records before the oldest one kept are
-// reported as ErrExpired.
+// Store is the platform's metadata store. A read that starts before the oldest retained record
+// returns ErrExpired.
 type Store interface {
-	// Newest returns the newest record of each key, and where to read on from.
+	// Newest returns the newest record of each key, and the offset for the next read.
 	Newest(ctx context.Context, t Topic) (KeyedBatch, error)
-	// Follow returns the records from an offset on, waiting up to wait for the first.
+	// Read returns the records from an offset on. If there are none yet, it waits for the
+	// first one, for at most the duration wait.
 	Follow(ctx context.Context, t Topic, from Offset, wait time.Duration) (KeyedBatch, error)
-	// Put makes a value the newest of a key in a keyed topic, once for each number of its
-	// producer.
+	// Put sets the value of a key in a keyed topic. A producer's repeated write takes effect
+	// only once.
 	Put(ctx context.Context, t Topic, key string, value []byte, p Producer) error
-	// PutAt makes a value the newest of a key in a keyed topic if the topic ends at the offset,
-	// and returns the record's offset; else ErrConflict.
+	// CompareAndPut sets the value of a key in a keyed topic if the topic ends at the offset
+	// at, and returns the offset of the new record. Otherwise, it returns ErrConflict.
 	PutAt(ctx context.Context, t Topic, key string, value []byte, at Offset) (Offset, error)
 }
