--- a/cmd/galenastair-standin/cmd_bench.go
+++ b/cmd/galenastair-standin/cmd_bench.go
@@ -21,8 +21,8 @@
 	f := flag.NewFlagSet("bench", flag.ContinueOnError)
 	f.StringVar(&c.Engine, "engine", "", "address of the engine")
 	f.StringVar(&c.Entry, "entry", "", "address at which the entry accepts requests of callers")
-	f.IntVar(&c.EngineProcess, "engine-process", 0, "process id of the engine")
-	f.IntVar(&c.EntryProcess, "entry-process", 0, "process id of the entry")
+	f.IntVar(&c.EnginePID, "engine-process", 0, "process id of the engine")
+	f.IntVar(&c.EntryPID, "entry-process", 0, "process id of the entry")
 	f.StringVar(&c.Key, "key", "", "API key of an organisation with a high rate limit")
 	model := f.String("model", "model-1", "model of the requests")
 	rates := f.String("rates", "100,1000,2000", "comma-separated list of rates in requests per second")
@@ -31,7 +31,7 @@
 	f.IntVar(&c.Streams, "streams", 1000, "number of concurrent streams; 0 skips the streams")
 	f.DurationVar(&c.StreamRamp, "stream-ramp", 5*time.Second, "time within which the streams are opened")
 	f.IntVar(&c.StreamTokens, "stream-tokens", 300, "tokens in the answer of a stream")
-	f.Float64Var(&c.StreamSlow, "stream-slow", 30, "factor by which the engine's steps are slower while streams run")
+	f.Float64Var(&c.StreamSlowdown, "stream-slow", 30, "factor by which the engine's steps are slower while streams run")
 	f.Uint64Var(&c.Seed, "seed", 1, "seed of the arrival times")
 	verify := f.Bool("verify", true, "compare each answer with the expected one")
 	asJSON := f.Bool("json", false, "write JSON instead of a table")
@@ -47,9 +47,9 @@
 		c.Rates = append(c.Rates, rate)
 	}
 	if *verify {
-		c.Want = func(q load.Question) string { return engine.Expected(q.Model, q.Prompt, q.Chat, q.Tokens) }
+		c.ExpectedText = func(q load.RequestParams) string { return engine.Expected(q.Model, q.Prompt, q.Chat, q.Tokens) }
 	}
-	c.SetSlow = func(ctx context.Context, slow float64) error { return setSlowdown(ctx, c.Engine, slow) }
+	c.SetSlowdown = func(ctx context.Context, slow float64) error { return setSlowdown(ctx, c.Engine, slow) }
 	rows, err := load.Bench(ctx, c)
 	if err != nil {
 		return err
--- a/cmd/galenastair/cmd_load.go
+++ b/cmd/galenastair/cmd_load.go
@@ -43,10 +43,10 @@
 	f.IntVar(&l.source.Tokens, "tokens", 16, "tokens per answer")
 	f.IntVar(&l.source.PromptBytes, "prompt-bytes", 200, "bytes per prompt")
 	f.BoolVar(&l.source.Stream, "stream", true, "request streamed answers")
-	f.BoolVar(&l.config.Even, "even", false, "space arrivals evenly instead of at random")
+	f.BoolVar(&l.config.EvenlySpaced, "even", false, "space arrivals evenly instead of at random")
 	f.DurationVar(&l.config.Duration, "time", 10*time.Second, "duration of the load")
 	f.DurationVar(&l.config.Timeout, "timeout", 30*time.Second, "time-out of each request")
-	f.IntVar(&l.config.MaxOpen, "max-open", 4096, "maximum number of requests in flight; requests above it are counted as dropped")
+	f.IntVar(&l.config.MaxInFlight, "max-open", 4096, "maximum number of requests in flight; requests above it are counted as dropped")
 	f.IntVar(&l.config.MaxRequests, "max-requests", 0, "maximum number of requests in total; 0 for no limit")
 	f.Uint64Var(&l.config.Seed, "seed", 1, "seed of the arrival times and prompts")
 	f.BoolVar(&l.asJSON, "json", false, "print the result as JSON")
@@ -92,7 +92,7 @@
 }
 
 func (l *loadFlags) checkCompleteShare(r load.Result) error {
-	share := float64(r.All.Whole()) / float64(max(r.All.Requests, 1))
+	share := float64(r.All.Completed()) / float64(max(r.All.Requests, 1))
 	if share < l.minCompleteShare {
 		return eris.Errorf("%.4f of the requests got a complete answer; the minimum is %.4f", share, l.minCompleteShare)
 	}
--- a/cmd/galenastair/command_test.go
+++ b/cmd/galenastair/command_test.go
@@ -171,7 +171,7 @@
 	is.Equal(status, 0)
 	var r load.Result
 	is.NoErr(json.Unmarshal([]byte(out), &r))
-	is.Equal(r.All.Whole(), r.All.Requests)
+	is.Equal(r.All.Completed(), r.All.Requests)
 	refused := fakeEntry{galenastair.Refuse(galenastair.ErrRateExceeded, time.Second, "")}
 	status, _, errOut = exec(t, args(serve(t, caller.NewHandler(refused)))...)
 	is.Equal(status, exitFailed)
--- a/engine/client_test.go
+++ b/engine/client_test.go
@@ -101,7 +101,7 @@
 	is.NoErr(err)
 	_, _, err = read(second)
 	is.Equal(err, io.EOF)
-	r.Silence()
+	r.Blackhole()
 	rest, last, err := read(s)
 	is.True(errors.Is(err, galenastair.ErrSilent))
 	s, err = c.Resume(context.Background(), r.Address(), "r1", max(first.Sequence, last))
--- a/load/bench.go
+++ b/load/bench.go
@@ -15,12 +15,12 @@
 type BenchConfig struct {
 	// Engine and Entry are addresses. EnginePID and EntryPID are process ids on this
 	// machine, used to read processor time and memory; zero skips a process.
-	Engine        string
-	Entry         string
-	EngineProcess int
-	EntryProcess  int
-	Key           string
-	Model         galenastair.ModelName
+	Engine    string
+	Entry     string
+	EnginePID int
+	EntryPID  int
+	Key       string
+	Model     galenastair.ModelName
 	// Rates are the request rates per second, run one after the other with requests
 	// for Tokens tokens each.
 	Rates    []float64
@@ -33,10 +33,10 @@
 	StreamTokens int
 	// StreamSlowdown is passed to SetSlowdown while the streams run, so that their
 	// tokens arrive at the rate of a real model and not at that of short requests.
-	StreamSlow float64
-	SetSlow    func(context.Context, float64) error
-	Seed       uint64
-	Want       func(Question) string
+	StreamSlowdown float64
+	SetSlowdown    func(context.Context, float64) error
+	Seed           uint64
+	ExpectedText   func(RequestParams) string
 }
 
 // BenchRow is the result of one load on one target.
@@ -79,7 +79,7 @@
 	if c.Streams == 0 {
 		return nil, nil
 	}
-	if err := c.SetSlow(ctx, c.StreamSlow); err != nil {
+	if err := c.SetSlowdown(ctx, c.StreamSlowdown); err != nil {
 		return nil, err
 	}
 	var rows []BenchRow
@@ -90,7 +90,7 @@
 		}
 		rows = append(rows, row)
 	}
-	return rows, c.SetSlow(ctx, 1)
+	return rows, c.SetSlowdown(ctx, 1)
 }
 
 func (c BenchConfig) runLoad(ctx context.Context, name string, through bool, rate float64, count, tokens int) (BenchRow, error) {
@@ -103,11 +103,11 @@
 		return BenchRow{}, err
 	}
 	r, err := Run(ctx, Config{
-		Targets:     []string{target},
-		Duration:    c.Duration,
-		MaxRequests: count,
-		Seed:        c.Seed,
-		Want:        c.Want,
+		Targets:      []string{target},
+		Duration:     c.Duration,
+		MaxRequests:  count,
+		Seed:         c.Seed,
+		ExpectedText: c.ExpectedText,
 		Sources: []Source{{
 			Organisation: "bench",
 			Key:          key,
@@ -133,7 +133,7 @@
 		Rate:               rate,
 		CompletedPerSecond: r.CompletedPerSecond,
 		Requests:           r.All.Requests,
-		Completed:          r.All.Whole(),
+		Completed:          r.All.Completed(),
 		FirstToken:         r.All.FirstToken,
 		BetweenTokens:      r.All.BetweenTokens,
 		EntryCPU:           (entryAfter.cpu - entry.cpu) / requests,
@@ -143,11 +143,11 @@
 }
 
 func (c BenchConfig) processUsages() (entry, engine usage, err error) {
-	entry, err = processUsage(c.EntryProcess)
+	entry, err = processUsage(c.EntryPID)
 	if err != nil {
 		return entry, engine, err
 	}
-	engine, err = processUsage(c.EngineProcess)
+	engine, err = processUsage(c.EnginePID)
 	return entry, engine, err
 }
 
--- a/load/config.go
+++ b/load/config.go
@@ -33,7 +33,7 @@
 }
 
 // RequestParams are the parameters of one request.
-type Question struct {
+type RequestParams struct {
 	Model  galenastair.ModelName
 	Prompt string
 	Chat   bool
@@ -51,17 +51,17 @@
 	// MaxRequests is the maximum number of arrivals; zero means no limit.
 	MaxRequests int
 	// MaxInFlight is the maximum number of concurrent requests; zero means 4096.
-	MaxOpen int
+	MaxInFlight int
 	// Timeout is the timeout of one request; zero means 30 s.
 	Timeout time.Duration
 	// EvenlySpaced makes the intervals between arrivals constant; otherwise arrivals
 	// are a Poisson process.
-	Even bool
+	EvenlySpaced bool
 	// Seed determines the arrivals, models and prompts.
 	Seed uint64
 	// ExpectedText returns the complete text of the response expected for a request;
 	// if nil, texts are not verified.
-	Want func(Question) string
+	ExpectedText func(RequestParams) string
 }
 
 const (
@@ -76,8 +76,8 @@
 	if len(c.Targets) == 0 || len(c.Sources) == 0 || c.Duration <= 0 {
 		return c, eris.Wrap(ErrConfig, "targets, sources and a duration above zero are required")
 	}
-	if c.MaxOpen == 0 {
-		c.MaxOpen = defaultMaxInFlight
+	if c.MaxInFlight == 0 {
+		c.MaxInFlight = defaultMaxInFlight
 	}
 	if c.Timeout == 0 {
 		c.Timeout = defaultTimeout
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -42,7 +42,7 @@
 		Duration: 500 * time.Millisecond,
 		Timeout:  5 * time.Second,
 		Seed:     1,
-		Want: func(q load.Question) string {
+		ExpectedText: func(q load.RequestParams) string {
 			return engine.Expected(q.Model, q.Prompt, q.Chat, q.Tokens)
 		},
 		Sources: []load.Source{
@@ -58,7 +58,7 @@
 	r, err := load.Run(context.Background(), config(address))
 	is.NoErr(err)
 	is.True(r.All.Requests > 50)
-	is.Equal(r.All.Whole(), r.All.Requests)
+	is.Equal(r.All.Completed(), r.All.Requests)
 	is.Equal(len(r.Organisations), 2)
 	is.Equal(r.Organisations[0].BetweenTokens.Count, int64(4*r.Organisations[0].Requests))
 	is.True(r.All.FirstToken.P50 > 0)
@@ -79,10 +79,10 @@
 	e.Switch(func(s *engine.Switches) { s.CutAfter = 2 })
 	r, err := load.Run(context.Background(), c)
 	is.NoErr(err)
-	is.Equal(r.All.Whole(), 0)
+	is.Equal(r.All.Completed(), 0)
 	is.Equal(r.All.Count("CutUntold"), r.All.Requests)
 	e.Switch(func(s *engine.Switches) { s.CutAfter = 0 })
-	c.Want = func(load.Question) string { return "other" }
+	c.ExpectedText = func(load.RequestParams) string { return "other" }
 	r, err = load.Run(context.Background(), c)
 	is.NoErr(err)
 	is.Equal(r.All.Count("WrongAnswer"), r.All.Requests)
@@ -93,7 +93,7 @@
 	e, address := startEngine(t)
 	e.Switch(func(s *engine.Switches) { s.Frozen = true })
 	c := config(address)
-	c.MaxOpen = 3
+	c.MaxInFlight = 3
 	c.MaxRequests = 20
 	c.Timeout = 100 * time.Millisecond
 	c.Duration = time.Minute
@@ -131,10 +131,10 @@
 	}))
 	defer server.Close()
 	r, err := load.Run(t.Context(), load.Config{
-		Targets:  []string{server.Listener.Addr().String()},
-		Duration: 400 * time.Millisecond,
-		Timeout:  2 * time.Second,
-		Even:     true,
+		Targets:      []string{server.Listener.Addr().String()},
+		Duration:     400 * time.Millisecond,
+		Timeout:      2 * time.Second,
+		EvenlySpaced: true,
 		Sources: []load.Source{{
 			Organisation: "mill", Key: "secret", Models: []galenastair.ModelName{"m1/a1"}, Rate: 100, PromptBytes: 400, Tokens: 7,
 			Route: &load.Route{Host: "a.example", Path: "/drafts/1"},
@@ -143,7 +143,7 @@
 	is.NoErr(err)
 	is.Equal(len(seen), r.All.Requests)
 	third := r.All.Requests / 3
-	is.True(r.All.Whole() >= third-1 && r.All.Count("Status429") >= third-1 && r.All.Count("CutUntold") >= third-1)
+	is.True(r.All.Completed() >= third-1 && r.All.Count("Status429") >= third-1 && r.All.Count("CutUntold") >= third-1)
 	is.Equal(r.All.Count("Status404"), 0)
 	for _, c := range seen {
 		is.Equal(c.Key, "secret")
--- a/load/result.go
+++ b/load/result.go
@@ -35,7 +35,7 @@
 }
 
 // Completed returns the number of requests that got a complete response.
-func (r OrganisationResult) Whole() int { return r.Count(codeComplete) }
+func (r OrganisationResult) Completed() int { return r.Count(codeComplete) }
 
 // Count returns the number of requests that ended with the given code.
 func (r OrganisationResult) Count(code galenastair.Code) int {
@@ -65,7 +65,7 @@
 	fmt.Fprintln(t, "organisation\trequests\twhole\tfirst p50\tp95\tp99\tbetween p50\tp95\tp99\ttotal p99\tmax")
 	for _, o := range append(r.Organisations[:len(r.Organisations):len(r.Organisations)], r.All) {
 		fmt.Fprintf(t, "%s\t%d\t%d\t%v\t%v\t%v\t%v\t%v\t%v\t%v\t%v\n",
-			o.Organisation, o.Requests, o.Whole(),
+			o.Organisation, o.Requests, o.Completed(),
 			roundDuration(o.FirstToken.P50), roundDuration(o.FirstToken.P95), roundDuration(o.FirstToken.P99),
 			roundDuration(o.BetweenTokens.P50), roundDuration(o.BetweenTokens.P95), roundDuration(o.BetweenTokens.P99),
 			roundDuration(o.Total.P99), roundDuration(o.Total.Max))
--- a/load/run.go
+++ b/load/run.go
@@ -31,7 +31,7 @@
 		return Result{}, err
 	}
 	transport := &http.Transport{
-		MaxIdleConnsPerHost: c.MaxOpen,
+		MaxIdleConnsPerHost: c.MaxInFlight,
 		IdleConnTimeout:     10 * time.Second,
 		DisableCompression:  true,
 	}
@@ -40,7 +40,7 @@
 		config:    c,
 		client:    &http.Client{Transport: transport},
 		startedAt: time.Now(),
-		inFlight:  make(chan struct{}, c.MaxOpen),
+		inFlight:  make(chan struct{}, c.MaxInFlight),
 	}
 	tallies := make([]*tally, len(c.Sources))
 	for i := range c.Sources {
@@ -89,7 +89,7 @@
 		defer func() { <-r.inFlight }()
 		ctx, cancel := context.WithTimeout(ctx, r.config.Timeout)
 		defer cancel()
-		t.add(send(ctx, r.client, target, a, due, r.config.Want))
+		t.add(send(ctx, r.client, target, a, due, r.config.ExpectedText))
 	})
 }
 
@@ -102,7 +102,7 @@
 		result.Organisations = append(result.Organisations, t.result())
 	}
 	result.All = all.result()
-	result.CompletedPerSecond = float64(result.All.Whole()) / elapsed.Seconds()
+	result.CompletedPerSecond = float64(result.All.Completed()) / elapsed.Seconds()
 	return result
 }
 
--- a/load/schedule.go
+++ b/load/schedule.go
@@ -11,7 +11,7 @@
 type arrival struct {
 	at     time.Duration // since the start of the run
 	source *Source
-	params Question
+	params RequestParams
 }
 
 // schedule generates the arrivals of one source; the same seed gives the same arrivals.
@@ -26,7 +26,7 @@
 func newSchedule(c Config, i int) *schedule {
 	return &schedule{
 		source: &c.Sources[i],
-		even:   c.Even,
+		even:   c.EvenlySpaced,
 		rand:   rand.New(rand.NewPCG(c.Seed, uint64(i))),
 	}
 }
@@ -43,7 +43,7 @@
 	return arrival{
 		at:     s.nextAt,
 		source: s.source,
-		params: Question{
+		params: RequestParams{
 			Model:  model,
 			Prompt: s.prompt(string(model)),
 			Chat:   s.source.Chat,
--- a/load/send.go
+++ b/load/send.go
@@ -84,7 +84,7 @@
 
 // send sends one request and returns its measurement. Latencies are measured from due,
 // the scheduled time of the request.
-func send(ctx context.Context, client *http.Client, target string, a arrival, due time.Time, expectedText func(Question) string) *sample {
+func send(ctx context.Context, client *http.Client, target string, a arrival, due time.Time, expectedText func(RequestParams) string) *sample {
 	s := &sample{code: codeNoAnswer, outcome: galenastair.Unknown}
 	defer func() { s.total = time.Since(due) }()
 	req, err := newRequest(ctx, target, a)
--- a/measure/fleet.go
+++ b/measure/fleet.go
@@ -27,7 +27,7 @@
 }
 
 type entry struct {
-	decider
+	scheduler
 	budget       *dispatch.RetryBudget
 	calls        map[*dispatch.Ticket]*call
 	observedWork map[galenastair.ModelName]float64
@@ -51,7 +51,7 @@
 	}
 	for i := range s.entries {
 		f.entries = append(f.entries, &entry{
-			decider:      p.newScheduler(seed + uint64(i)),
+			scheduler:    p.newScheduler(seed + uint64(i)),
 			budget:       dispatch.NewRetryBudget(),
 			calls:        map[*dispatch.Ticket]*call{},
 			observedWork: map[galenastair.ModelName]float64{},
--- a/measure/policy.go
+++ b/measure/policy.go
@@ -15,7 +15,7 @@
 	name string
 	// pick selects the engine of a request in baselineScheduler, which replaces the
 	// fair queue; if nil, dispatch.Scheduler is used.
-	pick func(r *plain, copies []galenastair.BackendServerID) int
+	pick func(r *baselineScheduler, copies []galenastair.BackendServerID) int
 	// singleFlow makes the fair queue treat all requests as those of one organisation.
 	singleFlow bool
 	// maxInFlight is the maximum number of requests that a baselineScheduler has in
@@ -46,7 +46,7 @@
 
 // scheduler assigns the requests of an entry to backend servers; it is implemented by
 // dispatch.Scheduler.
-type decider interface {
+type scheduler interface {
 	Submit(now time.Time, r dispatch.Request) *dispatch.Ticket
 	Expire(now time.Time, m galenastair.ModelName)
 	FirstToken(now time.Time, t *dispatch.Ticket)
@@ -58,7 +58,7 @@
 	Demand() []dispatch.Demand
 }
 
-func (p policy) newScheduler(seed uint64) decider {
+func (p policy) newScheduler(seed uint64) scheduler {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	if p.pick != nil {
 		return newBaselineScheduler(p)
@@ -67,7 +67,7 @@
 }
 
 // baselineScheduler is a scheduler without fair queueing, health checks or prefix affinity.
-type plain struct {
+type baselineScheduler struct {
 	policy    policy
 	servers   []dispatch.Server
 	reports   map[galenastair.BackendServerID]galenastair.EngineReport
@@ -80,8 +80,8 @@
 	decisions []dispatch.Decision
 }
 
-func newBaselineScheduler(p policy) *plain {
-	return &plain{
+func newBaselineScheduler(p policy) *baselineScheduler {
+	return &baselineScheduler{
 		policy:    p,
 		reports:   map[galenastair.BackendServerID]galenastair.EngineReport{},
 		inFlight:  map[galenastair.BackendServerID]int{},
@@ -91,12 +91,12 @@
 	}
 }
 
-func pickRoundRobin(r *plain, copies []galenastair.BackendServerID) int {
+func pickRoundRobin(r *baselineScheduler, copies []galenastair.BackendServerID) int {
 	r.nextIndex[r.model]++
 	return r.nextIndex[r.model] % len(copies)
 }
 
-func pickLeastInFlight(r *plain, copies []galenastair.BackendServerID) int {
+func pickLeastInFlight(r *baselineScheduler, copies []galenastair.BackendServerID) int {
 	best := 0
 	for i, id := range copies {
 		if r.inFlight[id] < r.inFlight[copies[best]] {
@@ -106,7 +106,7 @@
 	return best
 }
 
-func (r *plain) Submit(_ time.Time, req dispatch.Request) *dispatch.Ticket {
+func (r *baselineScheduler) Submit(_ time.Time, req dispatch.Request) *dispatch.Ticket {
 	t := &dispatch.Ticket{Request: req}
 	d := r.demand[req.Model]
 	if d == nil {
@@ -124,11 +124,11 @@
 	return t
 }
 
-func (r *plain) hasCopy(req dispatch.Request) bool { return len(r.copies(req, 1<<30)) > 0 }
+func (r *baselineScheduler) hasCopy(req dispatch.Request) bool { return len(r.copies(req, 1<<30)) > 0 }
 
 // copies returns the backend servers that have a ready copy of the model and fewer than
 // limit requests in flight, except the one that the request excludes.
-func (r *plain) copies(req dispatch.Request, limit int) []galenastair.BackendServerID {
+func (r *baselineScheduler) copies(req dispatch.Request, limit int) []galenastair.BackendServerID {
 	var out []galenastair.BackendServerID
 	for _, s := range r.servers {
 		if r.inFlight[s.ID] >= limit || !hasReadyCopy(r.reports[s.ID], req.Model) {
@@ -141,7 +141,7 @@
 	return out
 }
 
-func (r *plain) send(t *dispatch.Ticket) bool {
+func (r *baselineScheduler) send(t *dispatch.Ticket) bool {
 	limit := r.policy.maxInFlight
 	if limit == 0 {
 		limit = 1 << 30
@@ -169,18 +169,20 @@
 	return false
 }
 
-func (r *plain) FirstToken(time.Time, *dispatch.Ticket)                            {}
-func (r *plain) SetServers(_ time.Time, l []dispatch.Server)                       { r.servers = l }
-func (r *plain) ApplyReport(_ time.Time, e galenastair.EngineReport)               { r.reports[e.BackendServer] = e }
-func (r *plain) CacheEvents(galenastair.BackendServerID, []galenastair.CacheEvent) {}
+func (r *baselineScheduler) FirstToken(time.Time, *dispatch.Ticket)      {}
+func (r *baselineScheduler) SetServers(_ time.Time, l []dispatch.Server) { r.servers = l }
+func (r *baselineScheduler) ApplyReport(_ time.Time, e galenastair.EngineReport) {
+	r.reports[e.BackendServer] = e
+}
+func (r *baselineScheduler) CacheEvents(galenastair.BackendServerID, []galenastair.CacheEvent) {}
 
-func (r *plain) Done(_ time.Time, t *dispatch.Ticket, _ dispatch.Result) {
+func (r *baselineScheduler) Done(_ time.Time, t *dispatch.Ticket, _ dispatch.Result) {
 	r.inFlight[r.sentTo[t]]--
 	delete(r.sentTo, t)
 	r.waiting = slices.DeleteFunc(r.waiting, r.send)
 }
 
-func (r *plain) Expire(now time.Time, _ galenastair.ModelName) {
+func (r *baselineScheduler) Expire(now time.Time, _ galenastair.ModelName) {
 	r.waiting = slices.DeleteFunc(r.waiting, func(t *dispatch.Ticket) bool {
 		if now.Before(t.Request.Deadline) {
 			return false
@@ -190,13 +192,13 @@
 	})
 }
 
-func (r *plain) Poll() []dispatch.Decision {
+func (r *baselineScheduler) Poll() []dispatch.Decision {
 	out := r.decisions
 	r.decisions = nil
 	return out
 }
 
-func (r *plain) Demand() []dispatch.Demand {
+func (r *baselineScheduler) Demand() []dispatch.Demand {
 	var out []dispatch.Demand
 	for _, d := range r.demand {
 		out = append(out, *d)
--- a/proof/inject.go
+++ b/proof/inject.go
@@ -90,13 +90,13 @@
 	case CutPeer:
 		return entry.Name, interrupt(in.relays.peer[entry.Name], p.duration)
 	case SilencePeer:
-		in.relays.peer[entry.Name].Silence()
+		in.relays.peer[entry.Name].Blackhole()
 		return entry.Name, nil
 	case SilenceEngine:
-		in.relays.engine[engine.Name].Silence()
+		in.relays.engine[engine.Name].Blackhole()
 		return engine.Name, nil
 	case CutEngine:
-		in.relays.engine[engine.Name].Cut()
+		in.relays.engine[engine.Name].CloseConns()
 		return engine.Name, nil
 	case RacingOperators:
 		return string(c.name), in.publishConcurrently(ctx, c)
--- a/proof/relays.go
+++ b/proof/relays.go
@@ -55,10 +55,10 @@
 // interrupt takes a relay down for a time: open connections are cut and new ones are
 // refused.
 func interrupt(r *relay.Relay, d time.Duration) error {
-	r.Down()
-	r.Cut()
+	r.StopListening()
+	r.CloseConns()
 	time.Sleep(d)
-	return r.Up()
+	return r.ResumeListening()
 }
 
 // Close closes all relays.
@@ -89,7 +89,7 @@
 func byteCounts(m map[string]*relay.Relay) map[string]int64 {
 	out := make(map[string]int64, len(m))
 	for name, one := range m {
-		out[name] = one.Bytes()
+		out[name] = one.ForwardedBytes()
 	}
 	return out
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -107,7 +107,7 @@
 }
 
 // ForwardedBytes returns the number of bytes forwarded so far in both directions.
-func (r *Relay) Bytes() int64 { return r.forwardedBytes.Load() }
+func (r *Relay) ForwardedBytes() int64 { return r.forwardedBytes.Load() }
 
 // SetDelay sets the delay before each read of up to 32 KB is forwarded.
 func (r *Relay) SetDelay(d time.Duration) {
@@ -123,14 +123,14 @@
 }
 
 // CloseConns closes the open connections.
-func (r *Relay) Cut() {
+func (r *Relay) CloseConns() {
 	for _, c := range r.openConns() {
 		c.close()
 	}
 }
 
 // Blackhole keeps the open connections open and discards all data received on them.
-func (r *Relay) Silence() {
+func (r *Relay) Blackhole() {
 	for _, c := range r.openConns() {
 		c.blackholed.Store(true)
 	}
@@ -148,21 +148,21 @@
 
 // StopListening refuses new connections until ResumeListening is called. Open connections
 // are not affected.
-func (r *Relay) Down() {
+func (r *Relay) StopListening() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_ = r.listener.Close()
 }
 
 // ResumeListening accepts new connections again, on the same address.
-func (r *Relay) Up() error { return r.listen(r.address) }
+func (r *Relay) ResumeListening() error { return r.listen(r.address) }
 
 // Close stops the relay and waits for its goroutines.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	r.closed = true
 	r.mu.Unlock()
-	r.Down()
-	r.Cut()
+	r.StopListening()
+	r.CloseConns()
 	_ = r.goroutines.Wait()
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -56,19 +56,19 @@
 	}
 	blackholed := dial()
 	is.NoErr(echo(blackholed))
-	r.Silence()
+	r.Blackhole()
 	err = echo(blackholed)
 	is.True(errors.Is(err, os.ErrDeadlineExceeded)) // stays open, but carries no data
 
 	closed := dial()
 	is.NoErr(echo(closed))
-	r.Cut()
+	r.CloseConns()
 	is.True(echo(closed) != nil)
 
-	r.Down()
+	r.StopListening()
 	_, err = net.Dial("tcp", r.Address())
 	is.True(err != nil)
-	is.NoErr(r.Up())
+	is.NoErr(r.ResumeListening())
 	is.NoErr(echo(dial()))
 	is.Equal(r.Accepted(), 3)
 }
