--- a/place/board.go
+++ b/place/board.go
@@ -35,7 +35,7 @@
 }
 
 // inService reports whether the planner counts on the copies there: the backend server is
-// neither leaving nor slow.
+// neither leaving nor unhealthy.
 func (s *planServer) inService() bool { return !s.Leaving && !s.Unhealthy }
 
 // acceptsOrders reports whether the planner may load or unload models there.
--- a/place/fence.go
+++ b/place/fence.go
@@ -53,8 +53,8 @@
 // fenceGracePeriod is longer than an engine usually takes to accept and report a new fence.
 const fenceGracePeriod = 2 * time.Second
 
-// awaitingFence reports whether an engine has lacked the leader's fence for less than
-// fenceGracePeriod and nothing else. A new leader that does not wait for it would unload copies
+// awaitingFence reports whether an engine lacks nothing but the leader's fence, and has lacked it
+// for less than fenceGracePeriod. A new leader that does not wait for it would unload copies
 // elsewhere although this engine has room.
 func (l *Leader) awaitingFence(now time.Time, id galenastair.BackendServerID) bool {
 	return l.engineStateOf(now, id) == fenceNotSeen && now.Sub(l.stateSince[id]) < fenceGracePeriod
--- a/place/leader_test.go
+++ b/place/leader_test.go
@@ -324,7 +324,7 @@
 	is.Equal(e.pendingOrders(), 2)
 	for deadline := time.Now().Add(10 * time.Second); e.pendingOrders() > 0; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("orders stay pending past Life")
+			t.Fatal("orders stay pending past the order lifetime")
 		}
 	}
 	e.mu.Lock()
--- a/place/order.go
+++ b/place/order.go
@@ -122,8 +122,8 @@
 	})
 }
 
-// otherServersWith returns the other backend servers, neither leaving nor slow, whose last report
-// shows a ready copy of the step's model.
+// otherServersWith returns the other backend servers, neither leaving nor unhealthy, whose last
+// report shows a ready copy of the step's model.
 func (l *Leader) otherServersWith(s Step) []galenastair.BackendServerID {
 	var out []galenastair.BackendServerID
 	now := l.clock.Now()
--- a/place/relief.go
+++ b/place/relief.go
@@ -9,10 +9,10 @@
 //
 // It handles demand that shifts between models, when callers queue at one backend server
 // while others are idle. A move is skipped if the load is below RebalanceThreshold or below
-// ImbalanceThreshold times the mean, if it would take off less than MinGain, or if the model
-// was moved within MoveCooldown. A move uses the weight store and starts with a cold cache,
-// and demand may shift back before it has paid off. It gains nothing if all backend servers
-// are equally busy.
+// ImbalanceThreshold times the mean, if it would take off less than the fraction MinGain of the
+// load, or if the model was moved within MoveCooldown. A move uses the weight store and starts
+// with a cold cache, and demand may shift back before it has paid off. It gains nothing if all
+// backend servers are equally busy.
 func (p *Planner) rebalance() {
 	for range max(1, p.settings.MovesPerRound, len(p.plan.servers)/serversPerMove) {
 		if !p.rebalanceOnce() {
@@ -37,7 +37,8 @@
 	return false
 }
 
-// offload adds a copy of one model on hot elsewhere, that with the largest share of its load first.
+// offload adds a copy of one of the models on hot to another backend server. It tries those with the
+// largest share of hot's load first.
 func (p *Planner) offload(hot *planServer, order []*planServer) bool {
 	var models []*planModel
 	for _, m := range hot.models {
--- a/planner/bed_test.go
+++ b/planner/bed_test.go
@@ -47,8 +47,8 @@
 // fakeEngine simulates how a model engine executes orders.
 type fakeEngine struct {
 	id            galenastair.BackendServerID
-	born          int64
-	beat          int64
+	incarnation   int64
+	heartbeat     int64
 	sequence      int64
 	fence         galenastair.Fence
 	models        map[galenastair.ModelName][]string
@@ -114,8 +114,8 @@
 }
 
 func (e *fakeEngine) registration() pool.Server {
-	e.beat++
-	return pool.Server{ID: e.id, Service: "writer", Address: string(e.id), Slots: 64, Incarnation: e.born, Heartbeat: e.beat, Models: e.listModels()}
+	e.heartbeat++
+	return pool.Server{ID: e.id, Service: "writer", Address: string(e.id), Slots: 64, Incarnation: e.incarnation, Heartbeat: e.heartbeat, Models: e.listModels()}
 }
 
 // fakeFleet simulates engines whose answers are lost, whose unanswered orders take effect late and
@@ -209,7 +209,7 @@
 	}}}, nil)))
 	for i := range engines {
 		id := fmt.Sprintf("e%d", i)
-		e := &fakeEngine{id: galenastair.BackendServerID(id), born: 1, models: map[galenastair.ModelName][]string{}}
+		e := &fakeEngine{id: galenastair.BackendServerID(id), incarnation: 1, models: map[galenastair.ModelName][]string{}}
 		for k := range maxModels {
 			if n := i*maxModels + k; n < len(models) {
 				e.models[models[n].Name] = nil
--- a/planner/engine_test.go
+++ b/planner/engine_test.go
@@ -52,7 +52,7 @@
 
 // An engine unloads an adapter only when the requests that use it have ended. If its slot counted
 // as free at once, another adapter would be loaded beyond the number of slots.
-func TestAdapterInUseKeepsItsPlace(t *testing.T) {
+func TestAdapterInUseKeepsItsSlot(t *testing.T) {
 	is := is.New(t)
 	models, now := testModels(), time.Now()
 	e := testEngine(galenastair.EngineModel{Name: "m1", Adapters: []string{"a1", "a2"}})
--- a/planner/message.go
+++ b/planner/message.go
@@ -98,7 +98,7 @@
 	Name   galenastair.ModelName
 }
 
-// Availability says where and when a model or adapter will be ready.
+// Availability is where and when a model or adapter will be ready.
 type Availability struct {
 	Server galenastair.BackendServerID
 	// ReadyIn is the time until then. If Server is empty, it is not known where a copy will be,
--- a/planner/need.go
+++ b/planner/need.go
@@ -28,8 +28,8 @@
 		return where, err
 	}
 	select {
-	case taken := <-wait:
-		if !taken {
+	case accepted := <-wait:
+		if !accepted {
 			return Availability{}, nil
 		}
 		return where, nil
--- a/planner/owners_test.go
+++ b/planner/owners_test.go
@@ -12,9 +12,9 @@
 	"galenastair/quota"
 )
 
-// A fleet that is small at first holds parts of the quotas. If owners took over when it grows,
-// they would grant the whole quota in addition to the parts.
-func TestSmallFleetThatGrowsKeepsParts(t *testing.T) {
+// The instances of a fleet that is small at first hold fractions of the quotas. If owners took over
+// when it grows, they would grant the whole quota in addition to the fractions.
+func TestSmallFleetThatGrowsKeepsFractions(t *testing.T) {
 	is := is.New(t)
 	p := New("me", quota.Tolerance{Window: 8 * time.Second}, nil, nil, control.NewLoop())
 	now := time.Unix(1000, 0)
@@ -38,8 +38,8 @@
 	is.True(!p.hasOwners)
 }
 
-// A large fleet without stored state uses owners. With parts, each instance's part would be too
-// small for any request.
+// A large fleet without stored state uses owners, because each instance's fraction of the quotas
+// would be too small for any request.
 func TestLargeFleetHasOwners(t *testing.T) {
 	is := is.New(t)
 	p := New("me", quota.Tolerance{Window: 8 * time.Second}, nil, nil, control.NewLoop())
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -209,7 +209,7 @@
 	})
 }
 
-// RemoveServer forgets a backend server.
+// RemoveServer removes a backend server.
 func (p *Planner) RemoveServer(ctx context.Context, id galenastair.BackendServerID) error {
 	return p.loop.Post(ctx, func() {
 		delete(p.servers, id)
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -38,7 +38,7 @@
 					f.registrations = append(f.registrations, delayedRegistration{f.clock.now.Add(time.Duration(f.rng.IntN(9000)) * time.Millisecond), e.registration()})
 				}
 				if f.rng.IntN(400) == 0 {
-					*e = fakeEngine{id: e.id, born: e.born + 1, models: map[galenastair.ModelName][]string{}}
+					*e = fakeEngine{id: e.id, incarnation: e.incarnation + 1, models: map[galenastair.ModelName][]string{}}
 					f.registrations = append(f.registrations, delayedRegistration{f.clock.now.Add(300 * time.Millisecond), e.registration()})
 				}
 			}
@@ -82,6 +82,7 @@
 // An engine with the only copy of a model crashes, and its registration stays for some seconds.
 // When an instance reports that the engine refuses connections, the model is loaded elsewhere
 // before the registration expires. Once no instance reports it any more, the engine is used again.
+// The test fails without markDown, as no other engine then loads the model.
 func TestCopiesOfADownEngineAreReplaced(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, 1, 4)
@@ -172,7 +173,7 @@
 
 func (s *service) up(id galenastair.BackendServerID) bool { return !s.engines[id].server.Leaving }
 
-// For an adapter that no engine holds, Need returns an engine that has it by the time given.
+// For an adapter that no engine holds, EnsureLoaded returns an engine that has it by the time given.
 func TestNeedLoadsAnAdapter(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, 1, 2)
@@ -223,8 +224,8 @@
 	}
 }
 
-// For a model without an engine to load it, Need returns the time of a load, after which callers
-// retry.
+// For a model without an engine to load it, EnsureLoaded returns the time of a load, after which
+// callers retry.
 func TestNeedEstimatesModelLoad(t *testing.T) {
 	is := is.New(t)
 	h := newHarness(t, 1, 2)
--- a/planner/waiters.go
+++ b/planner/waiters.go
@@ -11,9 +11,9 @@
 }
 
 // notify notifies all waiters and removes them.
-func (w *waiters) notify(taken bool) {
+func (w *waiters) notify(accepted bool) {
 	for _, c := range w.channels {
-		c <- taken
+		c <- accepted
 	}
 	w.channels = nil
 }
--- a/pool/doc.go
+++ b/pool/doc.go
@@ -1,6 +1,6 @@
 // Package pool chooses the backend server for each request: one that holds the model and adapter
-// and is likely to answer first, in the caller's availability zone as long as that does not miss
-// the target latency.
+// and is likely to answer first. A server in the caller's availability zone is preferred if it
+// answers later than another by no more than a fraction of the target latency.
 //
 // A Pool opens no connections and starts no goroutines; a mutex guards it during each call. The
 // work per choice grows with the number of copies of the requested model, not with the fleet.
