--- a/account/account_test.go
+++ b/account/account_test.go
@@ -81,7 +81,8 @@
 	}
 }
 
-// The loss of the leader must not interrupt the quotas of all organisations.
+// The leader is lost. Owners must go on charging meanwhile, or the quotas of all organisations would
+// be lost with it.
 func TestLossOfTheLeaderCostsNothing(t *testing.T) {
 	is := is.New(t)
 	is.True(runScenario(t, "leader lost").AfterFault >= 0.9)
--- a/account/accounts.go
+++ b/account/accounts.go
@@ -208,9 +208,9 @@
 	if now <= acc.filledAt {
 		return acc
 	}
-	doubt := a.confirmedAt.Add(fullRatePeriod)
-	acc.level = min(l.size, acc.level+l.rate*earnedSeconds(acc.filledAt, now, g.halfRateUntil, doubt, a.confirmedAt.Add(gracePeriod)))
-	if now > doubt {
+	fullRateUntil := a.confirmedAt.Add(fullRatePeriod)
+	acc.level = min(l.size, acc.level+l.rate*earnedSeconds(acc.filledAt, now, g.halfRateUntil, fullRateUntil, a.confirmedAt.Add(gracePeriod)))
+	if now > fullRateUntil {
 		// more than that could be granted by another owner as well
 		acc.level = min(acc.level, l.maxCost/2)
 	}
@@ -219,9 +219,9 @@
 }
 
 // earnedSeconds returns for how many seconds at the full rate a time span counts: in full from
-// half to doubt, by half before and after that, and not at all from end on.
-func earnedSeconds(from, to, half, doubt, end boottime.Time) float64 {
-	whole := overlap(from, to, half, doubt)
+// fullFrom to fullUntil, by half before and after that, and not at all from end on.
+func earnedSeconds(from, to, fullFrom, fullUntil, end boottime.Time) float64 {
+	whole := overlap(from, to, fullFrom, fullUntil)
 	return (whole + max(0, overlap(from, to, from, end)-whole)/2).Seconds()
 }
 
--- a/account/assigner.go
+++ b/account/assigner.go
@@ -83,8 +83,8 @@
 		return
 	}
 	// it knows that it no longer owns these shards
-	for s, before := range a.previous {
-		if before == address {
+	for s, previous := range a.previous {
+		if previous == address {
 			a.previousUntil[s] = 0
 		}
 	}
@@ -118,13 +118,13 @@
 		return
 	}
 	for s, owner := range t.Owners {
-		before := ""
+		previous := ""
 		if len(a.current.Owners) == ShardCount {
-			before = a.current.Owners[s]
+			previous = a.current.Owners[s]
 		}
-		if before != "" && before != owner {
-			a.previous[s] = before
-			a.previousUntil[s] = a.lastReport(before).Add(gracePeriod)
+		if previous != "" && previous != owner {
+			a.previous[s] = previous
+			a.previousUntil[s] = a.lastReport(previous).Add(gracePeriod)
 		}
 	}
 	a.current = t.clone()
--- a/lease/campaign.go
+++ b/lease/campaign.go
@@ -26,7 +26,7 @@
 	// startJitter spreads the first reads of instances that start together, so that most of them
 	// find the leader that the first ones elect.
 	startJitter = 100 * time.Millisecond
-	// minBackoff and maxBackoff bound the interval between calls to a store that fails.
+	// minBackoff and maxBackoff bound the mean wait between calls to a store that fails.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = time.Second
 	// An instance whose link has slowLinkMbps or less campaigns slowLinkDelay later than the
@@ -65,7 +65,7 @@
 		e.sleep(ctx, left)
 		return
 	}
-	if e.Leader() == e.member && e.hasRecord() {
+	if e.Leader() == e.self && e.hasRecord() {
 		// the previous process of this instance was the leader
 		e.campaign(ctx)
 		return
@@ -122,7 +122,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.clock()
-	if !e.loaded || e.leaderSteppedDown || e.record.Leader == "" || e.record.Leader == e.member {
+	if !e.loaded || e.leaderSteppedDown || e.record.Leader == "" || e.record.Leader == e.self {
 		return 0
 	}
 	return max(e.expires.Sub(now), e.answeredAt.Add(answerValidity).Sub(now))
@@ -156,7 +156,7 @@
 // campaign tries to take the lease.
 func (e *Elector) campaign(ctx context.Context) {
 	e.mu.Lock()
-	r := Record{Offset: e.record.Offset + 1, Leader: e.member, Fleet: e.record.Fleet}
+	r := Record{Offset: e.record.Offset + 1, Leader: e.self, Fleet: e.record.Fleet}
 	e.mu.Unlock()
 	predecessor := PredecessorLapsed
 	if r.Offset == 0 {
--- a/lease/elector.go
+++ b/lease/elector.go
@@ -39,7 +39,7 @@
 // Renewal is the newest renewal that an instance knows of.
 type Renewal struct {
 	Offset galenastair.Offset
-	// Age is the least time since its acknowledgement; 0 is always safe.
+	// Age is a lower bound of the time since its acknowledgement; 0 is always safe.
 	Age time.Duration
 }
 
@@ -48,7 +48,7 @@
 	store        galenastair.Store
 	topic        galenastair.Topic
 	lease        *Lease
-	member       string
+	self         string
 	clock        boottime.Clock
 	logger       log.Logger
 	checkpointer Checkpointer
@@ -101,14 +101,14 @@
 // WithOnElected sets a callback for the start of each term of this instance.
 func WithOnElected(f func()) Option { return func(e *Elector) { e.onElected = f } }
 
-// NewElector returns an elector for a member. The member is named by its peer address, so that any
+// NewElector returns the elector of an instance. self is the instance's peer address, so that any
 // reader of the leader's name can call it. The topic is used for the lease alone.
-func NewElector(s galenastair.Store, topic galenastair.Topic, l *Lease, member string, opts ...Option) *Elector {
+func NewElector(s galenastair.Store, topic galenastair.Topic, l *Lease, self string, opts ...Option) *Elector {
 	e := &Elector{
 		store:        s,
 		topic:        topic,
 		lease:        l,
-		member:       member,
+		self:         self,
 		clock:        boottime.Now,
 		logger:       log.NewNopLogger(),
 		checkpointer: Checkpointer{Checkpoint: func() []byte { return nil }, Stored: func([]byte) {}, Restore: func([]byte, bool) {}},
@@ -233,7 +233,7 @@
 func (e *Elector) renew(ctx context.Context) {
 	err := e.renewOnce(ctx)
 	if errors.Is(err, galenastair.ErrConflict) && e.loadRecord(ctx) {
-		if e.Leader() != e.member {
+		if e.Leader() != e.self {
 			e.loseLease("taken by another instance")
 			return
 		}
@@ -293,8 +293,9 @@
 	e.logger.Log("event", "lease", "holds", false, "cause", cause)
 }
 
-// release gives up the lease. It first stops orders, and goes on renewing and lending for the part
-// of the takeover delay that a successor would otherwise wait while the lease expires.
+// release gives up the lease. It first stops orders, and then renews and lends for ttl-renewPeriod.
+// If engines check fencing tokens, TakeoverDelayLapsed is shorter by that time, because it presumes
+// that the predecessor has sent no orders for so long.
 func (e *Elector) release(ctx context.Context) {
 	e.lease.StopOrders()
 	last, cancel := context.WithTimeout(ctx, ttl-renewPeriod)
--- a/lease/elector_test.go
+++ b/lease/elector_test.go
@@ -134,8 +134,8 @@
 	is.Equal(waitForLeader(t, fleet), next)
 }
 
-// While the leader answers, no instance asks the store who leads, as it would if each failed call
-// to the leader caused a read.
+// While exchanges with the leader go on, no instance may ask the store who leads. Otherwise each
+// failed call to the leader would cause a read.
 func TestNoCallsToTheStoreWhileTheLeaderAnswers(t *testing.T) {
 	is := is.New(t)
 	store, address := startStore(t)
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -22,8 +22,8 @@
 const (
 	// leaseDuration covers two renewals and the answer of a slow store.
 	leaseDuration = 1300 * time.Millisecond
-	// peerServiceDuration is as long as requests with an idempotency key are admitted without
-	// contact to the store.
+	// peerServiceDuration covers the time for which a caller's API key, which belongs to an
+	// organisation, is accepted without contact to the store (KeyLife in the settings).
 	peerServiceDuration = 6 * time.Second
 	// orderTransit allows for an order that was in transit when its sender stopped.
 	orderTransit = 400 * time.Millisecond
@@ -181,7 +181,7 @@
 }
 
 // valid reports whether the lease is held and has not expired. It is false until the fencing token
-// is set, because the predecessor's checkpoint has been read by then.
+// is set, which follows the reading of the predecessor's checkpoint.
 func (l *Lease) valid(now boottime.Time) bool {
 	return l.held && l.fenceSet && now.Sub(l.lastConfirmed) < l.timing.LeaseDuration
 }
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -206,7 +206,7 @@
 
 // The delays keep the platform's minimum interval. TakeoverDelayLapsed is shorter by the time that
 // a leader whose lease lapsed has had no contact to the store.
-func TestBounds(t *testing.T) {
+func TestDelaysKeepMinimumInterval(t *testing.T) {
 	is := is.New(t)
 	b := DefaultTiming(minOrderInterval, true)
 	is.True(b.TakeoverDelay >= minOrderInterval+renewPeriod)
--- a/lease/note.go
+++ b/lease/note.go
@@ -11,8 +11,8 @@
 // Keys and the producer name in the checkpoint's topic.
 const (
 	checkpointKey = "Holder"
-	// usedKeyPrefix, followed by the member, holds the offset of the checkpoint that the member
-	// used.
+	// usedKeyPrefix, followed by an instance's peer address, is the key of the offset of the
+	// checkpoint that the instance used.
 	usedKeyPrefix = "Used/"
 	// checkpointProducer is the producer under which writes are numbered.
 	checkpointProducer = "galenastair"
@@ -33,7 +33,7 @@
 	Stored func([]byte)
 	// Restore is called with the state of an earlier leader when the process starts and at the
 	// start of a term. first means that this process has just started, and that no process of this
-	// member has been given the same checkpoint: what a checkpoint allows once is done then.
+	// instance has been given the same checkpoint: what a checkpoint allows once is done then.
 	Restore func(checkpoint []byte, first bool)
 }
 
@@ -68,7 +68,7 @@
 		switch r.Key {
 		case checkpointKey:
 			checkpoint = r
-		case usedKeyPrefix + e.member:
+		case usedKeyPrefix + e.self:
 			used = string(r.Value)
 		}
 	}
@@ -78,7 +78,7 @@
 	return true
 }
 
-// markUsed marks a checkpoint as used by this member, and reports whether it was unused before.
+// markUsed marks a checkpoint as used by this instance, and reports whether it was unused before.
 //
 // Failure guarded against: a process that restarts repeatedly would each time do what the
 // checkpoint allows only once.
@@ -87,7 +87,7 @@
 	if used == at {
 		return false
 	}
-	err := e.store.Put(ctx, e.checkpointer.Topic, usedKeyPrefix+e.member, []byte(at), galenastair.Producer{})
+	err := e.store.Put(ctx, e.checkpointer.Topic, usedKeyPrefix+e.self, []byte(at), galenastair.Producer{})
 	if err != nil {
 		e.logger.Log("event", "note", "used", at, "err", err)
 	}
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -1,7 +1,8 @@
 package quota
 
 // bucket holds tokens up to a capacity. It starts empty, so that a restart does not allow a second
-// burst. The owner adds tokens, because only the owner knows for which time they are due.
+// burst. It does not refill by itself: the caller adds tokens, as it knows for which time they are
+// due.
 type bucket struct {
 	level float64
 	// rate is in tokens per second.
--- a/quota/lender.go
+++ b/quota/lender.go
@@ -35,7 +35,7 @@
 // fraction it last reported, and allocated the one it was answered, which it may not have
 // received.
 type instanceState struct {
-	heardAt             time.Time
+	exchangedAt         time.Time
 	reported, allocated Fraction
 }
 
@@ -154,7 +154,7 @@
 
 func (l *Lender) expireInstances(now time.Time) {
 	for id, h := range l.instances {
-		if now.Sub(h.heardAt) > instanceTimeout {
+		if now.Sub(h.exchangedAt) > instanceTimeout {
 			delete(l.instances, id)
 		}
 	}
--- a/quota/moderate.go
+++ b/quota/moderate.go
@@ -129,7 +129,7 @@
 func (l *Lender) checkpointInstances(now time.Time) []galenastair.InstanceID {
 	var out []galenastair.InstanceID
 	for id, h := range l.instances {
-		if now.Sub(h.heardAt) <= fallbackFullPeriod {
+		if now.Sub(h.exchangedAt) <= fallbackFullPeriod {
 			out = append(out, id)
 		}
 	}
--- a/quota/own.go
+++ b/quota/own.go
@@ -28,7 +28,8 @@
 }
 
 // maxStoredFactor bounds what is saved for one large request, as a multiple of the instance's
-// fraction of the bucket. All instances save that much while idle and can grant it at once.
+// fraction of the bucket. It is kept small because all instances save that much while idle, and
+// could grant it at once.
 const maxStoredFactor = 3
 
 // capacityFor returns a bucket capacity that allows a request of the largest cost to be granted,
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -206,7 +206,7 @@
 }
 
 // runLoad sends requests at a fraction of the rate, spread over the instances by weight, and
-// returns the share that was refused after the first second.
+// returns the fraction that was refused after the first second.
 func runLoad(f *fleet, weights []float64, rate, load, cost float64, alive func(time.Time) bool) float64 {
 	next := make([]time.Time, len(weights))
 	owed := make([]float64, len(weights))
--- a/quota/window.go
+++ b/quota/window.go
@@ -6,7 +6,7 @@
 const windowSlots = 32
 
 // window sums what a lender did for one organisation in the last window plus one slot. Times are
-// given relative to an origin of the owner's choice, because a jump of the wall clock would empty
+// given relative to an origin that the caller chooses, because a jump of the wall clock would empty
 // or freeze the window.
 type window struct {
 	slots [windowSlots + 1]slot
