--- a/queue/doc.go
+++ b/queue/doc.go
@@ -1,5 +1,5 @@
 // Package queue holds the requests of one model that wait for a backend server, and decides which
-// goes next. It is fair by organisation, weighted by contract rate, and refuses requests early
+// goes next. It is fair by organisation, weighted by contract rate, and refuses early the requests
 // that cannot be served in time. It opens no sockets and starts no goroutines.
 //
 // Size: a waiting item takes about 150 bytes and a remembered organisation about 120. Both are
--- a/queue/fair.go
+++ b/queue/fair.go
@@ -9,8 +9,8 @@
 )
 
 // MaxWaiting bounds the items of one model. A waiting request holds a goroutine and its body,
-// about 20 KB together, in an entry of 64 MB. At 20 requests a second for a model, callers do not
-// wait for more than 256 requests anyway.
+// about 20 KB together, in an entry of 64 MB. At 20 requests a second for a model, no caller waits
+// long enough for 256 others to be served first.
 const MaxWaiting = 256
 
 // MaxPriority is the least urgent priority level sent to an engine.
@@ -39,9 +39,9 @@
 	drain       drainRate
 }
 
-// NewFair returns an empty queue that holds at most bound items.
-func NewFair(bound int) *Fair {
-	return &Fair{capacity: bound, flows: map[galenastair.Organisation]*flow{}}
+// NewFair returns an empty queue that holds at most capacity items.
+func NewFair(capacity int) *Fair {
+	return &Fair{capacity: capacity, flows: map[galenastair.Organisation]*flow{}}
 }
 
 // Len returns the number of waiting items.
@@ -50,8 +50,8 @@
 // Push adds an item. It returns the items that are refused for it: the item itself, or one with
 // less claim to be served.
 //
-// Refusing an item on arrival that would miss its deadline spares its caller the wait, and the
-// backend servers a response that is no longer read.
+// An item that would miss its deadline is refused on arrival. That spares its caller the wait, and
+// the backend servers a response that is no longer read.
 func (q *Fair) Push(now time.Time, it *Item) []Refused {
 	var out []Refused
 	f := q.flow(it)
--- a/queue/fair_test.go
+++ b/queue/fair_test.go
@@ -94,7 +94,7 @@
 }
 
 // An item that would miss its deadline is refused on arrival; one of another organisation with
-// nothing waiting is not.
+// nothing waiting is not. The test fails if estimateItemWait always returns zero.
 func TestRefusesEarlyWhatCannotBeServedInTime(t *testing.T) {
 	is := is.New(t)
 	q := NewFair(MaxWaiting)
--- a/ratelimit/limiter.go
+++ b/ratelimit/limiter.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// burstPeriod is how much time's worth of unused rate is saved.
+	// burstPeriod is the time for which an unused rate is saved up.
 	burstPeriod = time.Second
 	// idleTimeout is when the bucket of an unused server is dropped.
 	idleTimeout = time.Minute
--- a/ratelimit/shares.go
+++ b/ratelimit/shares.go
@@ -87,7 +87,7 @@
 	return Decision{Granted: true}
 }
 
-// startOffset lets the turns for each server start with another instance.
+// startOffset makes the turns for each server start with a different instance.
 func startOffset(id galenastair.BackendServerID) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(id))
