--- a/standin/engine/control.go
+++ b/standin/engine/control.go
@@ -17,19 +17,20 @@
 func (e *Engine) postOrder(w http.ResponseWriter, r *http.Request) {
 	var o galenastair.Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
-		notRun(w, http.StatusBadRequest, err)
+		rejectNotRun(w, http.StatusBadRequest, err)
 		return
 	}
-	sw, _ := e.board()
-	if sw.LoseOrders {
+	faults, _ := e.currentFaults()
+	if faults.LoseOrders {
 		panic(http.ErrAbortHandler)
 	}
-	if sw.OrderDelay > 0 {
-		// a late order acts even after its sender has given up
-		time.Sleep(sw.OrderDelay)
+	if faults.OrderDelay > 0 {
+		// The sleep ignores the request's context: a delayed order takes effect even after
+		// its sender has timed out.
+		time.Sleep(faults.OrderDelay)
 	}
-	err := e.act(o)
-	if sw.LoseOrderAnswers {
+	err := e.applyOrder(o)
+	if faults.LoseOrderAnswers {
 		panic(http.ErrAbortHandler)
 	}
 	switch {
@@ -37,46 +38,46 @@
 		w.Header().Set(wire.HeaderOutcome, wire.OutcomeStaleFence)
 		http.Error(w, err.Error(), http.StatusConflict)
 	case err != nil:
-		notRun(w, http.StatusConflict, err)
+		rejectNotRun(w, http.StatusConflict, err)
 	default:
 		writeJSON(w, struct{}{})
 	}
 }
 
-// act carries out one order.
-func (e *Engine) act(o galenastair.Order) error {
+// applyOrder executes an order.
+func (e *Engine) applyOrder(o galenastair.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if o.BackendServer != e.id {
-		return errNotMine
+		return errWrongServer
 	}
 	if e.settings.ChecksFence && o.Fence < e.fence {
-		return eris.Wrapf(galenastair.ErrStaleFence, "%d before %d", o.Fence, e.fence)
+		return eris.Wrapf(galenastair.ErrStaleFence, "fence %d is lower than %d", o.Fence, e.fence)
 	}
 	e.fence = max(e.fence, o.Fence)
 	switch o.Kind {
 	case galenastair.LoadModel:
 		fetch, err := e.weights.load(o)
 		if fetch {
-			go e.fetch(o)
+			go e.fetchWeight(o)
 		}
 		return err
 	case galenastair.UnloadModel:
 		return e.weights.unload(o)
 	case galenastair.ChangeRole:
 		e.role = o.EngineRole
-		e.weights.finish(o.ID)
+		e.weights.recordFinished(o.ID)
 		return nil
 	}
-	return errKind
+	return errUnknownKind
 }
 
-// fetch loads a weight; it goes on whatever becomes of the order's sender.
-func (e *Engine) fetch(o galenastair.Order) {
+// fetchWeight loads a weight. It continues if the sender of the order disconnects.
+func (e *Engine) fetchWeight(o galenastair.Order) {
 	err := e.settings.Load(context.Background(), o.Weight)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.weights.fetched(o.ID, err)
+	e.weights.finishLoad(o.ID, err)
 }
 
 type timedReport struct {
@@ -84,23 +85,24 @@
 	at time.Time
 }
 
-// reportsKept is how many reports lie within the lag.
-const reportsKept = 8
+// reportsPerLag is the number of reports recorded within ReportLag.
+const reportsPerLag = 8
 
-// report returns the youngest report that is as old as the lag, or the oldest there is.
+// report returns the newest report that is at least ReportLag old, or the oldest one if
+// none is.
 func (e *Engine) report(now time.Time) galenastair.EngineReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.keepReport(now)
+	e.recordReport(now)
 	r := e.reports[0].EngineReport
 	r.Age = now.Sub(e.reports[0].at)
 	return r
 }
 
-// keepReport notes the state of now for readers after the lag.
-func (e *Engine) keepReport(now time.Time) {
+// recordReport records the current state, to be returned once ReportLag has passed.
+func (e *Engine) recordReport(now time.Time) {
 	n := len(e.reports)
-	if n == 0 || now.Sub(e.reports[n-1].at) >= e.settings.ReportLag/reportsKept {
+	if n == 0 || now.Sub(e.reports[n-1].at) >= e.settings.ReportLag/reportsPerLag {
 		e.reports = append(e.reports, timedReport{e.snapshot(), now})
 	}
 	for len(e.reports) > 1 && now.Sub(e.reports[1].at) >= e.settings.ReportLag {
@@ -115,7 +117,7 @@
 		MemoryUsed:    e.weights.used(),
 		Running:       len(e.batch.running),
 		Waiting:       len(e.batch.waiting),
-		CacheUsed:     galenastair.Bytes(e.cache.running+e.cache.held) * e.settings.BytesPerToken,
+		CacheUsed:     galenastair.Bytes(e.cache.reservedTokens+e.cache.cachedTokens) * e.settings.BytesPerToken,
 		HighestFence:  e.fence,
 		ChecksFence:   e.settings.ChecksFence,
 		FinishedOrder: append([]galenastair.OrderID(nil), e.weights.finished...),
@@ -130,11 +132,11 @@
 func (e *Engine) getEvents(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
-		http.Error(w, "after: "+err.Error(), http.StatusBadRequest)
+		http.Error(w, "query parameter after: "+err.Error(), http.StatusBadRequest)
 		return
 	}
 	e.mu.Lock()
-	events := e.cache.after(after, time.Now().Add(-e.settings.EventLag))
+	events := e.cache.eventsAfter(after, time.Now().Add(-e.settings.EventLag))
 	e.mu.Unlock()
 	writeJSON(w, wire.EventsAnswer{Events: events})
 }
@@ -151,16 +153,16 @@
 	switch {
 	case t.Kind == wire.ImportCache && e.cache.fits(t.Tokens):
 		e.cache.insert(time.Now(), key, t.Tokens)
-	case t.Kind == wire.ExportCache && e.cache.holds(key):
+	case t.Kind == wire.ExportCache && e.cache.contains(key):
 		t.Tokens = e.cache.prefixes[key]
 	default:
-		notRun(w, http.StatusConflict, errNotLoaded)
+		rejectNotRun(w, http.StatusConflict, errNotFound)
 		return
 	}
 	writeJSON(w, t)
 }
 
-// ViolationsAnswer tells whether memory was ever overcommitted.
+// ViolationsResponse lists memory violations and gives the peak of used memory.
 type ViolationsAnswer struct {
 	Violations []Violation
 	MostUsed   galenastair.Bytes
@@ -169,26 +171,26 @@
 
 func (e *Engine) getViolations(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	a := ViolationsAnswer{e.weights.violations, e.weights.most, e.weights.total}
+	a := ViolationsAnswer{e.weights.violations, e.weights.peak, e.weights.total}
 	e.mu.Unlock()
 	writeJSON(w, a)
 }
 
-func (e *Engine) getRuns(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.runs.answer()) }
+func (e *Engine) getRuns(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.runs.response()) }
 
-func (e *Engine) getSwitches(w http.ResponseWriter, _ *http.Request) {
-	sw, _ := e.board()
-	writeJSON(w, sw)
+func (e *Engine) getFaults(w http.ResponseWriter, _ *http.Request) {
+	faults, _ := e.currentFaults()
+	writeJSON(w, faults)
 }
 
-func (e *Engine) postSwitches(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) postFaults(w http.ResponseWriter, r *http.Request) {
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
-	changed, _ := e.board()
+	changed, _ := e.currentFaults()
 	if err := d.Decode(&changed); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	e.Switch(func(sw *Switches) { *sw = changed })
+	e.Switch(func(faults *Switches) { *faults = changed })
 	writeJSON(w, changed)
 }
--- a/standin/engine/doc.go
+++ b/standin/engine/doc.go
@@ -1,17 +1,17 @@
-// Package engine stands in for a model engine in tests. The wire forms are those
-// of galenastair/engine, and besides:
+// Package engine is a fake model engine for tests. It implements the API that
+// galenastair/engine calls, and in addition:
 //
-//	GET, POST /switches            Switches; a POST changes only the fields it names
-//	GET       /control/runs        RunsAnswer: how often each request ran
-//	GET       /control/violations  ViolationsAnswer: memory that was overcommitted
+//	GET, POST /switches            Faults; a POST changes only the fields in its body
+//	GET       /control/runs        RunsResponse: how often each request ran
+//	GET       /control/violations  ViolationsResponse: memory overcommitments
 //
-// It batches continuously: each step takes longer with the batch and gives each
-// request in it one token. Tokens are a function of model, prompt and position
-// (Token), so that a caller can verify a whole answer and the engine need not
-// keep events for a resume. An order that overcommits memory is carried out and
-// recorded as a violation, never hidden.
+// The engine uses continuous batching: the duration of a step grows with the batch,
+// and each step generates one token for each request in the batch. A token is a
+// function of model, prompt and position (Token), so a client can verify a complete
+// response, and the engine resumes a stream without storing its events. An order that
+// overcommits memory is executed and recorded as a violation, so that tests see it.
 //
-// Memory of weights and of the KV cache are two fixed parts of the accelerator:
-// reports give the part for weights as MemoryTotal and MemoryUsed, and the KV
-// part's cached prefixes as CacheUsed.
+// The accelerator's memory has two fixed partitions, one for weights and one for the
+// KV cache. Reports give the weight partition as MemoryTotal and MemoryUsed, and the
+// used part of the KV cache (running requests and cached prefixes) as CacheUsed.
 package engine
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -12,52 +12,53 @@
 	"galenastair"
 )
 
-// Engine is the stand-in; its lock guards all that follows it.
+// Engine is a fake model engine. The mutex guards the fields below it.
 type Engine struct {
 	id       galenastair.BackendServerID
 	settings Settings
 	wake     chan struct{}
 
-	mu       sync.Mutex
-	switches Switches
-	changed  chan struct{}
-	batch    batch
-	cache    *cache
-	weights  weights
-	runs     runs
-	byID     map[galenastair.RequestID]*sequence
-	swept    time.Time
-	fence    galenastair.Fence
-	role     string
-	draining bool
-	reports  []timedReport
+	mu            sync.Mutex
+	faults        Switches
+	faultsChanged chan struct{}
+	batch         batch
+	cache         *cache
+	weights       weights
+	runs          runs
+	byID          map[galenastair.RequestID]*sequence
+	lastSweep     time.Time
+	fence         galenastair.Fence
+	role          string
+	draining      bool
+	reports       []timedReport
 }
 
-// New returns an engine that has nothing loaded.
+// New returns an engine with no weights loaded.
 func New(id galenastair.BackendServerID, s Settings) *Engine {
 	return &Engine{
-		id:       id,
-		settings: s,
-		wake:     make(chan struct{}, 1),
-		changed:  make(chan struct{}),
-		cache:    newCache(s),
-		weights:  weights{total: s.Memory, journal: s.Journal},
-		runs:     newRuns(s.Journal),
-		byID:     map[galenastair.RequestID]*sequence{},
+		id:            id,
+		settings:      s,
+		wake:          make(chan struct{}, 1),
+		faultsChanged: make(chan struct{}),
+		cache:         newCache(s),
+		weights:       weights{total: s.Memory, journal: s.Journal},
+		runs:          newRuns(s.Journal),
+		byID:          map[galenastair.RequestID]*sequence{},
 	}
 }
 
-// Preload makes weights ready at once, as if loaded before the start.
+// Preload marks weights as loaded and ready without fetching them.
 func (e *Engine) Preload(ws ...galenastair.Weight) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, w := range ws {
 		e.weights.loaded = append(e.weights.loaded, galenastair.LoadedWeight{Weight: w, State: galenastair.Ready})
 	}
-	e.weights.audit("")
+	e.weights.checkOvercommit("")
 }
 
-// Drain makes the engine decline new requests and returns how many are still open.
+// Drain makes the engine reject new requests. It returns the number of requests that
+// are still queued or running.
 func (e *Engine) Drain() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -65,44 +66,44 @@
 	return len(e.batch.waiting) + len(e.batch.running)
 }
 
-// Switch changes switches while the engine runs.
+// UpdateFaults changes the injected faults while the engine runs.
 func (e *Engine) Switch(f func(*Switches)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	f(&e.switches)
-	if e.switches.SilentStreams {
-		e.switches.SilentStreams = false
+	f(&e.faults)
+	if e.faults.SilentStreams {
+		e.faults.SilentStreams = false
 		for _, s := range e.byID {
 			s.silence()
 		}
 	}
-	close(e.changed)
-	e.changed = make(chan struct{})
-	e.rouse()
+	close(e.faultsChanged)
+	e.faultsChanged = make(chan struct{})
+	e.wakeUp()
 }
 
-func (e *Engine) rouse() {
+func (e *Engine) wakeUp() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (e *Engine) board() (Switches, <-chan struct{}) {
+func (e *Engine) currentFaults() (Switches, <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.switches, e.changed
+	return e.faults, e.faultsChanged
 }
 
-// Handler serves the engine's wire forms.
+// Handler returns the engine's HTTP handler.
 func (e *Engine) Handler() http.Handler {
 	r := mux.NewRouter()
-	r.HandleFunc("/switches", e.getSwitches).Methods(http.MethodGet)
-	r.HandleFunc("/switches", e.postSwitches).Methods(http.MethodPost)
+	r.HandleFunc("/switches", e.getFaults).Methods(http.MethodGet)
+	r.HandleFunc("/switches", e.postFaults).Methods(http.MethodPost)
 	r.HandleFunc("/control/runs", e.getRuns).Methods(http.MethodGet)
 	r.HandleFunc("/control/violations", e.getViolations).Methods(http.MethodGet)
 	served := r.NewRoute().Subrouter()
-	served.Use(e.hangWhileFrozen)
+	served.Use(e.blockWhileFrozen)
 	served.HandleFunc("/v1/chat/completions", e.chat).Methods(http.MethodPost)
 	served.HandleFunc("/v1/completions", e.complete).Methods(http.MethodPost)
 	served.HandleFunc("/v1/streams/{id}", e.resume).Methods(http.MethodGet)
@@ -114,19 +115,19 @@
 	return r
 }
 
-// hangWhileFrozen keeps a request unread for as long as the engine is frozen.
-func (e *Engine) hangWhileFrozen(next http.Handler) http.Handler {
+// blockWhileFrozen delays each request until the engine is no longer frozen.
+func (e *Engine) blockWhileFrozen(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		e.runs.see(r)
-		// net/http notices that a client has gone only once the body is read
+		e.runs.recordAuthorization(r)
+		// net/http detects a closed client connection only after the body has been read.
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 		if err != nil {
 			return
 		}
 		r.Body = io.NopCloser(bytes.NewReader(body))
 		for {
-			sw, changed := e.board()
-			if !sw.Frozen {
+			faults, changed := e.currentFaults()
+			if !faults.Frozen {
 				next.ServeHTTP(w, r)
 				return
 			}
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -38,31 +38,31 @@
 	is.Equal(order, "dbac")
 }
 
-func TestUnloadLetsRunningRequestsEnd(t *testing.T) {
+func TestUnloadWaitsForRunningRequests(t *testing.T) {
 	is := is.New(t)
 	e := newTestEngine(func(*Settings) {})
 	is.NoErr(e.admit(newTestSequence("r1", 0, 2)))
 	e.startStep()
 	w := galenastair.Weight{Name: "model-1", Version: "v1", Memory: 1}
-	is.NoErr(e.act(galenastair.Order{ID: "o1", BackendServer: "e1", Kind: galenastair.UnloadModel, Weight: w}))
+	is.NoErr(e.applyOrder(galenastair.Order{ID: "o1", BackendServer: "e1", Kind: galenastair.UnloadModel, Weight: w}))
 	is.Equal(e.admit(newTestSequence("r2", 0, 1)), errNotReady)
 	e.endStep(time.Now())
-	is.Equal(e.weights.used(), galenastair.Bytes(1)) // still held: r1 runs
+	is.Equal(e.weights.used(), galenastair.Bytes(1)) // r1 still runs
 	e.startStep()
 	e.endStep(time.Now())
 	is.Equal(e.weights.used(), galenastair.Bytes(0))
 	is.Equal(e.report(time.Now()).FinishedOrder, []galenastair.OrderID{"o1"})
 }
 
-func TestAdapterNeedsItsModelAndOvercommitIsRecorded(t *testing.T) {
+func TestAdapterRequiresItsBaseModelAndOvercommitIsRecorded(t *testing.T) {
 	is := is.New(t)
 	e := newTestEngine(func(s *Settings) { s.Memory = 10 })
 	load := func(id galenastair.OrderID, w galenastair.Weight) error {
-		return e.act(galenastair.Order{ID: id, BackendServer: "e1", Kind: galenastair.LoadModel, Weight: w})
+		return e.applyOrder(galenastair.Order{ID: id, BackendServer: "e1", Kind: galenastair.LoadModel, Weight: w})
 	}
-	is.Equal(load("o1", galenastair.Weight{Name: "a", Base: "model-9", Memory: 1}), errNoBase)
+	is.Equal(load("o1", galenastair.Weight{Name: "a", Base: "model-9", Memory: 1}), errBaseNotLoaded)
 	is.NoErr(load("o2", galenastair.Weight{Name: "a", Base: "model-1", Memory: 1}))
-	is.NoErr(load("o2", galenastair.Weight{Name: "a", Base: "model-1", Memory: 1})) // the same order again
+	is.NoErr(load("o2", galenastair.Weight{Name: "a", Base: "model-1", Memory: 1})) // a repeated order
 	e.mu.Lock()
 	is.Equal(e.weights.used(), galenastair.Bytes(2))
 	is.Equal(len(e.weights.violations), 0)
@@ -73,7 +73,7 @@
 	is.Equal(e.weights.violations, []Violation{{Order: "o3", Used: 11, Total: 10}})
 }
 
-func TestPoisonEndsTheProcessWhenItRuns(t *testing.T) {
+func TestPoisonEndsTheProcessWhenTheRequestStarts(t *testing.T) {
 	is := is.New(t)
 	exits := 0
 	e := newTestEngine(func(s *Settings) {
@@ -84,10 +84,10 @@
 	is.Equal(exits, 0)
 	e.startStep()
 	is.Equal(exits, 1)
-	is.Equal(e.runs.answer().Runs, []Run{{"hemlock", 1}}) // counted before it died
+	is.Equal(e.runs.response().Runs, []Run{{"hemlock", 1}}) // counted before the exit
 }
 
-func TestCacheEventsComeWithGaps(t *testing.T) {
+func TestCacheEventsAreLostAtTheConfiguredRate(t *testing.T) {
 	is := is.New(t)
 	e := newTestEngine(func(s *Settings) {
 		s.EventGaps = 0.5
@@ -96,7 +96,7 @@
 	for i := range 200 {
 		e.cache.insert(time.Now(), prefixKey{"model-1", uint64(i)}, blockTokens)
 	}
-	events := e.cache.after(0, time.Now())
+	events := e.cache.eventsAfter(0, time.Now())
 	dropped := 0
 	for i, ev := range events {
 		is.True(i == 0 || ev.Sequence > events[i-1].Sequence)
@@ -104,13 +104,13 @@
 			dropped++
 		}
 	}
-	is.Equal(e.cache.sequence, int64(200+196)) // 4 fit
+	is.Equal(e.cache.lastSequence, int64(200+196)) // 4 prefixes fit
 	is.True(len(events) > 100 && len(events) < 300)
 	is.True(dropped > 0)
-	is.Equal(len(e.cache.after(events[9].Sequence, time.Now())), len(events)-10)
+	is.Equal(len(e.cache.eventsAfter(events[9].Sequence, time.Now())), len(events)-10)
 }
 
-func TestAbandonedRequestsEndAndAreForgotten(t *testing.T) {
+func TestAbandonedRequestsAreCancelledAndRemoved(t *testing.T) {
 	is := is.New(t)
 	e := newTestEngine(func(s *Settings) { s.ResumeFor = time.Second })
 	s := newTestSequence("r1", 0, 1000)
@@ -119,9 +119,9 @@
 	e.startStep()
 	s.detach(now)
 	e.endStep(now.Add(time.Second))
-	is.Equal(len(e.batch.running), 1) // it may still be resumed
+	is.Equal(len(e.batch.running), 1) // can still be resumed
 	e.endStep(now.Add(3 * time.Second))
 	is.Equal(len(e.batch.running), 0)
 	is.Equal(len(e.byID), 0)
-	is.Equal(e.cache.running, galenastair.Tokens(0))
+	is.Equal(e.cache.reservedTokens, galenastair.Tokens(0))
 }
--- a/standin/engine/http.go
+++ b/standin/engine/http.go
@@ -14,27 +14,27 @@
 	wire "galenastair/engine"
 )
 
-// maxBody bounds a request.
+// maxBody limits the size of a request body, in bytes.
 const maxBody = 8 << 20
 
 var (
-	errDraining = eris.New("the engine is leaving")
-	errNotReady = eris.New("the model is not ready here")
-	errFull     = eris.New("too many requests wait")
-	errTooLong  = eris.New("the request does not fit into the KV cache")
+	errDraining     = eris.New("engine is draining")
+	errNotReady     = eris.New("model is not ready on this engine")
+	errQueueFull    = eris.New("request queue is full")
+	errExceedsCache = eris.New("request exceeds the KV cache")
 )
 
-func (e *Engine) chat(w http.ResponseWriter, r *http.Request)     { e.serve(w, r, true) }
-func (e *Engine) complete(w http.ResponseWriter, r *http.Request) { e.serve(w, r, false) }
+func (e *Engine) chat(w http.ResponseWriter, r *http.Request)     { e.serveCompletion(w, r, true) }
+func (e *Engine) complete(w http.ResponseWriter, r *http.Request) { e.serveCompletion(w, r, false) }
 
-func (e *Engine) serve(w http.ResponseWriter, r *http.Request, chat bool) {
+func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request, chat bool) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
 	request, err := ParseRequest(body, chat)
 	if err != nil {
-		notRun(w, http.StatusBadRequest, err)
+		rejectNotRun(w, http.StatusBadRequest, err)
 		return
 	}
 	id := galenastair.RequestID(r.Header.Get(wire.HeaderRequestID))
@@ -44,38 +44,38 @@
 	s := newSequence(id, chat, request)
 	if err := e.admit(s); err != nil {
 		w.Header().Set("Retry-After", "1")
-		notRun(w, http.StatusServiceUnavailable, err)
+		rejectNotRun(w, http.StatusServiceUnavailable, err)
 		return
 	}
 	if request.Stream {
 		e.stream(w, r, s, 0)
 		return
 	}
-	e.answerWhole(w, r, s)
+	e.writeCompletion(w, r, s)
 }
 
-// admit queues a request, or says why it certainly will not run.
+// admit queues a request. An error means that the request will not run.
 func (e *Engine) admit(s *sequence) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	switch {
 	case e.draining:
 		return errDraining
-	case !e.weights.ready(s.request.Model):
+	case !e.weights.isReady(s.request.Model):
 		return errNotReady
 	case len(e.batch.waiting) >= e.settings.MaxWaiting:
-		return errFull
-	case !e.cache.fits(s.tokens()):
-		return errTooLong
+		return errQueueFull
+	case !e.cache.fits(s.totalTokens()):
+		return errExceedsCache
 	}
 	s.attach()
-	e.batch.add(s)
+	e.batch.enqueue(s)
 	e.byID[s.id] = s
-	e.rouse()
+	e.wakeUp()
 	return nil
 }
 
-func (e *Engine) find(r *http.Request) *sequence {
+func (e *Engine) findSequence(r *http.Request) *sequence {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.byID[galenastair.RequestID(mux.Vars(r)["id"])]
@@ -84,12 +84,12 @@
 func (e *Engine) resume(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.Atoi(r.Header.Get(wire.HeaderLastEventID))
 	if err != nil || after < 0 {
-		http.Error(w, wire.HeaderLastEventID+" must be a number", http.StatusBadRequest)
+		http.Error(w, wire.HeaderLastEventID+" must be a non-negative integer", http.StatusBadRequest)
 		return
 	}
-	s := e.find(r)
+	s := e.findSequence(r)
 	if s == nil || s.isCancelled() {
-		http.Error(w, "no such stream", http.StatusNotFound)
+		http.Error(w, "stream not found", http.StatusNotFound)
 		return
 	}
 	s.attach()
@@ -97,18 +97,19 @@
 }
 
 func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
-	s := e.find(r)
+	s := e.findSequence(r)
 	if s == nil {
-		http.Error(w, "no such stream", http.StatusNotFound)
+		http.Error(w, "stream not found", http.StatusNotFound)
 		return
 	}
 	s.cancel()
-	e.rouse()
+	e.wakeUp()
 	writeJSON(w, struct{}{})
 }
 
-// notRun refuses with the engine's word that nothing ran.
-func notRun(w http.ResponseWriter, status int, err error) {
+// rejectNotRun responds with an error and the outcome header which states that the
+// request was not executed.
+func rejectNotRun(w http.ResponseWriter, status int, err error) {
 	w.Header().Set(wire.HeaderOutcome, wire.OutcomeNotRun)
 	http.Error(w, err.Error(), status)
 }
--- a/standin/engine/render.go
+++ b/standin/engine/render.go
@@ -14,26 +14,28 @@
 	TotalTokens      galenastair.Tokens `json:"total_tokens"`
 }
 
-// events returns how many events a whole answer has: the tokens, the usage and the end mark.
-func (s *sequence) events() int { return s.limit + 2 }
+// eventCount returns the number of events of a complete response: one for each token, the
+// usage and the [DONE] marker.
+func (s *sequence) eventCount() int { return s.maxTokens + 2 }
 
-// available returns how many events can be sent after so many tokens.
-func (s *sequence) available(produced int) int {
-	if produced >= s.limit {
-		return s.events()
+// availableEvents returns the number of events that can be sent once the given number of
+// tokens has been generated.
+func (s *sequence) availableEvents(produced int) int {
+	if produced >= s.maxTokens {
+		return s.eventCount()
 	}
 	return produced
 }
 
-// render appends event n, counted from 1, to b.
+// render appends event n, from 1, to b.
 func (s *sequence) render(b []byte, n int, id galenastair.RequestID) []byte {
 	b = append(b, "id: "...)
 	b = strconv.AppendInt(b, int64(n), 10)
 	b = append(b, "\ndata: "...)
 	switch {
-	case n <= s.limit:
+	case n <= s.maxTokens:
 		b = s.renderToken(b, n-1, id)
-	case n == s.limit+1:
+	case n == s.maxTokens+1:
 		b = s.renderUsage(b, id)
 	default:
 		b = append(b, "[DONE]"...)
@@ -41,8 +43,8 @@
 	return append(b, "\n\n"...)
 }
 
-// renderHead renders the fields that all events of an answer share.
-func renderHead(chat bool, id galenastair.RequestID, model galenastair.ModelName) []byte {
+// renderEventPrefix renders the fields that all events of a response share.
+func renderEventPrefix(chat bool, id galenastair.RequestID, model galenastair.ModelName) []byte {
 	object := "text_completion"
 	if chat {
 		object = "chat.completion.chunk"
@@ -51,9 +53,9 @@
 }
 
 func (s *sequence) renderToken(b []byte, i int, id galenastair.RequestID) []byte {
-	b = append(b, s.headFor(id)...)
+	b = append(b, s.eventPrefixFor(id)...)
 	finish := "null"
-	if i == s.limit-1 {
+	if i == s.maxTokens-1 {
 		finish = `"length"`
 	}
 	text := Token(s.request.Model, s.digest, i)
@@ -64,17 +66,18 @@
 }
 
 func (s *sequence) renderUsage(b []byte, id galenastair.RequestID) []byte {
-	b = append(b, s.headFor(id)...)
-	u, _ := json.Marshal(usage{s.prompt, galenastair.Tokens(s.limit), s.tokens()})
+	b = append(b, s.eventPrefixFor(id)...)
+	u, _ := json.Marshal(usage{s.promptTokens, galenastair.Tokens(s.maxTokens), s.totalTokens()})
 	return fmt.Appendf(b, `],"usage":%s}`, u)
 }
 
-// headFor returns the head of the sequence's own events, or of another's that it is crossed with.
-func (s *sequence) headFor(id galenastair.RequestID) []byte {
+// eventPrefixFor returns the event prefix for a request ID. The ID differs from the
+// sequence's own only if Faults.Crossed is set.
+func (s *sequence) eventPrefixFor(id galenastair.RequestID) []byte {
 	if id == s.id {
-		return s.head
+		return s.eventPrefix
 	}
-	return renderHead(s.chat, id, s.request.Model)
+	return renderEventPrefix(s.chat, id, s.request.Model)
 }
 
 func quote(s string) []byte {
--- a/standin/engine/request.go
+++ b/standin/engine/request.go
@@ -9,12 +9,12 @@
 	"galenastair"
 )
 
-// bytesPerToken is the usual rough size of a token in English text.
+// bytesPerToken is the approximate size of a token of English text.
 const bytesPerToken = 4
 
-var errUnreadable = eris.New("the body is no completion request")
+var errMalformedRequest = eris.New("malformed completion request")
 
-// Request is what the engine reads of a completion request.
+// Request holds the fields of a completion request that the engine uses.
 type Request struct {
 	Model     galenastair.ModelName
 	Prompt    string
@@ -37,14 +37,15 @@
 	Stream    bool                  `json:"stream"`
 }
 
-// ParseRequest reads a body; the prompt of a chat is its roles and contents, a line each.
+// ParseRequest decodes a request body. The prompt of a chat completion is the role and
+// the content of each message, each on a line of its own.
 func ParseRequest(body []byte, chat bool) (Request, error) {
 	var b requestBody
 	if err := json.Unmarshal(body, &b); err != nil {
-		return Request{}, eris.Wrapf(errUnreadable, "%v", err)
+		return Request{}, eris.Wrapf(errMalformedRequest, "%v", err)
 	}
 	if b.Model == "" || b.MaxTokens < 0 {
-		return Request{}, eris.Wrap(errUnreadable, "no model, or a negative limit")
+		return Request{}, eris.Wrap(errMalformedRequest, "model is empty or max_tokens is negative")
 	}
 	r := Request{
 		Model:     b.Model,
@@ -70,7 +71,7 @@
 	return prompt.String()
 }
 
-// PromptTokens returns how many tokens a prompt counts.
+// PromptTokens returns the number of tokens of a prompt.
 func PromptTokens(prompt string) galenastair.Tokens {
 	return galenastair.Tokens((len(prompt) + bytesPerToken - 1) / bytesPerToken)
 }
--- a/standin/engine/runs.go
+++ b/standin/engine/runs.go
@@ -9,33 +9,34 @@
 	"galenastair/standin/journal"
 )
 
-// maxRuns bounds the requests whose runs are counted one by one.
+// maxRuns limits the number of requests whose runs are counted individually.
 const maxRuns = 500_000
 
-// Run says how often one request ran.
+// RunCount is the number of runs of one request.
 type Run struct {
 	ID    galenastair.RequestID
 	Count int
 }
 
-// RunsAnswer tells what an engine ran and whether it was ever shown a key.
+// RunsResponse lists the requests that ran and counts those that carried a caller's key.
 type RunsAnswer struct {
 	Runs []Run
-	// Total counts all runs; Overflow says that Runs does not name them all.
+	// Total is the number of all runs. Overflow means that Runs is incomplete.
 	Total    int
 	Overflow bool
-	// Keys counts requests that came with an Authorization header.
+	// Keys is the number of requests with an Authorization header.
 	Keys int
 }
 
-// runs has its own lock, as handlers count without the engine's.
+// runs counts runs by request. It has a lock of its own, because handlers update it
+// without holding Engine.mu.
 type runs struct {
-	mu    *sync.Mutex
-	byID  map[galenastair.RequestID]int
-	total int
-	keys  int
-	over  bool
-	// journal outlives the process.
+	mu                *sync.Mutex
+	byID              map[galenastair.RequestID]int
+	total             int
+	withAuthorization int
+	overflow          bool
+	// journal is a file, so that the record survives the process.
 	journal *journal.Journal
 }
 
@@ -43,20 +44,21 @@
 	return runs{mu: &sync.Mutex{}, byID: map[galenastair.RequestID]int{}, journal: j}
 }
 
-func (r *runs) count(id galenastair.RequestID) {
+func (r *runs) recordRun(id galenastair.RequestID) {
 	r.journal.Write(journal.Entry{Request: id})
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.total++
 	if _, ok := r.byID[id]; !ok && len(r.byID) >= maxRuns {
-		r.over = true
+		r.overflow = true
 		return
 	}
 	r.byID[id]++
 }
 
-// see counts a request that shows a key, which no backend server may see.
-func (r *runs) see(req *http.Request) {
+// recordAuthorization counts requests with an Authorization header: callers' keys must
+// never reach a backend server.
+func (r *runs) recordAuthorization(req *http.Request) {
 	if req.Header.Get("Authorization") == "" {
 		return
 	}
@@ -64,13 +66,13 @@
 	r.journal.Write(journal.Entry{Request: id, KeySeen: true})
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.keys++
+	r.withAuthorization++
 }
 
-func (r *runs) answer() RunsAnswer {
+func (r *runs) response() RunsAnswer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a := RunsAnswer{Runs: make([]Run, 0, len(r.byID)), Total: r.total, Overflow: r.over, Keys: r.keys}
+	a := RunsAnswer{Runs: make([]Run, 0, len(r.byID)), Total: r.total, Overflow: r.overflow, Keys: r.withAuthorization}
 	for id, n := range r.byID {
 		a.Runs = append(a.Runs, Run{id, n})
 	}
--- a/standin/engine/sequence.go
+++ b/standin/engine/sequence.go
@@ -7,75 +7,76 @@
 	"galenastair"
 )
 
-// sequence is one request in the batch or waiting for it.
+// sequence is a queued or running request and the tokens generated for it.
 type sequence struct {
-	id      galenastair.RequestID
-	chat    bool
-	request Request
-	digest  uint64
-	prompt  galenastair.Tokens
-	limit   int
-	arrival int64
-	head    []byte
-
-	mu        sync.Mutex
-	produced  int
-	cancelled bool
-	silenced  int
-	readers   int
-	left      time.Time
-	grown     chan struct{}
+	id           galenastair.RequestID
+	chat         bool
+	request      Request
+	digest       uint64
+	promptTokens galenastair.Tokens
+	maxTokens    int
+	arrival      int64
+	eventPrefix  []byte
+
+	mu           sync.Mutex
+	generated    int
+	cancelled    bool
+	silenceCount int
+	readers      int
+	detachedAt   time.Time
+	updated      chan struct{}
 }
 
-const defaultLimit = 16
+const defaultMaxTokens = 16
 
 func newSequence(id galenastair.RequestID, chat bool, r Request) *sequence {
 	limit := r.MaxTokens
 	if limit == 0 {
-		limit = defaultLimit
+		limit = defaultMaxTokens
 	}
 	return &sequence{
-		id:      id,
-		chat:    chat,
-		request: r,
-		digest:  Digest(r.Prompt),
-		prompt:  PromptTokens(r.Prompt),
-		limit:   limit,
-		head:    renderHead(chat, id, r.Model),
-		grown:   make(chan struct{}),
+		id:           id,
+		chat:         chat,
+		request:      r,
+		digest:       Digest(r.Prompt),
+		promptTokens: PromptTokens(r.Prompt),
+		maxTokens:    limit,
+		eventPrefix:  renderEventPrefix(chat, id, r.Model),
+		updated:      make(chan struct{}),
 	}
 }
 
-// progress is what a reader of a sequence sees.
+// progress is a snapshot of a sequence for the connections that read it.
 type progress struct {
-	produced  int
+	generated int
 	cancelled bool
-	// silenced counts how often its connections were made silent.
-	silenced int
-	grown    <-chan struct{}
+	// silenceCount is how often the sequence's open connections have been silenced.
+	silenceCount int
+	// updated is closed at the next change.
+	updated <-chan struct{}
 }
 
 func (s *sequence) progress() progress {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return progress{s.produced, s.cancelled, s.silenced, s.grown}
+	return progress{s.generated, s.cancelled, s.silenceCount, s.updated}
 }
 
-func (s *sequence) change(f func()) {
+func (s *sequence) update(f func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f()
-	close(s.grown)
-	s.grown = make(chan struct{})
+	close(s.updated)
+	s.updated = make(chan struct{})
 }
 
-// grow gives the sequence one token and says whether it was the last.
-func (s *sequence) grow() (last bool) {
-	s.change(func() { s.produced++ })
-	return s.produced >= s.limit
+// addToken adds one token and reports whether it was the last.
+func (s *sequence) addToken() (last bool) {
+	s.update(func() { s.generated++ })
+	return s.generated >= s.maxTokens
 }
 
-func (s *sequence) cancel() { s.change(func() { s.cancelled = true }) }
+func (s *sequence) cancel() { s.update(func() { s.cancelled = true }) }
 
 func (s *sequence) isCancelled() bool {
 	s.mu.Lock()
@@ -83,7 +84,7 @@
 	return s.cancelled
 }
 
-// attach and detach count the connections that read the answer.
+// attach and detach count the connections that read the response.
 func (s *sequence) attach() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,19 +95,20 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.readers--
-	s.left = now
+	s.detachedAt = now
 }
 
-// abandoned says whether nobody has read the answer for a while.
-func (s *sequence) abandoned(now time.Time, after time.Duration) bool {
+// isAbandoned reports whether the response has had no connection for longer than
+// the timeout.
+func (s *sequence) isAbandoned(now time.Time, after time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.readers == 0 && now.Sub(s.left) > after
+	return s.readers == 0 && now.Sub(s.detachedAt) > after
 }
 
-func (s *sequence) tokens() galenastair.Tokens {
-	return s.prompt + galenastair.Tokens(s.limit)
+func (s *sequence) totalTokens() galenastair.Tokens {
+	return s.promptTokens + galenastair.Tokens(s.maxTokens)
 }
 
-// silence makes its open connections show nothing more; a new one works.
-func (s *sequence) silence() { s.change(func() { s.silenced++ }) }
+// silence stops output on the open connections. A connection attached later works.
+func (s *sequence) silence() { s.update(func() { s.silenceCount++ }) }
--- a/standin/engine/settings.go
+++ b/standin/engine/settings.go
@@ -9,41 +9,44 @@
 	"galenastair/standin/journal"
 )
 
-// Settings are what an engine is started with.
+// Settings configures an Engine.
 type Settings struct {
-	// Memory is for weights, CacheMemory for the KV cache of requests and prefixes.
+	// Memory is the memory for weights, CacheMemory that for the KV cache of running
+	// requests and of prompt prefixes.
 	Memory      galenastair.Bytes
 	CacheMemory galenastair.Bytes
-	// BytesPerToken is the KV cache of one token.
+	// BytesPerToken is the size of one token in the KV cache.
 	BytesPerToken galenastair.Bytes
-	// A step takes BaseStep, StepPerRequest for each request in the batch, and
-	// PrefillPerToken for each prompt token that is not cached.
+	// The duration of a step is the sum of BaseStep, StepPerRequest for each request in
+	// the batch, and PrefillPerToken for each prompt token that is not cached.
 	BaseStep        time.Duration
 	StepPerRequest  time.Duration
 	PrefillPerToken time.Duration
 	MaxBatch        int
 	MaxWaiting      int
-	// ReportLag and EventLag are how late reports and cache events come.
+	// ReportLag and EventLag delay reports and cache events.
 	ReportLag time.Duration
 	EventLag  time.Duration
-	// EventGaps is the share of cache events that never come.
+	// EventLossRate is the fraction of cache events that are lost, 0 to 1.
 	EventGaps   float64
 	ChecksFence bool
-	// Poison is a word in a prompt that ends the process when it runs; empty is none.
+	// Poison is a string that ends the process when a request with it in its prompt
+	// starts to run. Empty disables this.
 	Poison string
-	// ResumeFor is how long a request without a connection goes on and is known.
+	// ResumeTimeout is how long a request without a connection keeps running and can
+	// be resumed.
 	ResumeFor time.Duration
-	// Ping is how often a waiting stream shows that it lives.
+	// PingInterval is the interval of keep-alive comments on a stream without events.
 	Ping time.Duration
-	// Journal is where runs are written down; nil is nowhere.
+	// Journal records the requests that ran. Nil disables it.
 	Journal *journal.Journal
-	// Load fetches a weight from the platform's store.
+	// Load fetches a weight from the platform's weight store.
 	Load func(context.Context, galenastair.Weight) error
 	// Exit ends the process.
 	Exit func()
 }
 
-// DefaultSettings are those of a small accelerator.
+// DefaultSettings returns the settings of a small accelerator.
 func DefaultSettings() Settings {
 	return Settings{
 		Memory:          64 << 30,
@@ -63,21 +66,23 @@
 	}
 }
 
-// Switches are what a test changes while the engine runs.
+// Faults are the faults to inject. They can be changed while the engine runs.
 type Switches struct {
-	// Slow multiplies the time of each step; zero counts as one.
+	// Slow multiplies the duration of each step; 0 means 1.
 	Slow float64
-	// Frozen stops steps and makes every request hang.
+	// Frozen pauses the batch and makes every request hang.
 	Frozen bool
-	// SilentStreams makes the streams that are open now go silent for good, once.
+	// SilentStreams makes the streams that are open now send nothing more, while their
+	// connections stay open. It resets itself; streams opened later work.
 	SilentStreams bool
-	// Crossed puts another request's id into the events.
+	// Crossed replaces the request ID in events by that of another request.
 	Crossed bool
-	// CutAfter cuts each stream after so many events; zero cuts none.
+	// CutAfter closes the connection of each stream after this many events; 0 disables it.
 	CutAfter int
-	// LoseOrders drops orders unread, LoseOrderAnswers cuts the answer after the effect.
+	// LoseOrders drops orders before they are executed. LoseOrderAnswers executes them
+	// and closes the connection without a response.
 	LoseOrders       bool
 	LoseOrderAnswers bool
-	// OrderDelay passes before an order takes effect.
+	// OrderDelay is the delay before an order is executed.
 	OrderDelay time.Duration
 }
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -9,7 +9,7 @@
 	wire "galenastair/engine"
 )
 
-// stream writes the events after a sequence number until the answer's end.
+// stream writes the events after the given event number, to the end of the response.
 func (e *Engine) stream(w http.ResponseWriter, r *http.Request, s *sequence, after int) {
 	defer func() { s.detach(time.Now()) }()
 	w.Header().Set("Content-Type", "text/event-stream")
@@ -19,11 +19,11 @@
 	_ = flush()
 	ping := time.NewTicker(e.settings.Ping)
 	defer ping.Stop()
-	silenced := s.progress().silenced
+	silenced := s.progress().silenceCount
 	var buf []byte
-	for sent := after; sent < s.events(); {
+	for sent := after; sent < s.eventCount(); {
 		p := s.progress()
-		if p.silenced != silenced {
+		if p.silenceCount != silenced {
 			<-r.Context().Done()
 			return
 		}
@@ -31,9 +31,9 @@
 			panic(http.ErrAbortHandler)
 		}
 		buf = buf[:0]
-		for until := s.available(p.produced); sent < until; {
+		for until := s.availableEvents(p.generated); sent < until; {
 			sent++
-			buf = e.event(buf, s, sent)
+			buf = e.appendEvent(buf, s, sent)
 		}
 		if len(buf) > 0 {
 			if _, err := w.Write(buf); err != nil {
@@ -43,7 +43,7 @@
 			continue
 		}
 		select {
-		case <-p.grown:
+		case <-p.updated:
 		case <-ping.C:
 			e.ping(w)
 		case <-r.Context().Done():
@@ -52,22 +52,22 @@
 	}
 }
 
-// event renders one event, or what the switches make of it.
-func (e *Engine) event(buf []byte, s *sequence, n int) []byte {
-	sw, _ := e.board()
-	if sw.CutAfter > 0 && n > sw.CutAfter {
+// appendEvent renders one event with the injected faults applied.
+func (e *Engine) appendEvent(buf []byte, s *sequence, n int) []byte {
+	faults, _ := e.currentFaults()
+	if faults.CutAfter > 0 && n > faults.CutAfter {
 		panic(http.ErrAbortHandler)
 	}
 	id := s.id
-	if sw.Crossed {
+	if faults.Crossed {
 		id = galenastair.RequestID("crossed-" + string(id))
 	}
 	return s.render(buf, n, id)
 }
 
-// ping shows that the connection lives while the request waits; a frozen engine shows nothing.
+// ping writes a keep-alive comment. A frozen engine writes none.
 func (e *Engine) ping(w http.ResponseWriter) {
-	if sw, _ := e.board(); sw.Frozen {
+	if faults, _ := e.currentFaults(); faults.Frozen {
 		return
 	}
 	if _, err := w.Write([]byte(": ping\n\n")); err == nil {
@@ -75,61 +75,61 @@
 	}
 }
 
-type wholeMessage struct {
+type completionMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-type wholeChoice struct {
-	Index        int           `json:"index"`
-	Text         string        `json:"text,omitempty"`
-	Message      *wholeMessage `json:"message,omitempty"`
-	FinishReason string        `json:"finish_reason"`
+type completionChoice struct {
+	Index        int                `json:"index"`
+	Text         string             `json:"text,omitempty"`
+	Message      *completionMessage `json:"message,omitempty"`
+	FinishReason string             `json:"finish_reason"`
 }
 
-type wholeAnswer struct {
+type completionResponse struct {
 	ID      galenastair.RequestID `json:"id"`
 	Model   galenastair.ModelName `json:"model"`
-	Choices []wholeChoice         `json:"choices"`
+	Choices []completionChoice    `json:"choices"`
 	Usage   usage                 `json:"usage"`
 }
 
-// answerWhole waits for the end and answers in one body.
-func (e *Engine) answerWhole(w http.ResponseWriter, r *http.Request, s *sequence) {
+// writeCompletion waits until the sequence has ended and writes the response as one body.
+func (e *Engine) writeCompletion(w http.ResponseWriter, r *http.Request, s *sequence) {
 	defer func() { s.detach(time.Now()) }()
 	for {
 		p := s.progress()
 		if p.cancelled {
 			panic(http.ErrAbortHandler)
 		}
-		if p.produced >= s.limit {
+		if p.generated >= s.maxTokens {
 			break
 		}
 		select {
-		case <-p.grown:
+		case <-p.updated:
 		case <-r.Context().Done():
 			return
 		}
 	}
 	w.Header().Set(wire.HeaderRequestID, string(s.id))
-	choice := wholeChoice{FinishReason: "length", Text: Answer(s.request)}
+	choice := completionChoice{FinishReason: "length", Text: Answer(s.request)}
 	if s.chat {
-		choice.Message = &wholeMessage{"assistant", choice.Text}
+		choice.Message = &completionMessage{"assistant", choice.Text}
 		choice.Text = ""
 	}
-	writeJSON(w, wholeAnswer{
+	writeJSON(w, completionResponse{
 		ID:      s.id,
 		Model:   s.request.Model,
-		Choices: []wholeChoice{choice},
-		Usage:   usage{s.prompt, galenastair.Tokens(s.limit), s.tokens()},
+		Choices: []completionChoice{choice},
+		Usage:   usage{s.promptTokens, galenastair.Tokens(s.maxTokens), s.totalTokens()},
 	})
 }
 
-// Answer returns the whole text that an engine answers to a request.
+// CompletionText returns the complete text that an engine generates for a request.
 func Answer(r Request) string {
 	limit := r.MaxTokens
 	if limit == 0 {
-		limit = defaultLimit
+		limit = defaultMaxTokens
 	}
 	digest := Digest(r.Prompt)
 	var text strings.Builder
@@ -139,7 +139,8 @@
 	return text.String()
 }
 
-// Expected returns the whole answer that an engine gives to a text asked by one user message or prompt.
+// ExpectedText returns the complete text that an engine generates for a prompt, or for a
+// chat with the text as its only user message.
 func Expected(model galenastair.ModelName, text string, chat bool, tokens int) string {
 	if chat {
 		text = chatPrompt([]message{{"user", text}})
--- a/standin/engine/token.go
+++ b/standin/engine/token.go
@@ -9,10 +9,10 @@
 	"galenastair"
 )
 
-// Digest names a prompt.
+// PromptDigest returns the hash of a prompt, as Token takes it.
 func Digest(prompt string) uint64 { return xxhash.Sum64String(prompt) }
 
-// Token returns the i-th token, from 0, of a model's answer to a prompt.
+// Token returns the token at index i, from 0, of a model's response to a prompt.
 func Token(model galenastair.ModelName, promptDigest uint64, i int) string {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], promptDigest)
--- a/standin/engine/weights.go
+++ b/standin/engine/weights.go
@@ -10,30 +10,30 @@
 )
 
 var (
-	errNoBase    = eris.New("the adapter's model is not loaded")
-	errNotLoaded = eris.New("no such weight is loaded")
-	errKind      = eris.New("no such kind of order")
-	errNotMine   = eris.New("the order is for another backend server")
+	errBaseNotLoaded = eris.New("base model of the adapter is not loaded")
+	errNotFound      = eris.New("weight or cached prefix not found on the engine")
+	errUnknownKind   = eris.New("unknown kind of order")
+	errWrongServer   = eris.New("order is addressed to another backend server")
 )
 
-// keptFinished is how many finished orders a report names.
-const keptFinished = 64
+// maxFinishedOrders is the number of finished orders that a report lists.
+const maxFinishedOrders = 64
 
-// Violation is one moment at which weights took more than the memory.
+// Violation records that the loaded weights exceeded the memory.
 type Violation struct {
 	Order galenastair.OrderID
 	Used  galenastair.Bytes
 	Total galenastair.Bytes
 }
 
-// weights are the models and adapters that take memory here.
+// weights holds the models and adapters that occupy memory. Engine.mu guards it.
 type weights struct {
 	total      galenastair.Bytes
 	loaded     []galenastair.LoadedWeight
 	finished   []galenastair.OrderID
 	violations []Violation
 	journal    *journal.Journal
-	most       galenastair.Bytes
+	peak       galenastair.Bytes
 }
 
 func (w *weights) used() galenastair.Bytes {
@@ -53,46 +53,48 @@
 	return nil
 }
 
-// ready says whether requests for a name can run, with its base if it has one.
-func (w *weights) ready(name galenastair.ModelName) bool {
+// isReady reports whether requests for a model or adapter can run. An adapter also needs
+// its base model to be ready.
+func (w *weights) isReady(name galenastair.ModelName) bool {
 	for _, l := range w.loaded {
 		if l.Weight.Name == name && l.State == galenastair.Ready {
-			return l.Weight.Base == "" || w.ready(l.Weight.Base)
+			return l.Weight.Base == "" || w.isReady(l.Weight.Base)
 		}
 	}
 	return false
 }
 
-// load takes memory for a weight and says whether it must be fetched.
+// load reserves memory for a weight and reports whether it has to be fetched.
 func (w *weights) load(o galenastair.Order) (fetch bool, err error) {
-	if o.Weight.Base != "" && !w.has(o.Weight.Base) {
-		return false, errNoBase
+	if o.Weight.Base != "" && !w.contains(o.Weight.Base) {
+		return false, errBaseNotLoaded
 	}
 	if l := w.find(o.Weight.Name, o.Weight.Version); l != nil && l.State != galenastair.Unloading {
-		w.finish(o.ID)
+		w.recordFinished(o.ID)
 		return false, nil
 	}
 	w.loaded = append(w.loaded, galenastair.LoadedWeight{Weight: o.Weight, State: galenastair.Loading, Order: o.ID})
-	w.audit(o.ID)
+	w.checkOvercommit(o.ID)
 	return true, nil
 }
 
-func (w *weights) has(name galenastair.ModelName) bool {
+func (w *weights) contains(name galenastair.ModelName) bool {
 	return slices.ContainsFunc(w.loaded, func(l galenastair.LoadedWeight) bool { return l.Weight.Name == name })
 }
 
-// audit records memory that is overcommitted.
-func (w *weights) audit(id galenastair.OrderID) {
+// checkOvercommit updates the peak of used memory and records a violation if it exceeds
+// the total.
+func (w *weights) checkOvercommit(id galenastair.OrderID) {
 	used := w.used()
-	w.most = max(w.most, used)
+	w.peak = max(w.peak, used)
 	if used > w.total {
 		w.violations = append(w.violations, Violation{Order: id, Used: used, Total: w.total})
 		w.journal.Write(journal.Entry{Overcommitted: used - w.total})
 	}
 }
 
-// fetched ends a load.
-func (w *weights) fetched(id galenastair.OrderID, err error) {
+// finishLoad marks the weight of an order as ready, or removes it if the fetch failed.
+func (w *weights) finishLoad(id galenastair.OrderID, err error) {
 	i := slices.IndexFunc(w.loaded, func(l galenastair.LoadedWeight) bool { return l.Order == id })
 	if i >= 0 && err != nil {
 		w.loaded = slices.Delete(w.loaded, i, i+1)
@@ -100,14 +102,15 @@
 	if i >= 0 && err == nil && w.loaded[i].State == galenastair.Loading {
 		w.loaded[i].State = galenastair.Ready
 	}
-	w.finish(id)
+	w.recordFinished(id)
 }
 
-// unload lets no new request in; the memory is free once none runs.
+// unload stops admitting requests for a weight. finishUnloads frees the memory once no
+// request for it is running.
 func (w *weights) unload(o galenastair.Order) error {
 	l := w.find(o.Weight.Name, o.Weight.Version)
 	if l == nil {
-		return errNotLoaded
+		return errNotFound
 	}
 	l.State = galenastair.Unloading
 	l.Order = o.ID
@@ -118,18 +121,18 @@
 	w.loaded = slices.DeleteFunc(w.loaded, func(l galenastair.LoadedWeight) bool {
 		gone := l.State == galenastair.Unloading && !runs(l.Weight.Name)
 		if gone {
-			w.finish(l.Order)
+			w.recordFinished(l.Order)
 		}
 		return gone
 	})
 }
 
-func (w *weights) finish(id galenastair.OrderID) {
+func (w *weights) recordFinished(id galenastair.OrderID) {
 	if slices.Contains(w.finished, id) {
 		return
 	}
 	w.finished = append(w.finished, id)
-	if len(w.finished) > keptFinished {
+	if len(w.finished) > maxFinishedOrders {
 		w.finished = w.finished[1:]
 	}
 }
