--- a/standin/platform/catalogue.go
+++ b/standin/platform/catalogue.go
@@ -6,8 +6,8 @@
 	"galenastair"
 )
 
-// Catalogue returns models model-1.. and adapters adapter-1.., which belong to
-// the models in turn; all have version v1.
+// Catalogue returns models model-1, model-2 and so on, and adapters adapter-1, adapter-2
+// and so on, which are assigned to the models round robin. All have version v1.
 func Catalogue(models, adapters int, modelMemory, adapterMemory galenastair.Bytes) []galenastair.Weight {
 	var weights []galenastair.Weight
 	for i := range models {
--- a/standin/platform/doc.go
+++ b/standin/platform/doc.go
@@ -1,10 +1,10 @@
-// Package platform stands in for the platform in tests: its log, its list of
-// instances and its weight store, with switches for what fails. The wire forms
-// are those of galenastair/platform, and besides:
+// Package platform is a fake of the platform for tests: its log, its instance list and
+// its weight store, with fault injection. It implements the API that
+// galenastair/logservice calls, and in addition:
 //
-//	GET, POST /switches   Switches; a POST changes only the fields it names
-//	POST      /loads      galenastair.Weight; answers when the load is done
-//	GET       /loads      LoadCounts
+//	GET, POST /switches   Faults; a POST changes only the fields in its body
+//	POST      /loads      galenastair.Weight; responds when the load has finished
+//	GET       /loads      LoadStats
 //
-// It keeps everything in memory and takes the machine's clock.
+// All state is in memory. Time is the system clock.
 package platform
--- a/standin/platform/list.go
+++ b/standin/platform/list.go
@@ -17,45 +17,46 @@
 	wire "galenastair/logservice"
 )
 
-type listed struct {
+type listEntry struct {
 	galenastair.ListedInstance
-	seen time.Time
+	lastHeartbeat time.Time
 }
 
 type listVersion struct {
-	from      time.Time
+	createdAt time.Time
 	instances []galenastair.ListedInstance
 }
 
-// instanceList keeps who has registered and the versions that lagging readers see.
+// instanceList holds the registered instances, and the recent versions of the list, which
+// readers see with a delay of ListLag.
 type instanceList struct {
 	mu       sync.Mutex
-	byID     map[string]listed
+	byID     map[string]listEntry
 	versions []listVersion
 }
 
 func newInstanceList() *instanceList {
-	return &instanceList{byID: map[string]listed{}, versions: []listVersion{{}}}
+	return &instanceList{byID: map[string]listEntry{}, versions: []listVersion{{}}}
 }
 
-func (l *instanceList) announce(now time.Time, in galenastair.ListedInstance) {
+func (l *instanceList) heartbeat(now time.Time, in galenastair.ListedInstance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	old, known := l.byID[in.ID]
-	l.byID[in.ID] = listed{in, now}
+	l.byID[in.ID] = listEntry{in, now}
 	if !known || old.ListedInstance != in {
-		l.change(now)
+		l.addVersion(now)
 	}
 }
 
-func (l *instanceList) withdraw(now time.Time, id string) {
+func (l *instanceList) deregister(now time.Time, id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.byID, id)
-	l.change(now)
+	l.addVersion(now)
 }
 
-func (l *instanceList) change(now time.Time) {
+func (l *instanceList) addVersion(now time.Time) {
 	instances := make([]galenastair.ListedInstance, 0, len(l.byID))
 	for _, in := range l.byID {
 		instances = append(instances, in.ListedInstance)
@@ -64,69 +65,71 @@
 	l.versions = append(l.versions, listVersion{now, instances})
 }
 
-// view returns the list as it was a lag ago; frozen keeps it from moving on.
-func (l *instanceList) view(now time.Time, sw Switches) []galenastair.ListedInstance {
+// read returns the list as of ListLag ago. With ListFrozen it keeps returning the same
+// version.
+func (l *instanceList) read(now time.Time, faults Switches) []galenastair.ListedInstance {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.dropSilent(now, sw.SilentAfter)
-	if sw.ListFrozen {
+	l.removeExpired(now, faults.SilentAfter)
+	if faults.ListFrozen {
 		return l.versions[0].instances
 	}
-	for len(l.versions) > 1 && now.Sub(l.versions[1].from) >= sw.ListLag {
+	for len(l.versions) > 1 && now.Sub(l.versions[1].createdAt) >= faults.ListLag {
 		l.versions = l.versions[1:]
 	}
 	return l.versions[0].instances
 }
 
-func (l *instanceList) dropSilent(now time.Time, after time.Duration) {
+func (l *instanceList) removeExpired(now time.Time, after time.Duration) {
 	dropped := false
 	for id, in := range l.byID {
-		if now.Sub(in.seen) > after {
+		if now.Sub(in.lastHeartbeat) > after {
 			delete(l.byID, id)
 			dropped = true
 		}
 	}
 	if dropped {
-		l.change(now)
+		l.addVersion(now)
 	}
 }
 
-func (p *Platform) listOut(w http.ResponseWriter) bool {
-	sw, _ := p.board.get()
-	if sw.ListOutage {
-		http.Error(w, "outage", http.StatusServiceUnavailable)
+func (p *Platform) handleListOutage(w http.ResponseWriter) bool {
+	faults, _ := p.faults.get()
+	if faults.ListOutage {
+		http.Error(w, "instance list outage", http.StatusServiceUnavailable)
 	}
-	return sw.ListOutage
+	return faults.ListOutage
 }
 
 func (p *Platform) postInstance(w http.ResponseWriter, r *http.Request) {
 	var in galenastair.ListedInstance
 	if err := json.NewDecoder(r.Body).Decode(&in); err != nil || in.ID == "" || in.Address == "" {
-		http.Error(w, "an instance needs an ID and an Address", http.StatusBadRequest)
+		http.Error(w, "instance list entry requires ID and Address", http.StatusBadRequest)
 		return
 	}
-	if p.listOut(w) {
+	if p.handleListOutage(w) {
 		return
 	}
-	p.list.announce(time.Now(), in)
+	p.list.heartbeat(time.Now(), in)
 	writeJSON(w, struct{}{})
 }
 
 func (p *Platform) deleteInstance(w http.ResponseWriter, r *http.Request) {
-	if p.listOut(w) {
+	if p.handleListOutage(w) {
 		return
 	}
-	p.list.withdraw(time.Now(), mux.Vars(r)["id"])
+	p.list.deregister(time.Now(), mux.Vars(r)["id"])
 	writeJSON(w, struct{}{})
 }
 
-// getInstances gives the list a tag, by which readers need not read it again.
+// getInstances returns the list with an ETag and supports If-None-Match, so that clients
+// do not transfer an unchanged list again.
 func (p *Platform) getInstances(w http.ResponseWriter, r *http.Request) {
-	if p.listOut(w) {
+	if p.handleListOutage(w) {
 		return
 	}
-	sw, _ := p.board.get()
-	body, err := json.Marshal(wire.ListAnswer{Instances: p.list.view(time.Now(), sw)})
+	faults, _ := p.faults.get()
+	body, err := json.Marshal(wire.ListAnswer{Instances: p.list.read(time.Now(), faults)})
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
--- a/standin/platform/log.go
+++ b/standin/platform/log.go
@@ -23,20 +23,20 @@
 	return s
 }
 
-// inOutage answers for the log while it is out and says whether it did. A request
-// that hung is dropped when the outage ends: whether it would act then must not
-// depend on how soon the end of its connection is seen.
-func (p *Platform) inOutage(w http.ResponseWriter, r *http.Request) bool {
+// handleOutage applies a log outage to a request and reports whether it has responded.
+// A request that hung is dropped when the outage ends. Otherwise it would take effect or
+// not depending on how soon the server detects that the client has disconnected.
+func (p *Platform) handleOutage(w http.ResponseWriter, r *http.Request) bool {
 	for hung := false; ; hung = true {
-		sw, changed := p.board.get()
-		switch sw.Outage {
+		faults, changed := p.faults.get()
+		switch faults.Outage {
 		case NoOutage:
 			if hung {
 				panic(http.ErrAbortHandler)
 			}
 			return false
 		case Refuse:
-			http.Error(w, "outage", http.StatusServiceUnavailable)
+			http.Error(w, "log outage", http.StatusServiceUnavailable)
 			return true
 		}
 		select {
@@ -53,22 +53,23 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if p.inOutage(w, r) {
+	if p.handleOutage(w, r) {
 		return
 	}
-	sw, _ := p.board.get()
-	if !p.allowAppend(sw) {
-		http.Error(w, "too many appends", http.StatusTooManyRequests)
+	faults, _ := p.faults.get()
+	if !p.allowAppend(faults) {
+		http.Error(w, "append rate limit exceeded", http.StatusTooManyRequests)
 		return
 	}
-	if sw.AppendDelay > 0 {
-		// a slow store acts even after its client has given up
-		time.Sleep(sw.AppendDelay)
+	if faults.AppendDelay > 0 {
+		// The sleep ignores the request's context: a delayed append takes effect even after
+		// its client has timed out.
+		time.Sleep(faults.AppendDelay)
 	}
 	s := p.stream(mux.Vars(r)["stream"])
 	offset := s.append(time.Now(), data)
-	s.expire(time.Now(), sw)
-	if sw.losesAnswer() {
+	s.expire(time.Now(), faults)
+	if faults.losesResponse() {
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(w, wire.AppendAnswer{Offset: offset})
@@ -77,26 +78,26 @@
 func (p *Platform) readRecords(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
-		http.Error(w, "from: "+err.Error(), http.StatusBadRequest)
+		http.Error(w, "query parameter from: "+err.Error(), http.StatusBadRequest)
 		return
 	}
 	wait, err := time.ParseDuration(r.URL.Query().Get("wait"))
 	if err != nil {
-		http.Error(w, "wait: "+err.Error(), http.StatusBadRequest)
+		http.Error(w, "query parameter wait: "+err.Error(), http.StatusBadRequest)
 		return
 	}
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
 	for waiting := true; ; {
-		if p.inOutage(w, r) {
+		if p.handleOutage(w, r) {
 			return
 		}
-		sw, changed := p.board.get()
+		faults, changed := p.faults.get()
 		s := p.stream(mux.Vars(r)["stream"])
-		s.expire(time.Now(), sw)
+		s.expire(time.Now(), faults)
 		b, appended := s.read(galenastair.Offset(from))
 		if galenastair.Offset(from) < b.First {
-			http.Error(w, "expired", http.StatusGone)
+			http.Error(w, "records have expired", http.StatusGone)
 			return
 		}
 		if len(b.Records) > 0 || !waiting {
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -12,47 +12,47 @@
 	"galenastair"
 )
 
-// appendBurst lets a few appends come at one moment without a refusal.
+// appendBurst is the burst of the append rate limiter, in appends.
 const appendBurst = 20
 
-// Platform is the stand-in.
+// Platform is a fake platform.
 type Platform struct {
-	board     *board
-	list      *instanceList
-	store     *weightStore
-	catalogue []galenastair.Weight
-
-	mu      sync.Mutex
-	streams map[string]*stream
-	appends *rate.Limiter
+	faults      *faultState
+	list        *instanceList
+	weightStore *weightStore
+	catalogue   []galenastair.Weight
+
+	mu            sync.Mutex
+	streams       map[string]*stream
+	appendLimiter *rate.Limiter
 }
 
-// Option changes how a platform is made.
+// Option configures a Platform.
 type Option func(*Platform)
 
-// WithSwitches sets the switches that it starts with.
+// WithFaults sets the faults in effect at the start.
 func WithSwitches(s Switches) Option {
-	return func(p *Platform) { p.board = newBoard(s) }
+	return func(p *Platform) { p.faults = newFaultState(s) }
 }
 
-// WithCatalogue sets what its weight store holds.
+// WithCatalogue sets the weights in the weight store.
 func WithCatalogue(weights []galenastair.Weight) Option {
 	return func(p *Platform) { p.catalogue = weights }
 }
 
-// WithStoreSpeed sets how fast its weight store is.
+// WithWeightStore sets the load times and the concurrency of the weight store.
 func WithStoreSpeed(s StoreSpeed) Option {
-	return func(p *Platform) { p.store.speed = s }
+	return func(p *Platform) { p.weightStore.config = s }
 }
 
-// New returns a platform that holds nothing yet.
+// New returns a platform with an empty log and an empty instance list.
 func New(opts ...Option) *Platform {
 	p := &Platform{
-		board:   newBoard(DefaultSwitches()),
-		list:    newInstanceList(),
-		store:   &weightStore{speed: DefaultStoreSpeed()},
-		streams: map[string]*stream{},
-		appends: rate.NewLimiter(0, appendBurst),
+		faults:        newFaultState(DefaultSwitches()),
+		list:          newInstanceList(),
+		weightStore:   &weightStore{config: DefaultStoreSpeed()},
+		streams:       map[string]*stream{},
+		appendLimiter: rate.NewLimiter(0, appendBurst),
 	}
 	for _, opt := range opts {
 		opt(p)
@@ -60,25 +60,25 @@
 	return p
 }
 
-// Switch changes switches while the platform runs.
+// UpdateFaults changes the faults while the platform runs.
 func (p *Platform) Switch(f func(*Switches)) {
-	_ = p.board.change(func(s *Switches) error { f(s); return nil })
+	_ = p.faults.update(func(s *Switches) error { f(s); return nil })
 }
 
-func (p *Platform) allowAppend(sw Switches) bool {
-	if sw.AppendsPerSecond <= 0 {
+func (p *Platform) allowAppend(faults Switches) bool {
+	if faults.AppendsPerSecond <= 0 {
 		return true
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.appends.Limit() != rate.Limit(sw.AppendsPerSecond) {
-		p.appends.SetLimit(rate.Limit(sw.AppendsPerSecond))
+	if p.appendLimiter.Limit() != rate.Limit(faults.AppendsPerSecond) {
+		p.appendLimiter.SetLimit(rate.Limit(faults.AppendsPerSecond))
 	}
-	return p.appends.Allow()
+	return p.appendLimiter.Allow()
 }
 
-// HandlerUntil serves like Handler, and ends what still waits when the context
-// ends, so that a process with open long polls can stop.
+// HandlerWithContext returns a handler like Handler that also cancels open requests when
+// ctx is cancelled, so that long polls do not delay the shutdown of the process.
 func (p *Platform) HandlerUntil(ctx context.Context) http.Handler {
 	h := p.Handler()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -89,7 +89,7 @@
 	})
 }
 
-// Handler serves the platform's wire forms.
+// Handler returns the platform's HTTP handler.
 func (p *Platform) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/streams/{stream}/records", p.appendRecord).Methods(http.MethodPost)
@@ -100,13 +100,13 @@
 	r.HandleFunc("/catalogue", p.getCatalogue).Methods(http.MethodGet)
 	r.HandleFunc("/loads", p.postLoad).Methods(http.MethodPost)
 	r.HandleFunc("/loads", p.getLoads).Methods(http.MethodGet)
-	r.HandleFunc("/switches", p.postSwitches).Methods(http.MethodPost)
-	r.HandleFunc("/switches", p.getSwitches).Methods(http.MethodGet)
+	r.HandleFunc("/switches", p.postFaults).Methods(http.MethodPost)
+	r.HandleFunc("/switches", p.getFaults).Methods(http.MethodGet)
 	return r
 }
 
-func (p *Platform) postSwitches(w http.ResponseWriter, r *http.Request) {
-	err := p.board.change(func(s *Switches) error {
+func (p *Platform) postFaults(w http.ResponseWriter, r *http.Request) {
+	err := p.faults.update(func(s *Switches) error {
 		changed := *s
 		d := json.NewDecoder(r.Body)
 		d.DisallowUnknownFields()
@@ -120,12 +120,12 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	p.getSwitches(w, r)
+	p.getFaults(w, r)
 }
 
-func (p *Platform) getSwitches(w http.ResponseWriter, _ *http.Request) {
-	sw, _ := p.board.get()
-	writeJSON(w, sw)
+func (p *Platform) getFaults(w http.ResponseWriter, _ *http.Request) {
+	faults, _ := p.faults.get()
+	writeJSON(w, faults)
 }
 
 func writeJSON(w http.ResponseWriter, v any) {
--- a/standin/platform/stream.go
+++ b/standin/platform/stream.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	// maxRecords and maxBytes bound one read, so that a long stream comes in parts.
+	// maxRecords and maxBytes limit one read, so that a long stream is read in several
+	// batches. maxBytes also limits one appended record.
 	maxRecords = 500
 	maxBytes   = 4 << 20
 )
 
-type keptRecord struct {
+type storedRecord struct {
 	galenastair.LogRecord
 	at time.Time
 }
 
-// stream is one append-only sequence of records.
+// stream is an append-only sequence of records.
 type stream struct {
 	mu       sync.Mutex
-	records  []keptRecord
+	records  []storedRecord
 	next     galenastair.Offset
 	appended chan struct{}
 }
@@ -34,21 +35,21 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := galenastair.LogRecord{Offset: s.next, Data: data}
-	s.records = append(s.records, keptRecord{r, now})
+	s.records = append(s.records, storedRecord{r, now})
 	s.next++
 	close(s.appended)
 	s.appended = make(chan struct{})
 	return r.Offset
 }
 
-// expire drops what is kept no longer.
-func (s *stream) expire(now time.Time, sw Switches) {
+// expire removes records beyond the retention limits.
+func (s *stream) expire(now time.Time, faults Switches) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	drop := 0
 	for i, r := range s.records {
-		tooMany := sw.KeepRecords > 0 && len(s.records)-i > sw.KeepRecords
-		tooOld := sw.KeepFor > 0 && now.Sub(r.at) > sw.KeepFor
+		tooMany := faults.KeepRecords > 0 && len(s.records)-i > faults.KeepRecords
+		tooOld := faults.KeepFor > 0 && now.Sub(r.at) > faults.KeepFor
 		if !tooMany && !tooOld {
 			break
 		}
@@ -57,7 +58,8 @@
 	s.records = s.records[drop:]
 }
 
-// read returns records from an offset on and a channel closed at the next append.
+// read returns the records from an offset on, and a channel that is closed at the next
+// append.
 func (s *stream) read(from galenastair.Offset) (galenastair.Batch, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/platform/switches.go
+++ b/standin/platform/switches.go
@@ -6,42 +6,45 @@
 	"time"
 )
 
-// Outage says how the log fails.
+// Outage is the failure mode of the log.
 type Outage string
 
-// The ways in which the log fails.
+// Failure modes of the log.
 const (
-	// NoOutage is normal service.
+	// OutageNone is normal service.
 	NoOutage Outage = ""
-	// Refuse answers 503 before acting.
+	// OutageRefuse responds 503 without executing the request.
 	Refuse Outage = "Refuse"
-	// Hang takes requests and neither acts nor answers while it lasts.
+	// OutageHang accepts requests, and neither executes nor answers them.
 	Hang Outage = "Hang"
 )
 
-// Switches are what a test changes while the platform runs.
+// Faults holds the faults to inject and the limits of the platform. They can be changed
+// while the platform runs.
 type Switches struct {
 	Outage Outage
-	// ListOutage makes the instance list answer 503.
+	// ListOutage makes the instance list respond 503.
 	ListOutage bool
-	// LostAnswers is the share of appends whose answer is cut after the effect.
+	// LostAnswers is the fraction of appends, 0 to 1, that take effect and whose connection
+	// is then closed without a response.
 	LostAnswers float64
-	// AppendDelay passes before each append takes effect.
+	// AppendDelay is the delay before each append takes effect.
 	AppendDelay time.Duration
-	// AppendsPerSecond limits appends; above it they get 429.
+	// AppendsPerSecond limits the rate of appends; excess appends get status 429. 0 is no
+	// limit.
 	AppendsPerSecond float64
-	// KeepRecords and KeepFor limit what a stream keeps; zero keeps all.
+	// KeepRecords and KeepFor are the retention limits of a stream; 0 is no limit.
 	KeepRecords int
 	KeepFor     time.Duration
-	// ListLag is how old the list is that readers see.
+	// ListLag is the age of the list that readers get.
 	ListLag time.Duration
-	// ListFrozen makes readers see the same list for ever.
+	// ListFrozen makes readers get the same list as long as it is set.
 	ListFrozen bool
-	// SilentAfter is when an instance without heartbeats drops off the list.
+	// SilentAfter is how long an instance stays on the list without a heartbeat.
 	SilentAfter time.Duration
 }
 
-// DefaultSwitches are those of a platform in good health.
+// DefaultFaults returns the configuration of a platform without faults.
 func DefaultSwitches() Switches {
 	return Switches{
 		AppendsPerSecond: 400,
@@ -50,34 +53,34 @@
 	}
 }
 
-// board holds the switches and the channel that is closed at their next change.
-type board struct {
+// faultState holds the current faults and a channel that is closed when they change.
+type faultState struct {
 	mu      sync.Mutex
-	now     Switches
+	current Switches
 	changed chan struct{}
 }
 
-func newBoard(s Switches) *board {
-	return &board{now: s, changed: make(chan struct{})}
+func newFaultState(s Switches) *faultState {
+	return &faultState{current: s, changed: make(chan struct{})}
 }
 
-func (b *board) get() (Switches, <-chan struct{}) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.now, b.changed
+func (f *faultState) get() (Switches, <-chan struct{}) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.current, f.changed
 }
 
-func (b *board) change(f func(*Switches) error) error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if err := f(&b.now); err != nil {
+func (f *faultState) update(change func(*Switches) error) error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if err := change(&f.current); err != nil {
 		return err
 	}
-	close(b.changed)
-	b.changed = make(chan struct{})
+	close(f.changed)
+	f.changed = make(chan struct{})
 	return nil
 }
 
-func (s Switches) losesAnswer() bool {
+func (s Switches) losesResponse() bool {
 	return s.LostAnswers > 0 && rand.Float64() < s.LostAnswers
 }
--- a/standin/platform/weights.go
+++ b/standin/platform/weights.go
@@ -10,18 +10,20 @@
 	wire "galenastair/logservice"
 )
 
-// StoreSpeed says what the weight store stands.
+// WeightStoreConfig sets the load times and the concurrency of the weight store.
 type StoreSpeed struct {
-	// ModelLoad is how long one model takes at full speed.
+	// ModelLoadTime is the time to load one model at full speed.
 	ModelLoad time.Duration
-	// ModelsAtOnce load at full speed; more of them share that speed.
+	// ConcurrentModels is the number of models that load at full speed together. Further
+	// ones share that bandwidth.
 	ModelsAtOnce int
-	// AdapterLoad is how long one adapter takes while at most AdaptersAtOnce are in flight.
+	// AdapterLoadTime is the time to load one adapter while at most ConcurrentAdapters are
+	// loading.
 	AdapterLoad    time.Duration
 	AdaptersAtOnce int
 }
 
-// DefaultStoreSpeed is Himalbyte's weight store.
+// DefaultWeightStoreConfig returns the characteristics of Himalbyte's weight store.
 func DefaultStoreSpeed() StoreSpeed {
 	return StoreSpeed{
 		ModelLoad:      time.Second,
@@ -31,22 +33,24 @@
 	}
 }
 
-// LoadCounts counts what engines have fetched.
+// LoadStats counts loads from the weight store: in total, current, and the maximum at one
+// time.
 type LoadCounts struct {
 	Models, Adapters         int
 	ModelsNow, AdaptersNow   int
 	ModelsMost, AdaptersMost int
 }
 
-// weightStore delays loads; beyond its width a load takes longer by the excess.
+// weightStore simulates load times. Above the configured concurrency, the time of a load
+// grows in proportion to the loads in progress.
 type weightStore struct {
-	speed  StoreSpeed
+	config StoreSpeed
 	mu     sync.Mutex
 	counts LoadCounts
 }
 
-// begin counts a load and returns how long it will take.
-func (s *weightStore) begin(w galenastair.Weight) time.Duration {
+// startLoad counts a load and returns its duration.
+func (s *weightStore) startLoad(w galenastair.Weight) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := &s.counts
@@ -54,22 +58,22 @@
 		c.Adapters++
 		c.AdaptersNow++
 		c.AdaptersMost = max(c.AdaptersMost, c.AdaptersNow)
-		return slowed(s.speed.AdapterLoad, c.AdaptersNow, s.speed.AdaptersAtOnce)
+		return loadDuration(s.config.AdapterLoad, c.AdaptersNow, s.config.AdaptersAtOnce)
 	}
 	c.Models++
 	c.ModelsNow++
 	c.ModelsMost = max(c.ModelsMost, c.ModelsNow)
-	return slowed(s.speed.ModelLoad, c.ModelsNow, s.speed.ModelsAtOnce)
+	return loadDuration(s.config.ModelLoad, c.ModelsNow, s.config.ModelsAtOnce)
 }
 
-func slowed(full time.Duration, now, width int) time.Duration {
-	if now <= width {
-		return full
+func loadDuration(fullSpeed time.Duration, inFlight, concurrency int) time.Duration {
+	if inFlight <= concurrency {
+		return fullSpeed
 	}
-	return full * time.Duration(now) / time.Duration(width)
+	return fullSpeed * time.Duration(inFlight) / time.Duration(concurrency)
 }
 
-func (s *weightStore) end(w galenastair.Weight) {
+func (s *weightStore) endLoad(w galenastair.Weight) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if w.Base != "" {
@@ -85,19 +89,19 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	takes := p.store.begin(weight)
-	defer p.store.end(weight)
+	duration := p.weightStore.startLoad(weight)
+	defer p.weightStore.endLoad(weight)
 	select {
-	case <-time.After(takes):
+	case <-time.After(duration):
 		writeJSON(w, weight)
 	case <-r.Context().Done():
 	}
 }
 
 func (p *Platform) getLoads(w http.ResponseWriter, _ *http.Request) {
-	p.store.mu.Lock()
-	counts := p.store.counts
-	p.store.mu.Unlock()
+	p.weightStore.mu.Lock()
+	counts := p.weightStore.counts
+	p.weightStore.mu.Unlock()
 	writeJSON(w, counts)
 }
 
