--- a/standin/metastore/doc.go
+++ b/standin/metastore/doc.go
@@ -1,4 +1,4 @@
-// Package metastore stands in for the users' platform's metadata store: topics with
-// partitions, the newest record of each key, groups with members, and faults as
-// switches. It keeps everything in memory and speaks the platform's own protocol.
+// Package metastore is a fake of the metadata store of the users' platform: topics, the
+// latest record of each key, idempotent producers, and fault injection. It implements
+// the platform's own protocol. All state is in memory.
 package metastore
--- a/standin/metastore/log.go
+++ b/standin/metastore/log.go
@@ -11,13 +11,12 @@
 	"time"
 )
 
-// answer writes a JSON body.
-func answer(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-func number(r *http.Request, name string) int64 {
+func queryInt(r *http.Request, name string) int64 {
 	n, _ := strconv.ParseInt(r.URL.Query().Get(name), 10, 64)
 	return n
 }
@@ -39,45 +38,48 @@
 		body = body[4+n:]
 	}
 	s.mu.Lock()
-	end, there := s.endsThere(r)
-	if !there {
+	end, matches := s.checkEnd(r)
+	if !matches {
 		s.mu.Unlock()
 		w.WriteHeader(http.StatusPreconditionFailed)
-		answer(w, map[string]int64{"end": end})
+		writeJSON(w, map[string]int64{"end": end})
 		return
 	}
-	offset, refused := s.appendNumbered(r, records)
+	offset, refused := s.appendIdempotent(r, records)
 	s.mu.Unlock()
 	if refused != nil {
 		w.WriteHeader(http.StatusConflict)
-		answer(w, refused)
+		writeJSON(w, refused)
 		return
 	}
-	answer(w, map[string]int64{"offset": offset, "end": offset + int64(len(records))})
+	writeJSON(w, map[string]int64{"offset": offset, "end": offset + int64(len(records))})
 }
 
-// endsThere says whether a topic ends where the call presumes it to, if it does, and where.
-func (s *Store) endsThere(r *http.Request) (int64, bool) {
+// checkEnd returns the end offset of a topic. It reports false if the request names the
+// end that it expects, as the query parameter at, and the topic ends elsewhere.
+func (s *Store) checkEnd(r *http.Request) (int64, bool) {
 	t := s.topic(r.URL.Query().Get("topic"))
 	end := t.first + int64(len(t.records))
-	return end, !r.URL.Query().Has("at") || number(r, "at") == end
+	return end, !r.URL.Query().Has("at") || queryInt(r, "at") == end
 }
 
 // producer is the state of one producer's writes to a topic.
 type producer struct {
 	epoch, sequence int64
-	// offset is that of the last write.
+	// offset is the offset of the first record of the last write.
 	offset int64
 }
 
-// appendNumbered appends, once for each number of a producer, if the call names one.
-func (s *Store) appendNumbered(r *http.Request, records [][]byte) (int64, map[string]any) {
+// appendIdempotent appends records. If the request names a producer, a repeated sequence
+// number appends nothing and returns the offset of the first write, and an older epoch is
+// fenced off.
+func (s *Store) appendIdempotent(r *http.Request, records [][]byte) (int64, map[string]any) {
 	name, topic := r.URL.Query().Get("producer"), r.URL.Query().Get("topic")
 	if name == "" {
 		return s.append(topic, records), nil
 	}
 	key := topic + "/" + name
-	epoch, sequence := number(r, "epoch"), number(r, "sequence")
+	epoch, sequence := queryInt(r, "epoch"), queryInt(r, "sequence")
 	p, known := s.producers[key]
 	switch {
 	case known && epoch < p.epoch:
@@ -93,21 +95,21 @@
 }
 
 func (s *Store) handleRead(w http.ResponseWriter, r *http.Request) {
-	from := number(r, "from")
-	deadline := time.Now().Add(time.Duration(number(r, "wait-ms")) * time.Millisecond)
+	from := queryInt(r, "from")
+	deadline := time.Now().Add(time.Duration(queryInt(r, "wait-ms")) * time.Millisecond)
 	for {
 		s.mu.Lock()
 		t := s.topic(r.URL.Query().Get("topic"))
 		first, end, changed := t.first, t.first+int64(len(t.records)), s.changed
 		var data []byte
 		if from >= first && from < end {
-			data = frame(t.records[from-first:])
+			data = encodeRecords(t.records[from-first:])
 		}
 		s.mu.Unlock()
 		switch {
 		case from < first:
 			w.WriteHeader(http.StatusGone)
-			answer(w, map[string]int64{"first": first})
+			writeJSON(w, map[string]int64{"first": first})
 			return
 		case len(data) > 0 || !time.Now().Before(deadline):
 			head := binary.BigEndian.AppendUint64(nil, uint64(end))
@@ -124,7 +126,7 @@
 	}
 }
 
-func frame(records [][]byte) []byte {
+func encodeRecords(records [][]byte) []byte {
 	var out []byte
 	for _, data := range records {
 		out = binary.BigEndian.AppendUint32(out, uint32(len(data)))
@@ -133,17 +135,17 @@
 	return out
 }
 
-// page is how many records one answer with the newest holds; small, so that tests see
-// more than one page.
-const page = 5
+// pageSize is the maximum number of latest records in one response. It is small, so that
+// tests need more than one page.
+const pageSize = 5
 
 func (s *Store) handleNewest(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.topic(r.URL.Query().Get("topic"))
-	from, end := t.newest, t.first+int64(len(t.records))
-	if s.switches.Stale {
-		from, end = t.old, max(0, end-1)
+	from, end := t.latest, t.first+int64(len(t.records))
+	if s.faults.Stale {
+		from, end = t.previous, max(0, end-1)
 	}
 	keys := make([]string, 0, len(from))
 	for k := range from {
@@ -152,10 +154,10 @@
 		}
 	}
 	sort.Strings(keys)
-	more := len(keys) > page
+	more := len(keys) > pageSize
 	items := []map[string]any{}
-	for _, k := range keys[:min(page, len(keys))] {
+	for _, k := range keys[:min(pageSize, len(keys))] {
 		items = append(items, map[string]any{"key": k, "value": base64.StdEncoding.EncodeToString(from[k].value), "offset": from[k].offset})
 	}
-	answer(w, map[string]any{"items": items, "more": more, "end": end})
+	writeJSON(w, map[string]any{"items": items, "more": more, "end": end})
 }
--- a/standin/metastore/store.go
+++ b/standin/metastore/store.go
@@ -8,23 +8,24 @@
 	"github.com/gorilla/mux"
 )
 
-// Switches are what a test changes while the store runs.
+// Faults are the faults to inject. They can be changed while the store runs.
 type Switches struct {
-	// Refuse answers 503 to every call: nothing was done.
+	// Refuse responds 503 without executing the request.
 	Refuse bool
-	// Silent gives no answer and does nothing.
+	// Hang neither executes nor answers requests.
 	Silent bool
-	// LoseAnswers does what is asked and cuts the connection instead of answering.
+	// DropResponses executes requests and closes the connection without a response.
 	LoseAnswers bool
-	// Only limits Refuse and LoseAnswers to the calls of one path.
+	// OnlyPath limits Refuse and DropResponses to requests with this path. Empty is no limit.
 	Only string
-	// Delay passes before each answer.
+	// Delay is the delay before each request is executed.
 	Delay time.Duration
-	// Stale makes reads of the newest records answer from the state of that long ago.
+	// StaleReads makes reads of the latest records return the state before the last append
+	// to the topic.
 	Stale bool
 }
 
-type record struct {
+type keyedRecord struct {
 	key   string
 	value []byte
 }
@@ -32,47 +33,48 @@
 type topic struct {
 	first   int64
 	records [][]byte
-	// old is what the newest records were before the last change.
-	newest, old map[string]entry
+	// latest is the latest record of each key; previous is latest before the last append.
+	latest, previous map[string]latestRecord
 }
 
-type entry struct {
-	record
+type latestRecord struct {
+	keyedRecord
 	offset int64
 }
 
-// Store is the stand-in.
+// Store is a fake metadata store.
 type Store struct {
-	mu       sync.Mutex
-	switches Switches
-	topics   map[string]*topic
-	// producers are those of numbered writes, by topic and name.
-	producers map[string]producer
-	changed   chan struct{}
-	calls     map[string]int
+	mu     sync.Mutex
+	faults Switches
+	topics map[string]*topic
+	// producers holds the state of idempotent producers, by "topic/name".
+	producers  map[string]producer
+	changed    chan struct{}
+	callCounts map[string]int
 }
 
 // New returns an empty store.
 func New() *Store {
-	return &Store{topics: map[string]*topic{}, producers: map[string]producer{}, changed: make(chan struct{}), calls: map[string]int{}}
+	return &Store{topics: map[string]*topic{}, producers: map[string]producer{}, changed: make(chan struct{}), callCounts: map[string]int{}}
 }
 
-// Switch changes the switches.
+// UpdateFaults changes the injected faults.
 func (s *Store) Switch(f func(*Switches)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f(&s.switches)
+	f(&s.faults)
 }
 
-// Calls returns how often a path was called, or one topic of it: "/v1/log-append?keyed.x".
+// CallCount returns the number of requests to a path such as "/v1/log-append", or to one
+// topic of it, "/v1/log-append?keyed.x".
 func (s *Store) Calls(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.calls[path]
+	return s.callCounts[path]
 }
 
-// Put writes the newest value of a key, as the operator or a backend server does; an
-// empty value drops the key.
+// Put writes the latest value of a key, as the operator or a backend server does. An
+// empty value deletes the key.
 func (s *Store) Put(name, key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,7 +82,8 @@
 	s.append(name, [][]byte{append(data, value...)})
 }
 
-// Compact drops the history of a topic; its newest records stay.
+// Compact removes all records of a topic; the latest record of each key can still be read
+// from /v1/log-newest.
 func (s *Store) Compact(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,27 +95,27 @@
 func (s *Store) topic(name string) *topic {
 	t := s.topics[name]
 	if t == nil {
-		t = &topic{newest: map[string]entry{}, old: map[string]entry{}}
+		t = &topic{latest: map[string]latestRecord{}, previous: map[string]latestRecord{}}
 		s.topics[name] = t
 	}
 	return t
 }
 
-// append adds records and returns the offset of the first.
+// append adds records and returns the offset of the first one. The caller holds mu.
 func (s *Store) append(name string, records [][]byte) int64 {
 	t := s.topic(name)
 	offset := t.first + int64(len(t.records))
-	t.old = map[string]entry{}
-	for k, e := range t.newest {
-		t.old[k] = e
+	t.previous = map[string]latestRecord{}
+	for k, e := range t.latest {
+		t.previous[k] = e
 	}
 	for i, data := range records {
 		t.records = append(t.records, data)
-		r := decodeKeyed(data)
+		r := decodeRecord(data)
 		if len(r.value) == 0 {
-			delete(t.newest, r.key)
+			delete(t.latest, r.key)
 		} else {
-			t.newest[r.key] = entry{r, offset + int64(i)}
+			t.latest[r.key] = latestRecord{r, offset + int64(i)}
 		}
 	}
 	close(s.changed)
@@ -120,15 +123,15 @@
 	return offset
 }
 
-func decodeKeyed(data []byte) record {
+func decodeRecord(data []byte) keyedRecord {
 	if len(data) == 0 || int(data[0]) > len(data)-1 {
-		return record{}
+		return keyedRecord{}
 	}
 	n := int(data[0])
-	return record{string(data[1 : 1+n]), data[1+n:]}
+	return keyedRecord{string(data[1 : 1+n]), data[1+n:]}
 }
 
-// Handler returns the store's HTTP side.
+// Handler returns the store's HTTP handler.
 func (s *Store) Handler() http.Handler {
 	r := mux.NewRouter()
 	for path, h := range map[string]http.HandlerFunc{
@@ -136,31 +139,31 @@
 		"/v1/log-read":   s.handleRead,
 		"/v1/log-newest": s.handleNewest,
 	} {
-		r.Path(path).HandlerFunc(s.faulty(path, h))
+		r.Path(path).HandlerFunc(s.withFaults(path, h))
 	}
 	return r
 }
 
-func (s Switches) hits(path string) bool { return s.Only == "" || s.Only == path }
+func (s Switches) appliesTo(path string) bool { return s.Only == "" || s.Only == path }
 
-// faulty puts a call through the switches.
-func (s *Store) faulty(path string, next http.HandlerFunc) http.HandlerFunc {
+// withFaults applies the injected faults to a handler.
+func (s *Store) withFaults(path string, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
-		sw := s.switches
-		s.calls[path]++
-		s.calls[path+"?"+r.URL.Query().Get("topic")]++
+		faults := s.faults
+		s.callCounts[path]++
+		s.callCounts[path+"?"+r.URL.Query().Get("topic")]++
 		s.mu.Unlock()
-		if sw.Delay > 0 {
-			time.Sleep(sw.Delay)
+		if faults.Delay > 0 {
+			time.Sleep(faults.Delay)
 		}
 		switch {
-		case sw.Refuse && sw.hits(path):
+		case faults.Refuse && faults.appliesTo(path):
 			w.WriteHeader(http.StatusServiceUnavailable)
-		case sw.Silent:
+		case faults.Silent:
 			<-r.Context().Done()
-		case sw.LoseAnswers && sw.hits(path):
-			next(&discard{header: http.Header{}}, r)
+		case faults.LoseAnswers && faults.appliesTo(path):
+			next(&discardWriter{header: http.Header{}}, r)
 			panic(http.ErrAbortHandler)
 		default:
 			next(w, r)
@@ -168,9 +171,9 @@
 	}
 }
 
-// discard takes an answer that is lost.
-type discard struct{ header http.Header }
+// discardWriter is a http.ResponseWriter that discards the response.
+type discardWriter struct{ header http.Header }
 
-func (d *discard) Header() http.Header         { return d.header }
-func (d *discard) Write(p []byte) (int, error) { return len(p), nil }
-func (d *discard) WriteHeader(int)             {}
+func (d *discardWriter) Header() http.Header         { return d.header }
+func (d *discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (d *discardWriter) WriteHeader(int)             {}
