--- a/standin/replica/doc.go
+++ b/standin/replica/doc.go
@@ -1,5 +1,6 @@
-// Package replica stands in for the users' backend servers: it answers requests, plain
-// or as a stream of events, takes orders to load and unload, reports its state and
-// registers itself. Faults are switches. It checks what it is sent as the real ones do:
-// the instance that is expected, the model, the memory.
+// Package replica is a fake of the users' backend servers. It answers requests with a body
+// or with an event stream, executes orders to load and unload models, reports its state,
+// and provides the value of its registration. Faults can be injected. As a real server
+// does, it checks the expected instance and the model of each request, and the capacity
+// that an order needs.
 package replica
--- a/standin/replica/order.go
+++ b/standin/replica/order.go
@@ -6,7 +6,7 @@
 	"sort"
 )
 
-type orderCall struct {
+type orderRequest struct {
 	Op       string `json:"op"`
 	Model    string `json:"model"`
 	Adapter  string `json:"adapter"`
@@ -15,26 +15,26 @@
 	Fence    int64  `json:"fence"`
 }
 
-func (r *Replica) order(w http.ResponseWriter, req *http.Request) {
-	if r.elsewhere(w, req) {
+func (r *Replica) postOrder(w http.ResponseWriter, req *http.Request) {
+	if r.rejectMisdirected(w, req) {
 		return
 	}
-	var c orderCall
+	var c orderRequest
 	if json.NewDecoder(req.Body).Decode(&c) != nil || c.Holder == "" {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	r.mu.Lock()
-	status, lose := r.take(c), r.switches.LoseOrders
+	status, dropResponse := r.applyOrder(c), r.faults.LoseOrders
 	r.mu.Unlock()
-	if lose {
+	if dropResponse {
 		panic(http.ErrAbortHandler)
 	}
 	w.WriteHeader(status)
 }
 
-// take carries an order out and returns the status of its answer.
-func (r *Replica) take(c orderCall) int {
+// applyOrder executes an order and returns the HTTP status of the response.
+func (r *Replica) applyOrder(c orderRequest) int {
 	switch {
 	case c.Fence < r.fence:
 		return http.StatusPreconditionFailed
@@ -46,7 +46,7 @@
 	if c.Adapter != "" {
 		name += "/" + c.Adapter
 	}
-	if r.holds(name) == (c.Op == "load") {
+	if r.isLoaded(name) == (c.Op == "load") {
 		return http.StatusOK
 	}
 	r.sequence++
@@ -64,18 +64,18 @@
 	default:
 		delete(r.models, c.Model)
 	}
-	r.checkRoom()
+	r.checkCapacity()
 	return http.StatusAccepted
 }
 
-// checkRoom notes an order that a real replica would crash of.
-func (r *Replica) checkRoom() {
+// checkCapacity records an order that would crash a real replica.
+func (r *Replica) checkCapacity() {
 	adapters := 0
 	for _, held := range r.models {
 		adapters += len(held)
 	}
 	if len(r.models) > r.settings.Places || adapters > r.settings.Adapters {
-		r.crashed = "ordered to hold more than it can"
+		r.crashReason = "order exceeds the capacity for models or adapters"
 	}
 }
 
@@ -85,7 +85,7 @@
 	Adapters []string `json:"adapters"`
 }
 
-func (r *Replica) list() []model {
+func (r *Replica) loadedModels() []model {
 	out := []model{}
 	for name, held := range r.models {
 		m := model{Name: name, Version: 1, Adapters: []string{}}
@@ -99,38 +99,39 @@
 	return out
 }
 
-func (r *Replica) report(w http.ResponseWriter, req *http.Request) {
-	if r.elsewhere(w, req) {
+func (r *Replica) getReport(w http.ResponseWriter, req *http.Request) {
+	if r.rejectMisdirected(w, req) {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(map[string]any{"models": r.list(), "busy": false, "sequence": r.sequence, "coming": []string{}})
+	_ = json.NewEncoder(w).Encode(map[string]any{"models": r.loadedModels(), "busy": false, "sequence": r.sequence, "coming": []string{}})
 }
 
-// RegistrationTopic is where replicas register.
+// RegistrationTopic is the topic of the store that holds the registrations of replicas.
 const RegistrationTopic = "keyed.servers"
 
-// Registration returns what it writes into the store: a new one each time.
+// Registration returns the value to write to the store. Each call increments its sequence
+// number.
 func (r *Replica) Registration() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.beat++
+	r.registrationSequence++
 	state := "ready"
 	if r.draining {
 		state = "draining"
 	}
 	body := map[string]any{
 		"service": r.settings.Service, "address": r.settings.Address, "zone": r.settings.Zone, "version": "v1",
-		"slots": r.settings.Slots, "state": state, "sequence": r.beat, "born": r.born,
+		"slots": r.settings.Slots, "state": state, "sequence": r.registrationSequence, "born": r.startedAtMillis,
 	}
 	if r.settings.Places > 0 {
-		body["models"] = r.list()
+		body["models"] = r.loadedModels()
 	}
 	data, err := json.Marshal(body)
 	if err != nil {
-		// the map holds nothing that can't be written
+		// Marshalling cannot fail: the map holds only strings, integers and lists of models.
 		panic(err)
 	}
 	return data
--- a/standin/replica/replica.go
+++ b/standin/replica/replica.go
@@ -11,96 +11,99 @@
 	"github.com/gorilla/mux"
 )
 
-// Switches are what a test changes while the replica runs.
+// Faults are the faults to inject. They can be changed while the replica runs.
 type Switches struct {
-	// Decline answers 503 with the word that nothing ran.
+	// Decline responds 503 with the header that states that the request was not executed.
 	Decline bool
-	// Fail answers 500.
+	// Fail executes the request and responds 500.
 	Fail bool
-	// CutAfter cuts a stream after so many events, in the middle of the next; 0 is never.
+	// CutAfter closes the connection of a stream after this many events, in the middle of
+	// the next one; 0 disables it.
 	CutAfter int
-	// Hang runs the request and never answers.
+	// Hang executes the request and never responds.
 	Hang bool
-	// Die closes the connection of a request that it runs, without an answer.
+	// CloseConnection executes the request and closes its connection without a response.
 	Die bool
-	// LoseOrders takes orders and gives no answer.
+	// DropOrderResponses executes orders and closes the connection without a response.
 	LoseOrders bool
-	// EventGap passes between two events.
+	// EventInterval is the delay after each event.
 	EventGap time.Duration
-	// Limit is the requests a second that it names in its answers; 0 names none.
+	// ServerLimit is the rate in requests per second that responses carry in the header
+	// Server-Limit; 0 omits the header.
 	Limit float64
 }
 
-// Run is one request that the replica ran.
+// Run is one execution of a request.
 type Run struct {
 	ID     string
 	Target string
 	Tenant string
 	Body   string
 	After  string
-	// Key says that a caller's key came with it.
+	// HasKey is set if the request had an Authorization header.
 	Key bool
-	// At is when it began.
+	// StartedAt is the start of the execution.
 	At time.Time
-	// Left says that the caller's side closed the connection before the end.
+	// Canceled is set if the client closed the connection before the end.
 	Left bool
 }
 
-// Settings say what a replica is.
+// Settings configures a Replica.
 type Settings struct {
 	ID      string
 	Service string
 	Address string
 	Zone    string
 	Slots   int
-	// Places is how many models, and adapters, it holds; 0 is a plain service.
+	// MaxModels and MaxAdapters are the capacity. A replica with MaxModels 0 is a plain
+	// service: its registration lists no models.
 	Places   int
 	Adapters int
 	Models   []string
-	// Events is how many a stream has.
+	// EventsPerStream is the number of events of a stream.
 	Events int
 }
 
-// Replica is the stand-in.
+// Replica is a fake backend server.
 type Replica struct {
-	settings Settings
-	born     int64
-
-	mu       sync.Mutex
-	switches Switches
-	models   map[string]map[string]bool
-	sequence int64
-	beat     int64
-	draining bool
-	fence    int64
-	crashed  string
-	runs     []*Run
+	settings        Settings
+	startedAtMillis int64
+
+	mu                   sync.Mutex
+	faults               Switches
+	models               map[string]map[string]bool
+	sequence             int64
+	registrationSequence int64
+	draining             bool
+	fence                int64
+	crashReason          string
+	runs                 []*Run
 }
 
-// New returns a replica.
+// New returns a replica with the models of the settings loaded.
 func New(s Settings) *Replica {
-	r := &Replica{settings: s, born: time.Now().UnixMilli(), models: map[string]map[string]bool{}}
+	r := &Replica{settings: s, startedAtMillis: time.Now().UnixMilli(), models: map[string]map[string]bool{}}
 	for _, m := range s.Models {
 		r.models[m] = map[string]bool{}
 	}
 	return r
 }
 
-// Switch changes the switches.
+// UpdateFaults changes the injected faults.
 func (r *Replica) Switch(f func(*Switches)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f(&r.switches)
+	f(&r.faults)
 }
 
-// Drain makes it register as leaving from now on.
+// Drain makes later registrations carry the state draining.
 func (r *Replica) Drain() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.draining = true
 }
 
-// Runs returns what it ran.
+// Runs returns the requests that the replica has executed.
 func (r *Replica) Runs() []Run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,24 +114,26 @@
 	return out
 }
 
-// Crashed returns why an order crashed it; empty if none did.
+// CrashReason returns the reason for which an order would have crashed a real server, or
+// "" if none would have.
 func (r *Replica) Crashed() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.crashed
+	return r.crashReason
 }
 
-// Handler returns the replica's HTTP side.
+// Handler returns the replica's HTTP handler.
 func (r *Replica) Handler() http.Handler {
 	m := mux.NewRouter().UseEncodedPath().SkipClean(true)
-	m.Methods(http.MethodPost).Path("/v1/order").HandlerFunc(r.order)
-	m.Methods(http.MethodGet).Path("/v1/report").HandlerFunc(r.report)
+	m.Methods(http.MethodPost).Path("/v1/order").HandlerFunc(r.postOrder)
+	m.Methods(http.MethodGet).Path("/v1/report").HandlerFunc(r.getReport)
 	m.PathPrefix("/").HandlerFunc(r.serve)
 	return m
 }
 
-// elsewhere answers for a request that another replica is expected to run.
-func (r *Replica) elsewhere(w http.ResponseWriter, req *http.Request) bool {
+// rejectMisdirected responds 421 to a request that expects another instance, and reports
+// whether it did.
+func (r *Replica) rejectMisdirected(w http.ResponseWriter, req *http.Request) bool {
 	expect := req.Header.Get("Galenastair-Expect-Instance")
 	if expect == "" || expect == r.settings.ID {
 		return false
@@ -138,7 +143,7 @@
 	return true
 }
 
-func (r *Replica) holds(name string) bool {
+func (r *Replica) isLoaded(name string) bool {
 	if name == "" {
 		return true
 	}
@@ -151,19 +156,19 @@
 	if id := req.Header.Get("Galenastair-Attempt-Id"); id != "" {
 		w.Header().Set("Galenastair-Attempt-Id", id)
 	}
-	if r.elsewhere(w, req) {
+	if r.rejectMisdirected(w, req) {
 		return
 	}
 	body := make([]byte, max(0, req.ContentLength))
 	n, _ := req.Body.Read(body)
 	model := req.Header.Get("Galenastair-Model")
 	r.mu.Lock()
-	sw := r.switches
-	if sw.Limit > 0 {
-		w.Header().Set("Server-Limit", strconv.FormatFloat(sw.Limit, 'f', -1, 64))
+	faults := r.faults
+	if faults.Limit > 0 {
+		w.Header().Set("Server-Limit", strconv.FormatFloat(faults.Limit, 'f', -1, 64))
 	}
-	if !r.holds(model) || sw.Decline {
-		missing := !sw.Decline
+	if !r.isLoaded(model) || faults.Decline {
+		missing := !faults.Decline
 		r.mu.Unlock()
 		w.Header().Set("Galenastair-Not-Executed", "1")
 		if missing {
@@ -186,32 +191,32 @@
 	r.mu.Unlock()
 	w.Header().Set("Galenastair-Server-Signature", "sig."+r.settings.ID)
 	switch {
-	case sw.Hang:
+	case faults.Hang:
 		<-req.Context().Done()
-		r.left(run)
-	case sw.Die:
+		r.markCanceled(run)
+	case faults.Die:
 		panic(http.ErrAbortHandler)
-	case sw.Fail:
+	case faults.Fail:
 		w.WriteHeader(http.StatusInternalServerError)
 	case model != "":
-		r.stream(w, req, run, sw)
+		r.stream(w, req, run, faults)
 	default:
 		fmt.Fprintf(w, "answer of %s to %s", r.settings.ID, req.RequestURI)
 	}
 }
 
-func (r *Replica) left(run *Run) {
+func (r *Replica) markCanceled(run *Run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	run.Left = true
 }
 
-func (r *Replica) stream(w http.ResponseWriter, req *http.Request, run *Run, sw Switches) {
+func (r *Replica) stream(w http.ResponseWriter, req *http.Request, run *Run, faults Switches) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	first, _ := strconv.Atoi(run.After)
 	flusher := http.NewResponseController(w)
 	for n := first + 1; n <= r.settings.Events; n++ {
-		if sw.CutAfter > 0 && n-first > sw.CutAfter {
+		if faults.CutAfter > 0 && n-first > faults.CutAfter {
 			fmt.Fprintf(w, "id: %d\nda", n)
 			_ = flusher.Flush()
 			panic(http.ErrAbortHandler)
@@ -220,9 +225,9 @@
 		_ = flusher.Flush()
 		select {
 		case <-req.Context().Done():
-			r.left(run)
+			r.markCanceled(run)
 			return
-		case <-time.After(sw.EventGap):
+		case <-time.After(faults.EventGap):
 		}
 	}
 }
