--- a/standin/service/doc.go
+++ b/standin/service/doc.go
@@ -1,8 +1,8 @@
-// Package service stands in for a plain service in tests. It answers any method
-// and path, echoes the body, and counts how often each call ran, by its
-// X-Request-Id and by the field "Call" of a JSON body, which names what the call
-// means to the application (a bid, an acknowledgement).
+// Package service is a fake of a plain service for tests. It accepts any method and path
+// and echoes the request. It counts the executions of each call by X-Request-Id, and by
+// the field "Call" of a JSON body, which identifies the call to the application (a bid,
+// an acknowledgement).
 //
-//	GET       /control/calls  CallsAnswer
-//	GET, POST /switches       Switches; a POST changes only the fields it names
+//	GET       /control/calls  CallsResponse
+//	GET, POST /switches       Faults; a POST changes only the fields in its body
 package service
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -14,64 +14,65 @@
 	"galenastair/standin/journal"
 )
 
-// maxBody bounds a call.
+// maxBody limits the size of a request body, in bytes.
 const maxBody = 8 << 20
 
-// Switches are what a test changes while the service runs.
+// Faults are the faults to inject. They can be changed while the service runs.
 type Switches struct {
-	// Delay passes before each call runs.
+	// Delay is the delay before each call is executed.
 	Delay time.Duration
-	// Decline answers 503 with the word that nothing ran.
+	// Decline responds 503 with the outcome header that states that the call was not
+	// executed.
 	Decline bool
-	// Fail answers 500 after the effect.
+	// Fail executes the call and responds 500.
 	Fail bool
-	// DieAfterEffect ends the process after the next call ran, with no answer.
+	// DieAfterEffect executes the next call and ends the process without a response.
 	DieAfterEffect bool
-	// LoseAnswers cuts the connection after the effect, before the answer.
+	// LoseAnswers executes the call and closes the connection without a response.
 	LoseAnswers bool
-	// CutAnswers cuts the connection in the middle of the answer.
+	// CutAnswers closes the connection in the middle of the response.
 	CutAnswers bool
 }
 
-// Call says how often one call ran.
+// CallCount is the number of executions of one call.
 type Call struct {
 	ID    string
 	Count int
 }
 
-// CallsAnswer tells what a service ran and whether it was ever shown a key.
+// CallsResponse counts the calls that were executed and those that carried a caller's key.
 type CallsAnswer struct {
-	// ByRequest counts by X-Request-Id, ByCall by the body's field "Call".
+	// ByRequest counts by X-Request-Id, ByCall by the field "Call" of the body.
 	ByRequest []Call
 	ByCall    []Call
 	Total     int
-	// Keys counts requests that came with an Authorization header.
+	// Keys is the number of executed calls with an Authorization header.
 	Keys int
 }
 
-// Service is the stand-in.
+// Service is a fake plain service.
 type Service struct {
 	exit    func()
 	journal *journal.Journal
 
 	mu        sync.Mutex
-	switches  Switches
+	faults    Switches
 	byRequest map[string]int
 	byCall    map[string]int
 	total     int
 	keys      int
 }
 
-// Option changes how a service is made.
+// Option configures a Service.
 type Option func(*Service)
 
-// WithJournal says where runs are written down.
+// WithJournal sets the journal in which executions are recorded.
 func WithJournal(j *journal.Journal) Option { return func(s *Service) { s.journal = j } }
 
-// WithExit replaces what ends the process.
+// WithExit replaces the function that ends the process.
 func WithExit(exit func()) Option { return func(s *Service) { s.exit = exit } }
 
-// New returns a service that has run nothing.
+// New returns a service with all counts at 0.
 func New(opts ...Option) *Service {
 	s := &Service{
 		exit:      func() { os.Exit(1) },
@@ -84,25 +85,25 @@
 	return s
 }
 
-// Switch changes switches while the service runs.
+// UpdateFaults changes the injected faults while the service runs.
 func (s *Service) Switch(f func(*Switches)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f(&s.switches)
+	f(&s.faults)
 }
 
-func (s *Service) board() Switches {
+func (s *Service) currentFaults() Switches {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.switches
+	return s.faults
 }
 
-// Handler serves calls and what tests ask.
+// Handler returns the service's HTTP handler.
 func (s *Service) Handler() http.Handler {
 	r := mux.NewRouter()
 	r.HandleFunc("/control/calls", s.getCalls).Methods(http.MethodGet)
-	r.HandleFunc("/switches", s.getSwitches).Methods(http.MethodGet)
-	r.HandleFunc("/switches", s.postSwitches).Methods(http.MethodPost)
+	r.HandleFunc("/switches", s.getFaults).Methods(http.MethodGet)
+	r.HandleFunc("/switches", s.postFaults).Methods(http.MethodPost)
 	r.PathPrefix("/").HandlerFunc(s.serve)
 	return r
 }
@@ -112,7 +113,7 @@
 	Path   string
 	Query  string
 	Body   string
-	// Run says how often this request has run.
+	// Run is the number of executions with this request's X-Request-Id so far.
 	Run int
 }
 
@@ -121,28 +122,29 @@
 	if err != nil {
 		return
 	}
-	sw := s.board()
-	if sw.Decline {
+	faults := s.currentFaults()
+	if faults.Decline {
 		w.Header().Set("X-Outcome", "NotRun")
-		http.Error(w, "declined", http.StatusServiceUnavailable)
+		http.Error(w, "call declined, not executed", http.StatusServiceUnavailable)
 		return
 	}
-	// a slow call runs even after its caller has given up
-	time.Sleep(sw.Delay)
-	run := s.run(r, body)
+	// The sleep ignores the request's context: a delayed call is executed even after its
+	// client has timed out.
+	time.Sleep(faults.Delay)
+	run := s.recordRun(r, body)
 	switch {
-	case sw.DieAfterEffect:
+	case faults.DieAfterEffect:
 		s.exit()
 		panic(http.ErrAbortHandler)
-	case sw.LoseAnswers:
+	case faults.LoseAnswers:
 		panic(http.ErrAbortHandler)
-	case sw.Fail:
-		http.Error(w, "failed after the effect", http.StatusInternalServerError)
+	case faults.Fail:
+		http.Error(w, "call failed after it was executed", http.StatusInternalServerError)
 		return
 	}
 	answer, _ := json.Marshal(echo{r.Method, r.URL.Path, r.URL.RawQuery, string(body), run})
 	w.Header().Set("Content-Type", "application/json")
-	if sw.CutAnswers {
+	if faults.CutAnswers {
 		_, _ = w.Write(answer[:len(answer)/2])
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
@@ -150,13 +152,13 @@
 	_, _ = w.Write(answer)
 }
 
-type named struct {
+type callBody struct {
 	Call string
 }
 
-// run is the effect of a call: it is counted.
-func (s *Service) run(r *http.Request, body []byte) int {
-	var n named
+// recordRun counts the execution of a call and returns the count of its request ID.
+func (s *Service) recordRun(r *http.Request, body []byte) int {
+	var n callBody
 	_ = json.Unmarshal(body, &n)
 	id := r.Header.Get("X-Request-Id")
 	keySeen := r.Header.Get("Authorization") != ""
@@ -174,14 +176,14 @@
 	return s.byRequest[id]
 }
 
-// Calls returns what has run so far.
+// Calls returns the counts so far.
 func (s *Service) Calls() CallsAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return CallsAnswer{list(s.byRequest), list(s.byCall), s.total, s.keys}
+	return CallsAnswer{callCounts(s.byRequest), callCounts(s.byCall), s.total, s.keys}
 }
 
-func list(counts map[string]int) []Call {
+func callCounts(counts map[string]int) []Call {
 	calls := make([]Call, 0, len(counts))
 	for id, n := range counts {
 		calls = append(calls, Call{id, n})
@@ -191,17 +193,17 @@
 
 func (s *Service) getCalls(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Calls()) }
 
-func (s *Service) getSwitches(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.board()) }
+func (s *Service) getFaults(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.currentFaults()) }
 
-func (s *Service) postSwitches(w http.ResponseWriter, r *http.Request) {
+func (s *Service) postFaults(w http.ResponseWriter, r *http.Request) {
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
-	changed := s.board()
+	changed := s.currentFaults()
 	if err := d.Decode(&changed); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	s.Switch(func(sw *Switches) { *sw = changed })
+	s.Switch(func(faults *Switches) { *faults = changed })
 	writeJSON(w, changed)
 }
 
