--- a/standin/journal/doc.go
+++ b/standin/journal/doc.go
@@ -1,4 +1,4 @@
-// Package journal writes down what a stand-in backend server ran, one JSON line
-// for each run, before the run has an effect. The file outlives the process, so
-// that a proof knows what ran on a server that was killed.
+// Package journal records what a fake backend server ran: one JSON line for each run,
+// written before the run takes effect. The record is a file, so that a proof can read
+// what ran on a server process that was killed.
 package journal
--- a/standin/journal/journal.go
+++ b/standin/journal/journal.go
@@ -11,27 +11,28 @@
 	"galenastair"
 )
 
-// Entry is one line: a run, or memory that was overcommitted.
+// Entry is one line: a run, a request that carried a key, or an overcommitment of memory.
 type Entry struct {
 	At     time.Time
 	Server string
-	// Request is empty for an entry that tells of overcommitted memory.
+	// Request is the request ID; empty for an overcommitment of memory.
 	Request galenastair.RequestID `json:",omitempty"`
-	// Call names what a call to a plain service means to its application.
+	// Call identifies a call to a plain service to its application.
 	Call string `json:",omitempty"`
-	// KeySeen says that the request showed a key, which no backend server may see.
+	// KeySeen is set if the request had an Authorization header. Callers' keys must never
+	// reach a backend server.
 	KeySeen bool `json:",omitempty"`
-	// Overcommitted is by how much memory was exceeded.
+	// Overcommitted is the number of bytes above the memory limit.
 	Overcommitted galenastair.Bytes `json:",omitempty"`
 }
 
-// Journal appends to one file; a nil journal writes nothing.
+// Journal appends entries to a file. A nil Journal discards them.
 type Journal struct {
 	server string
 	file   *os.File
 }
 
-// Open returns the journal of a server; an empty path gives none.
+// Open opens the journal of a server for appending. It returns nil if path is empty.
 func Open(path, server string) (*Journal, error) {
 	if path == "" {
 		return nil, nil
@@ -43,8 +44,8 @@
 	return &Journal{server, file}, nil
 }
 
-// Write appends one entry; each is a write of its own, so that a killed process
-// leaves whole lines.
+// Write appends an entry. Each entry is one unbuffered write, so that a killed process
+// leaves complete lines.
 func (j *Journal) Write(e Entry) {
 	if j == nil {
 		return
@@ -58,8 +59,8 @@
 	_, _ = j.file.Write(append(line, '\n'))
 }
 
-// Read returns the lines of a file, each a JSON object, and how many were cut and
-// left out: a process that is killed can leave a part of its last one.
+// Read decodes the JSON lines of a file. It skips invalid lines and returns their number:
+// a process that is killed can leave a truncated last line.
 func Read[T any](path string) (list []T, cut int, err error) {
 	file, err := os.Open(path)
 	if err != nil {
