--- a/scenario/bench-gateway.sh
+++ b/scenario/bench-gateway.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# What a gateway adds on the users' platform: the same load of reads on one stand-in replica
-# directly and through one gateway, at several rates: added time and processor time, also of
-# its log lines. Leaves no process behind.
+# Measures the overhead of a gateway on the users' platform. Sends the same read requests
+# at several rates to one fake replica, directly and through one gateway, and prints the
+# latencies and the gateway's CPU time per request, which includes writing its log lines.
+# Ends all processes that it starts.
 set -u
 cd "$(dirname "$0")/.."
 . scenario/lib.sh
@@ -10,11 +11,12 @@
 KEY=key-of-org
 version=0
 
-cpu_ms() { # PID; user and system time, in ms
+cpu_ms() { # PID; prints user plus system CPU time in ms
 	awk -v hz="$(getconf CLK_TCK)" '{ print ($14 + $15) * 1000 / hz }' "/proc/$1/stat"
 }
 
-# load_on ADDRESS RATE; prints requests, whole, p50 and p99 in ms
+# load_on ADDRESS RATE; prints the numbers of requests and of complete responses, and p50
+# and p99 in ms
 load_on() {
 	bin/galenastair load -entry "$1" -host a.example -path /reads/1 -key "$KEY" -rate "$2" -even -time "${DURATION:-5s}" -json |
 		sed 's/.*"All"://' | tr ',{}' '\n\n\n' | awk -F: '
--- a/scenario/bench.sh
+++ b/scenario/bench.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# What an entry adds: the same load on one stand-in engine directly and through
-# one entry, at several rates and with 1,000 open streams. Both on 4 processors.
+# Measures the overhead of an entry instance. Sends the same load to one fake engine,
+# directly and through one entry instance, at several rates and with 1,000 open streams.
+# Engine and entry instance use 4 processors each.
 set -u
 cd "$(dirname "$0")/.."
 . scenario/lib.sh
--- a/scenario/demo.sh
+++ b/scenario/demo.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# The whole path as separate processes: a platform, 4 engines in 2 zones, a plain
-# service and 3 entries; two contracts, calls through each entry, a wrong key, a
-# withdrawn key. Prints a line for each call; leaves no process behind.
+# End-to-end test with separate processes: a fake platform, 4 engines in 2 availability
+# zones, a plain service and 3 entry instances. Publishes two contracts and sends calls
+# through each entry instance, also with an unknown key and with a withdrawn key. Prints
+# one line per call and ends all processes that it starts.
 set -u
 cd "$(dirname "$0")/.."
 . scenario/lib.sh
--- a/scenario/fleet.sh
+++ b/scenario/fleet.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# A fleet as separate processes for proofs: fleet.sh DIR. Starts anew each
-# process that has died, as the platform would, until DIR/stop is there; then
-# ends all that it started, by their ids. Writes DIR/fleet.json and DIR/NAME.pid.
-# Relays stand between the processes: the driver of the proof runs them.
+# fleet.sh DIR: runs a fleet of separate processes for proofs. Restarts each process that
+# exits, as the platform would, until DIR/stop exists; then kills all processes that it
+# started, by process ID. Writes DIR/fleet.json and DIR/NAME.pid. The processes talk
+# through relays, which the driver of the proof runs.
 set -u
 cd "$(dirname "$0")/.."
 dir=$1
@@ -17,7 +17,7 @@
 mkdir -p "$dir"
 rm -f "$dir/stop"
 
-# keep NAME COMMAND...: runs the command, and again whenever it ends
+# keep NAME COMMAND...: runs the command and restarts it whenever it exits
 keep() {
 	local name=$1 child
 	shift
--- a/scenario/gateway.sh
+++ b/scenario/gateway.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# The whole path on the users' platform's protocol as separate processes: its store, 2
-# engines, 2 plain replicas and 3 gateways. Each kind of request is served; then three
-# failures are caused, and 'galenastair explain' must name the cause of each from the
-# request's id and the logs. Needs curl. Leaves no process behind.
+# End-to-end test of the protocol of the users' platform with separate processes: a fake
+# store, 2 engines, 2 plain replicas and 3 gateways. Sends each kind of request, then
+# causes three failures; 'galenastair explain' must report the cause of each from the
+# request ID and the logs. Requires curl. Ends all processes that it starts.
 set -u
 cd "$(dirname "$0")/.."
 . scenario/lib.sh
@@ -74,7 +74,8 @@
 expect "the status shows who plans" "itself" sh -c "bin/galenastair status -metrics $all | grep -o itself"
 expect "and what engines hold" "m1 " sh -c "bin/galenastair status -metrics $all | grep -o 'm1 .*'"
 
-# what callers saw, and what the metrics say that they saw
+# The metrics must count the same responses per status as the callers received, and time
+# as many.
 for n in 1 2 3; do
 	for status in 200 429 502; do
 		seen=$(grep -c "^status=$status$" "$work/seen-gateway-$n")
--- a/scenario/gateways.sh
+++ b/scenario/gateways.sh
@@ -1,5 +1,5 @@
-# The users' platform from stand-ins, and gateways on it; sourced behind lib.sh. The caller
-# sets KEY, and version to 0.
+# Functions that start a fake of the users' platform and gateways on it. Source this file
+# after lib.sh. The sourcing script sets KEY, and sets version to 0.
 
 declare -A ready_port metrics_port replica_port
 
@@ -54,7 +54,7 @@
 	JSON
 }
 
-ask() { # GATEWAY ID PATH [CURL FLAGS...]; prints the status
+ask() { # GATEWAY ID PATH [CURL FLAGS...]; sends a request and prints its status
 	local gateway=$1 id=$2 path=$3
 	shift 3
 	curl -s -o "$work/$id.body" -w 'status=%{http_code}' -X POST -d "body of $id" -H "Host: a.example" -H "Galenastair-Attempt-Id: $id" \
@@ -69,7 +69,7 @@
 		[[ $("$@") == "status=$wanted" ]] && return 0
 		sleep 0.1
 	done
-	echo "no status $wanted from: $*"
+	echo "timed out waiting for status $wanted from: $*"
 	tail -n 5 "$work"/gateway-1.out
 	exit 1
 }
--- a/scenario/lib.sh
+++ b/scenario/lib.sh
@@ -1,5 +1,5 @@
-# what the scenarios share: starting processes on loopback, calling, counting.
-# Every process that is started here is ended here, by its id.
+# Functions shared by the scenarios: start processes on the loopback interface, send calls,
+# count results. All processes started here are ended here, by process ID.
 
 BASE_PORT=${GALENASTAIR_PORT:-21700}
 work=$(mktemp -d)
@@ -28,7 +28,7 @@
 		kill -9 "$p" 2>/dev/null
 	done
 	wait 2>/dev/null
-	# a check that failed once may not fail again: its cause is in these lines
+	# Print the relevant log lines: a failed check may not fail again when it is repeated.
 	if [ "$failed" -gt 0 ]; then
 		grep -hE 'event=(refused|need|duty|holder|order)|broken off|dependency' "$work"/*.out 2>/dev/null | tail -n 60
 	fi
@@ -42,7 +42,7 @@
 		(exec 3<>"/dev/tcp/127.0.0.1/$1") 2>/dev/null && return 0
 		sleep 0.05
 	done
-	echo "nothing listens on port $1; is it in use? last words of $2:"
+	echo "no connection to port $1 within 5 s; another process may be using it. Last log lines of $2:"
 	tail -n 5 "$work/$2.log"
 	exit 1
 }
@@ -132,7 +132,7 @@
 			bin/galenastair status -json -operators "$(operators "$name")" 2>/dev/null | grep -q '"Ready":true' && continue 2
 			sleep 0.1
 		done
-		echo "$name is not ready:"
+		echo "timed out waiting for $name to become ready. Last log lines:"
 		tail -n 5 "$work/$name.log"
 		exit 1
 	done
@@ -150,7 +150,7 @@
 		call "$1" "$2" -model "$3" -max-tokens 1 ready | grep -q "status=200" && return 0
 		sleep 0.2
 	done
-	echo "$3 does not answer through $1"
+	echo "timed out waiting for $3 to respond through $1. Last log lines:"
 	tail -n 5 "$work/$1.log"
 	exit 1
 }
@@ -168,7 +168,7 @@
 	fi
 }
 
-stop() { # NAME...; SIGTERM, and the exit status must be 0
+stop() { # NAME...; sends SIGTERM and checks that the exit status is 0
 	local name status
 	for name in "$@"; do
 		kill -TERM "${pid_of[$name]}" 2>/dev/null
@@ -178,7 +178,7 @@
 		status=$?
 		if [ $status -ne 0 ]; then
 			failed=$((failed + 1))
-			echo "FAIL  $name ended with status $status"
+			echo "FAIL  $name exited with status $status"
 			tail -n 5 "$work/$name.log"
 		fi
 	done
@@ -197,7 +197,7 @@
 	for name in "${!pid_of[@]}"; do
 		if kill -0 "${pid_of[$name]}" 2>/dev/null; then
 			failed=$((failed + 1))
-			echo "FAIL  $name still runs"
+			echo "FAIL  $name is still running"
 		fi
 	done
 	echo "$1: $passed passed, $failed failed"
--- a/scenario/proof.sh
+++ b/scenario/proof.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# proof.sh SEED LENGTH PACE [FLAGS...]: one run of the proof on a fresh fleet, which is
-# ended with it. What it recorded stays in out/proof-SEED.
+# proof.sh SEED LENGTH PACE [FLAGS...]: runs the proof once on a new fleet, and stops the
+# fleet afterwards. The records stay in out/proof-SEED.
 set -u
 cd "$(dirname "$0")/.."
 seed=${1:-1}
--- a/scenario/readme.sh
+++ b/scenario/readme.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The README's commands as a newcomer types them, with the files of examples/, at the
-# ports that stand there.
+# Runs the commands of the README as written there, with the files of examples/ and the
+# ports that these files name.
 set -u
 cd "$(dirname "$0")/.."
 . scenario/lib.sh
--- a/scenario/stop.sh
+++ b/scenario/stop.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# SIGTERM to one of two entries under load: no request cut, exit status 0, within
-# its time. The balancer's part is played by giving the load to the stopping entry
-# until it is told to stop, and to the other one all along.
+# Sends SIGTERM to an entry instance under load. No request may be cut off, the exit status
+# must be 0, and the process must stop within 10 s. In place of a load balancer, requests
+# to the stopping instance end shortly before its notice period does; another instance
+# gets requests throughout.
 set -u
 cd "$(dirname "$0")/.."
 . scenario/lib.sh
@@ -20,7 +21,8 @@
 	wait_model entry-$n "$key" model-2
 done
 
-# arrivals end a moment before the notice does; answers of about a second outlast it
+# Requests stop arriving shortly before the notice period ends. Responses take about one
+# second, so some are still in progress when it ends.
 export GALENASTAIR_KEY=$key
 bin/galenastair load -entry "127.0.0.1:${caller_port[entry-1]}" -model model-1,model-2 -rate 15 -tokens 100 -time 4s -want-whole 1 >"$work/load-1" 2>&1 &
 load_1=$!
@@ -31,9 +33,9 @@
 stop entry-1
 took=$((($(date +%s%N) - begin) / 1000000))
 unset "pid_of[entry-1]"
-wait $load_1 && passed=$((passed + 1)) || { failed=$((failed + 1)); echo "FAIL  requests to the stopping entry were cut"; }
-wait $load_2 && passed=$((passed + 1)) || { failed=$((failed + 1)); echo "FAIL  requests to the other entry were cut"; }
+wait $load_1 && passed=$((passed + 1)) || { failed=$((failed + 1)); echo "FAIL  requests to the stopping entry instance were cut off"; }
+wait $load_2 && passed=$((passed + 1)) || { failed=$((failed + 1)); echo "FAIL  requests to the other entry instance were cut off"; }
 cat "$work/load-1" "$work/load-2"
-echo "entry-1 stopped within $took ms"
+echo "entry-1 stopped after $took ms"
 [ $took -lt 10000 ] && passed=$((passed + 1)) || failed=$((failed + 1))
 finish stop
