--- a/cmd/galenastair-standin/cmd_bench.go
+++ b/cmd/galenastair-standin/cmd_bench.go
@@ -47,7 +47,7 @@
 		c.Rates = append(c.Rates, rate)
 	}
 	if *verify {
-		c.ExpectedText = func(q load.RequestParams) string { return engine.Expected(q.Model, q.Prompt, q.Chat, q.Tokens) }
+		c.ExpectedText = func(q load.RequestParams) string { return engine.ExpectedText(q.Model, q.Prompt, q.Chat, q.Tokens) }
 	}
 	c.SetSlowdown = func(ctx context.Context, slow float64) error { return setSlowdown(ctx, c.Engine, slow) }
 	rows, err := load.Bench(ctx, c)
@@ -62,7 +62,7 @@
 
 // setSlowdown sets the factor by which the engine's steps are slower.
 func setSlowdown(ctx context.Context, address string, slow float64) error {
-	body, err := json.Marshal(engine.Switches{Slow: slow})
+	body, err := json.Marshal(engine.Faults{Slow: slow})
 	if err != nil {
 		return err
 	}
--- a/cmd/galenastair-standin/cmd_engine.go
+++ b/cmd/galenastair-standin/cmd_engine.go
@@ -33,14 +33,14 @@
 	f.DurationVar(&s.BaseStep, "step", s.BaseStep, "base duration of a step")
 	f.DurationVar(&s.StepPerRequest, "step-request", s.StepPerRequest, "additional duration of a step for each request in the batch")
 	f.DurationVar(&s.PrefillPerToken, "prefill-token", s.PrefillPerToken, "additional duration of a step for each new prompt token")
-	f.IntVar(&s.MaxBatch, "batch", s.MaxBatch, "maximum number of requests in a batch")
-	f.IntVar(&s.MaxWaiting, "waiting", s.MaxWaiting, "maximum number of waiting requests")
+	f.IntVar(&s.MaxBatchSize, "batch", s.MaxBatchSize, "maximum number of requests in a batch")
+	f.IntVar(&s.MaxQueueLength, "waiting", s.MaxQueueLength, "maximum number of waiting requests")
 	f.DurationVar(&s.ReportLag, "report-lag", s.ReportLag, "age of reports")
 	f.DurationVar(&s.EventLag, "event-lag", s.EventLag, "delay of cache events")
-	f.Float64Var(&s.EventGaps, "event-gaps", s.EventGaps, "share of cache events that are lost")
+	f.Float64Var(&s.EventLossRate, "event-gaps", s.EventLossRate, "share of cache events that are lost")
 	f.BoolVar(&s.ChecksFence, "checks-fence", s.ChecksFence, "refuse orders with an outdated fencing token")
 	f.StringVar(&s.Poison, "poison", s.Poison, "word that makes the process exit when it runs a prompt with it")
-	f.DurationVar(&s.ResumeFor, "resume-for", s.ResumeFor, "how long a request continues after its connection is lost")
+	f.DurationVar(&s.ResumeTimeout, "resume-for", s.ResumeTimeout, "how long a request continues after its connection is lost")
 	notice := f.Duration("leave-notice", defaultLeaveNotice, "how long it accepts requests after SIGTERM")
 	if err := f.Parse(args); err != nil {
 		return err
--- a/cmd/galenastair-standin/cmd_platform.go
+++ b/cmd/galenastair-standin/cmd_platform.go
@@ -18,18 +18,18 @@
 	modelMemory := f.Int64("model-memory", 20<<30, "size of a model, in bytes")
 	adapterMemory := f.Int64("adapter-memory", 1<<30, "size of an adapter, in bytes")
 	catalogueFile := f.String("catalogue", "", "file with a JSON list of weights; replaces -models and -adapters")
-	sw := platform.DefaultSwitches()
+	sw := platform.DefaultFaults()
 	f.Float64Var(&sw.AppendsPerSecond, "appends", sw.AppendsPerSecond, "maximum number of appends per second; 0 means no limit")
 	f.IntVar(&sw.KeepRecords, "keep-records", sw.KeepRecords, "number of records that a stream retains; 0 means all")
 	f.DurationVar(&sw.KeepFor, "keep-for", sw.KeepFor, "how long records are retained; 0 means forever")
 	f.DurationVar(&sw.AppendDelay, "append-delay", sw.AppendDelay, "duration of an append")
 	f.DurationVar(&sw.ListLag, "list-lag", sw.ListLag, "age of the instance list that readers get")
 	f.DurationVar(&sw.SilentAfter, "silent-after", sw.SilentAfter, "time without heartbeats after which an instance is removed from the list")
-	speed := platform.DefaultStoreSpeed()
-	f.DurationVar(&speed.ModelLoad, "model-load", speed.ModelLoad, "time to load a model at full speed")
-	f.IntVar(&speed.ModelsAtOnce, "models-at-once", speed.ModelsAtOnce, "number of models that load at full speed concurrently")
-	f.DurationVar(&speed.AdapterLoad, "adapter-load", speed.AdapterLoad, "time to load an adapter at full speed")
-	f.IntVar(&speed.AdaptersAtOnce, "adapters-at-once", speed.AdaptersAtOnce, "number of adapters that load at full speed concurrently")
+	speed := platform.DefaultWeightStoreConfig()
+	f.DurationVar(&speed.ModelLoadTime, "model-load", speed.ModelLoadTime, "time to load a model at full speed")
+	f.IntVar(&speed.ConcurrentModels, "models-at-once", speed.ConcurrentModels, "number of models that load at full speed concurrently")
+	f.DurationVar(&speed.AdapterLoadTime, "adapter-load", speed.AdapterLoadTime, "time to load an adapter at full speed")
+	f.IntVar(&speed.ConcurrentAdapters, "adapters-at-once", speed.ConcurrentAdapters, "number of adapters that load at full speed concurrently")
 	if err := f.Parse(args); err != nil {
 		return err
 	}
@@ -42,8 +42,8 @@
 		weights = read
 	}
 	p := platform.New(
-		platform.WithSwitches(sw),
-		platform.WithStoreSpeed(speed),
+		platform.WithFaults(sw),
+		platform.WithWeightStore(speed),
 		platform.WithCatalogue(weights),
 	)
 	l, err := listen(*address)
@@ -52,7 +52,7 @@
 	}
 	handlerCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	return serve(ctx, l, p.HandlerUntil(handlerCtx), stop)
+	return serve(ctx, l, p.HandlerWithContext(handlerCtx), stop)
 }
 
 func readCatalogue(name string) ([]galenastair.Weight, error) {
--- a/cmd/galenastair-standin/cmd_replica.go
+++ b/cmd/galenastair-standin/cmd_replica.go
@@ -24,13 +24,13 @@
 // /switch?name=N&on=true, which switches a fault on or off.
 func runReplica(ctx context.Context, args []string) error {
 	f := flag.NewFlagSet("replica", flag.ContinueOnError)
-	s := replica.Settings{Slots: 8, Events: 6}
+	s := replica.Settings{Slots: 8, EventsPerStream: 6}
 	f.StringVar(&s.ID, "id", "", "id of the backend server")
 	f.StringVar(&s.Service, "service", "", "name of its service")
 	f.StringVar(&s.Zone, "zone", "", "availability zone")
 	f.StringVar(&s.Address, "listen", "127.0.0.1:0", "address to listen on")
-	f.IntVar(&s.Places, "places", 0, "maximum number of loaded models; 0 for a plain service")
-	f.IntVar(&s.Adapters, "adapters", 2, "maximum number of loaded adapters")
+	f.IntVar(&s.MaxModels, "places", 0, "maximum number of loaded models; 0 for a plain service")
+	f.IntVar(&s.MaxAdapters, "adapters", 2, "maximum number of loaded adapters")
 	models := f.String("models", "", "comma-separated names of models that are loaded at the start")
 	store := f.String("store", "", "address of the metadata store")
 	if err := f.Parse(args); err != nil {
@@ -64,16 +64,16 @@
 	on := req.URL.Query().Get("on") == "true"
 	switch req.URL.Query().Get("name") {
 	case "cut":
-		r.Switch(func(s *replica.Switches) {
+		r.UpdateFaults(func(s *replica.Faults) {
 			s.CutAfter = 0
 			if on {
 				s.CutAfter = 2
 			}
 		})
 	case "hang":
-		r.Switch(func(s *replica.Switches) { s.Hang = on })
+		r.UpdateFaults(func(s *replica.Faults) { s.Hang = on })
 	case "die":
-		r.Switch(func(s *replica.Switches) { s.Die = on })
+		r.UpdateFaults(func(s *replica.Faults) { s.CloseConnection = on })
 	default:
 		http.Error(w, "name is cut, hang or die", http.StatusBadRequest)
 	}
--- a/cmd/galenastair-standin/cmd_service.go
+++ b/cmd/galenastair-standin/cmd_service.go
@@ -20,7 +20,7 @@
 	id := f.String("id", "service-"+uuid.NewString()[:8], "id in the instance list")
 	name := f.String("name", "bids", "name of the plain service")
 	zone := f.String("zone", "zone-1", "availability zone")
-	var sw service.Switches
+	var sw service.Faults
 	f.DurationVar(&sw.Delay, "delay", 0, "duration of a call")
 	notice := f.Duration("leave-notice", defaultLeaveNotice, "how long it accepts requests after SIGTERM")
 	if err := f.Parse(args); err != nil {
@@ -31,7 +31,7 @@
 		return err
 	}
 	s := service.New(service.WithJournal(j))
-	s.Switch(func(current *service.Switches) { *current = sw })
+	s.UpdateFaults(func(current *service.Faults) { *current = sw })
 	l, err := listen(*address)
 	if err != nil {
 		return err
--- a/cmd/galenastair-standin/cmd_store.go
+++ b/cmd/galenastair-standin/cmd_store.go
@@ -33,9 +33,9 @@
 		on := r.URL.Query().Get("on") == "true"
 		switch r.URL.Query().Get("name") {
 		case "refuse":
-			s.Switch(func(sw *metastore.Switches) { sw.Refuse = on })
+			s.UpdateFaults(func(sw *metastore.Faults) { sw.Refuse = on })
 		case "silent":
-			s.Switch(func(sw *metastore.Switches) { sw.Silent = on })
+			s.UpdateFaults(func(sw *metastore.Faults) { sw.Hang = on })
 		default:
 			http.Error(w, "name is refuse or silent", http.StatusBadRequest)
 		}
--- a/cmd/galenastair/cmd_contract_test.go
+++ b/cmd/galenastair/cmd_contract_test.go
@@ -30,7 +30,7 @@
 
 func newTestConsole(t *testing.T) *testConsole {
 	ctx, cancel := context.WithCancel(context.Background())
-	s := httptest.NewServer(standin.New().HandlerUntil(ctx))
+	s := httptest.NewServer(standin.New().HandlerWithContext(ctx))
 	t.Cleanup(func() {
 		cancel()
 		s.Close()
--- a/config/measure_test.go
+++ b/config/measure_test.go
@@ -48,7 +48,7 @@
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &fleet{platform: standin.New()}
-	s := httptest.NewServer(f.platform.HandlerUntil(ctx))
+	s := httptest.NewServer(f.platform.HandlerWithContext(ctx))
 	client := logservice.New(s.Listener.Addr().String())
 	f.publisher = config.NewPublisher(client)
 	ended := make(chan error, n)
@@ -164,7 +164,7 @@
 	f.timeUntilInForce(t, config.KindContractPublished, config.ContractPublished{Contract: contract.Contract{
 		Organisation: "A", Rate: 1, Burst: 1, Models: []galenastair.ModelName{"m"},
 	}})
-	f.platform.Switch(func(s *standin.Switches) { s.AppendDelay = appendTime })
+	f.platform.UpdateFaults(func(s *standin.Faults) { s.AppendDelay = appendTime })
 	f.logUnreachable.Store(true)
 	var began, answered []time.Duration
 	for i := range changes {
--- a/engine/client_test.go
+++ b/engine/client_test.go
@@ -27,7 +27,7 @@
 	t.Helper()
 	s := standin.DefaultSettings()
 	s.BaseStep = 2 * time.Millisecond
-	s.Ping = 20 * time.Millisecond
+	s.PingInterval = 20 * time.Millisecond
 	s.ReportLag = 0
 	s.ChecksFence = true
 	if change != nil {
@@ -54,7 +54,7 @@
 }
 
 func expectedText(tokens int) string {
-	return standin.Answer(standin.Request{Model: "model-1", Prompt: prompt, MaxTokens: tokens})
+	return standin.CompletionText(standin.Request{Model: "model-1", Prompt: prompt, MaxTokens: tokens})
 }
 
 type tokenEvent struct {
@@ -118,7 +118,7 @@
 // leave this open although it has not. Each kind of failure is caused in turn. Fails if
 // Sending.NotSent is always true or always false.
 func TestErrorTellsWhetherRequestRan(t *testing.T) {
-	_, address := startEngine(t, func(s *standin.Settings) { s.MaxWaiting = 0 })
+	_, address := startEngine(t, func(s *standin.Settings) { s.MaxQueueLength = 0 })
 	_, open := startEngine(t, nil)
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -130,7 +130,7 @@
 	wrongIDServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(engine.HeaderRequestID, "r2") }))
 	defer wrongIDServer.Close()
 	hung, hungAddress := startEngine(t, nil)
-	hung.Switch(func(s *standin.Switches) { s.Frozen = true })
+	hung.UpdateFaults(func(s *standin.Faults) { s.Frozen = true })
 	tests := []struct {
 		name    string
 		address string
@@ -180,10 +180,10 @@
 	text, err := run("r1")
 	is.Equal(err, io.EOF)
 	is.Equal(text, expectedText(5))
-	e.Switch(func(s *standin.Switches) { s.CutAfter = 3 })
+	e.UpdateFaults(func(s *standin.Faults) { s.CutAfter = 3 })
 	_, err = run("r2")
 	is.True(errors.Is(err, galenastair.ErrAnswerCut))
-	e.Switch(func(s *standin.Switches) { s.CutAfter, s.Crossed = 0, true })
+	e.UpdateFaults(func(s *standin.Faults) { s.CutAfter, s.Crossed = 0, true })
 	_, err = run("r3")
 	is.True(errors.Is(err, galenastair.ErrCrossed))
 }
@@ -203,10 +203,10 @@
 	is.NoErr(order("o1", 5, galenastair.LoadModel, "model-2"))
 	is.True(errors.Is(order("o2", 4, galenastair.LoadModel, "model-3"), galenastair.ErrStaleFence))
 	is.True(errors.Is(order("o3", 5, galenastair.UnloadModel, "model-9"), galenastair.ErrDeclined))
-	e.Switch(func(s *standin.Switches) { s.LoseOrderAnswers = true })
+	e.UpdateFaults(func(s *standin.Faults) { s.LoseOrderAnswers = true })
 	err := order("o4", 6, galenastair.LoadModel, "model-4")
 	is.True(errors.Is(err, galenastair.ErrBackendServer)) // the engine has acted, but its response was lost
-	e.Switch(func(s *standin.Switches) { s.LoseOrderAnswers = false })
+	e.UpdateFaults(func(s *standin.Faults) { s.LoseOrderAnswers = false })
 	r, err := c.Report(ctx, address)
 	is.NoErr(err)
 	is.Equal(r.HighestFence, galenastair.Fence(6))
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -49,7 +49,7 @@
 func newTestSite(t *testing.T) *testSite {
 	ctx, cancel := context.WithCancel(context.Background())
 	platformServer := standin.New()
-	p := httptest.NewServer(platformServer.HandlerUntil(ctx))
+	p := httptest.NewServer(platformServer.HandlerWithContext(ctx))
 	address := p.Listener.Addr().String()
 	s := settings.Default()
 	s.Instance.AvailabilityZone = "zone-a"
@@ -274,7 +274,7 @@
 	x := newTestSite(t)
 	e := x.start()
 	x.waitUntil("a request is served", func() bool { r, err := x.complete(1); return err == nil && r.Complete })
-	x.platformServer.Switch(func(s *standin.Switches) { s.ListOutage = true })
+	x.platformServer.UpdateFaults(func(s *standin.Faults) { s.ListOutage = true })
 	x.waitUntil("the list is unavailable", func() bool { _, err := x.client.List(t.Context()); return err != nil })
 	e.refreshInstances(t.Context())
 	is.Equal(len(e.fleet.engineServers()), 1)
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -97,11 +97,11 @@
 	s, _, r := startFollower(t)
 	s.Put(string(topic), "a", []byte("1"))
 	waitFor(t, "the first value", func() bool { return r.get("a") == "1" })
-	s.Switch(func(sw *metastore.Switches) { sw.Refuse = true })
+	s.UpdateFaults(func(sw *metastore.Faults) { sw.Refuse = true })
 	s.Put(string(topic), "a", []byte("2"))
 	s.Put(string(topic), "b", []byte("1"))
 	s.Compact(string(topic))
-	s.Switch(func(sw *metastore.Switches) { sw.Refuse = false })
+	s.UpdateFaults(func(sw *metastore.Faults) { sw.Refuse = false })
 	waitFor(t, "the change", func() bool { return r.get("a") == "2" && r.get("b") == "1" })
 }
 
@@ -114,13 +114,13 @@
 	waitFor(t, "the first value", func() bool { return r.get("config") == "old" })
 	s.Put(string(topic), "config", []byte("new"))
 	waitFor(t, "the second value", func() bool { return r.get("config") == "new" })
-	s.Switch(func(sw *metastore.Switches) { sw.Stale = true })
+	s.UpdateFaults(func(sw *metastore.Faults) { sw.StaleReads = true })
 	s.Compact(string(topic))
 	s.Put(string(topic), "other", []byte("x"))
 	s.Compact(string(topic))
 	time.Sleep(250 * time.Millisecond)
 	is.Equal(r.get("config"), "new")
-	s.Switch(func(sw *metastore.Switches) { sw.Stale = false })
+	s.UpdateFaults(func(sw *metastore.Faults) { sw.StaleReads = false })
 	waitFor(t, "the other key", func() bool { return r.get("other") == "x" })
 	age, ok := f.Age()
 	is.True(ok)
@@ -143,14 +143,14 @@
 	is.True(!ok)
 	s.Put(string(topic), "a", []byte("1"))
 	waitFor(t, "the first value", func() bool { return r.get("a") == "1" })
-	s.Switch(func(sw *metastore.Switches) { sw.Silent = true })
+	s.UpdateFaults(func(sw *metastore.Faults) { sw.Hang = true })
 	mu.Lock()
 	shift = 10 * time.Second
 	mu.Unlock()
 	age, _ := f.Age()
 	is.True(age >= 9*time.Second)
 	waitFor(t, "the loss of contact", f.Unavailable)
-	s.Switch(func(sw *metastore.Switches) { sw.Silent = false })
+	s.UpdateFaults(func(sw *metastore.Faults) { sw.Hang = false })
 	waitFor(t, "the regained contact", func() bool {
 		age, _ := f.Age()
 		return age < time.Second
@@ -164,7 +164,7 @@
 	s, f, r := startFollower(t)
 	s.Put(string(topic), "a", []byte("1"))
 	waitFor(t, "the first value", func() bool { return r.get("a") == "1" })
-	s.Switch(func(sw *metastore.Switches) { sw.Delay = 400 * time.Millisecond })
+	s.UpdateFaults(func(sw *metastore.Faults) { sw.Delay = 400 * time.Millisecond })
 	time.Sleep(1500 * time.Millisecond)
 	age, _ := f.Age()
 	is.True(age >= 400*time.Millisecond)
@@ -190,12 +190,12 @@
 	// a poll may still be in flight
 	notify()
 	waitFor(t, "the change from the hint", func() bool { notify(); return r.get("a") == "2" })
-	calls := s.Calls("/v1/log-read")
+	calls := s.CallCount("/v1/log-read")
 	for range 30 {
 		notify()
 		time.Sleep(20 * time.Millisecond)
 	}
-	is.True(s.Calls("/v1/log-read")-calls <= 1)
+	is.True(s.CallCount("/v1/log-read")-calls <= 1)
 	age, _ := f.Age()
 	is.True(age < 200*time.Millisecond)
 	s.Put(string(topic), "a", []byte("3"))
@@ -217,12 +217,12 @@
 		f.Notify(follow.Hint{KeyedBatch: galenastair.KeyedBatch{Next: at, End: end}, ConfirmedAt: boottime.Now(), ApplyChanges: func() { applied.Add(1) }})
 	}
 	noCalls := func(end galenastair.Offset) bool {
-		calls := s.Calls("/v1/log-read")
+		calls := s.CallCount("/v1/log-read")
 		for range 15 {
 			notify(end)
 			time.Sleep(20 * time.Millisecond)
 		}
-		return s.Calls("/v1/log-read") == calls
+		return s.CallCount("/v1/log-read") == calls
 	}
 	waitFor(t, "the end of the poll in flight", func() bool { return noCalls(at + 1) })
 	is.Equal(applied.Load(), int64(1))
@@ -238,9 +238,9 @@
 	s, f, r := startFollower(t)
 	s.Put(string(topic), "a", []byte("1"))
 	waitFor(t, "the first value", func() bool { return r.get("a") == "1" })
-	newest := s.Calls("/v1/log-newest")
+	newest := s.CallCount("/v1/log-newest")
 	f.Resync()
-	waitFor(t, "a new listing", func() bool { return s.Calls("/v1/log-newest") > newest })
+	waitFor(t, "a new listing", func() bool { return s.CallCount("/v1/log-newest") > newest })
 }
 
 // The instance that sends hints has lost the store itself. Its old confirmation must not make
@@ -250,7 +250,7 @@
 	s, f, r := startFollower(t)
 	s.Put(string(topic), "a", []byte("1"))
 	waitFor(t, "the first value", func() bool { return r.get("a") == "1" })
-	s.Switch(func(sw *metastore.Switches) { sw.Refuse = true })
+	s.UpdateFaults(func(sw *metastore.Faults) { sw.Refuse = true })
 	waitFor(t, "the loss of contact", f.Unavailable)
 	at, _ := f.Position()
 	for range 20 {
@@ -343,18 +343,18 @@
 		f.Notify(follow.Hint{KeyedBatch: galenastair.KeyedBatch{Next: at, End: at + 1}, ConfirmedAt: now, StartConfirmedAt: now.Add(-behind), Wait: true})
 	}
 	noCalls := func(behind time.Duration) bool {
-		calls := s.Calls("/v1/log-read")
+		calls := s.CallCount("/v1/log-read")
 		for range 100 {
 			notify(behind)
 			time.Sleep(20 * time.Millisecond)
 		}
-		return s.Calls("/v1/log-read") == calls
+		return s.CallCount("/v1/log-read") == calls
 	}
 	waitFor(t, "the end of the poll in flight", func() bool {
 		notify(0)
-		calls := s.Calls("/v1/log-read")
+		calls := s.CallCount("/v1/log-read")
 		time.Sleep(120 * time.Millisecond)
-		return s.Calls("/v1/log-read") == calls
+		return s.CallCount("/v1/log-read") == calls
 	})
 	is.True(noCalls(500 * time.Millisecond))
 	age, _ := f.Age()
--- a/lease/elector_test.go
+++ b/lease/elector_test.go
@@ -144,9 +144,9 @@
 	waitForLeader(t, fleet)
 	startInstance(t, address, "two", fleet)
 	runExchanges(fleet, 20)
-	before := store.Calls("/v1/log-newest")
+	before := store.CallCount("/v1/log-newest")
 	runExchanges(fleet, 40)
-	is.Equal(store.Calls("/v1/log-newest"), before)
+	is.Equal(store.CallCount("/v1/log-newest"), before)
 }
 
 // Of two instances, the one with the faster link must lead, because exchanges would fill the slow
@@ -175,8 +175,8 @@
 		is.Equal(waitForLeader(t, fleet), first)
 		time.Sleep(50 * time.Millisecond)
 	}
-	is.True(store.Calls("/v1/log-newest") <= 4*instances)
-	is.True(store.Calls("/v1/log-append") <= instances)
+	is.True(store.CallCount("/v1/log-newest") <= 4*instances)
+	is.True(store.CallCount("/v1/log-append") <= instances)
 }
 
 // The leader is killed. A fleet that loses it must not wait longer than the TTL plus about a
@@ -235,10 +235,10 @@
 	startInstance(t, address, "one", fleet)
 	is.Equal(waitForLeader(t, fleet), "one")
 	fence, _ := fleet["one"].lease.Fence()
-	store.Switch(func(sw *metastore.Switches) { sw.LoseAnswers, sw.Only = true, "/v1/log-append" })
-	appends := store.Calls("/v1/log-append")
-	waitFor(t, "a renewal without an answer", func() bool { return store.Calls("/v1/log-append") > appends })
-	store.Switch(func(sw *metastore.Switches) { sw.LoseAnswers = false })
+	store.UpdateFaults(func(sw *metastore.Faults) { sw.DropResponses, sw.OnlyPath = true, "/v1/log-append" })
+	appends := store.CallCount("/v1/log-append")
+	waitFor(t, "a renewal without an answer", func() bool { return store.CallCount("/v1/log-append") > appends })
+	store.UpdateFaults(func(sw *metastore.Faults) { sw.DropResponses = false })
 	time.Sleep(time.Second)
 	now, ok := fleet["one"].lease.Fence()
 	is.True(ok)
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -43,7 +43,7 @@
 		Timeout:  5 * time.Second,
 		Seed:     1,
 		ExpectedText: func(q load.RequestParams) string {
-			return engine.Expected(q.Model, q.Prompt, q.Chat, q.Tokens)
+			return engine.ExpectedText(q.Model, q.Prompt, q.Chat, q.Tokens)
 		},
 		Sources: []load.Source{
 			{Organisation: "nursery", Models: models, Rate: 100, PromptBytes: 400, Tokens: 5, Chat: true, Stream: true},
@@ -76,12 +76,12 @@
 	e, address := startEngine(t)
 	c := config(address)
 	c.Sources = c.Sources[:1]
-	e.Switch(func(s *engine.Switches) { s.CutAfter = 2 })
+	e.UpdateFaults(func(s *engine.Faults) { s.CutAfter = 2 })
 	r, err := load.Run(context.Background(), c)
 	is.NoErr(err)
 	is.Equal(r.All.Completed(), 0)
 	is.Equal(r.All.Count("CutUntold"), r.All.Requests)
-	e.Switch(func(s *engine.Switches) { s.CutAfter = 0 })
+	e.UpdateFaults(func(s *engine.Faults) { s.CutAfter = 0 })
 	c.ExpectedText = func(load.RequestParams) string { return "other" }
 	r, err = load.Run(context.Background(), c)
 	is.NoErr(err)
@@ -91,7 +91,7 @@
 func TestRunIsBounded(t *testing.T) {
 	is := is.New(t)
 	e, address := startEngine(t)
-	e.Switch(func(s *engine.Switches) { s.Frozen = true })
+	e.UpdateFaults(func(s *engine.Faults) { s.Frozen = true })
 	c := config(address)
 	c.MaxInFlight = 3
 	c.MaxRequests = 20
--- a/logservice/client_test.go
+++ b/logservice/client_test.go
@@ -18,7 +18,7 @@
 
 func startPlatform(t *testing.T) (*standin.Platform, *logservice.Client) {
 	p := standin.New(standin.WithCatalogue(standin.Catalogue(2, 3, 20, 1)))
-	p.Switch(func(s *standin.Switches) { s.ListLag = 0 })
+	p.UpdateFaults(func(s *standin.Faults) { s.ListLag = 0 })
 	server := httptest.NewServer(p.Handler())
 	c := logservice.New(server.Listener.Addr().String(), logservice.WithTimeout(100*time.Millisecond))
 	t.Cleanup(func() {
@@ -39,32 +39,32 @@
 	tests := []struct {
 		name     string
 		client   *logservice.Client
-		switches standin.Switches
+		switches standin.Faults
 		want     error
 		appended bool
 	}{
-		{"response received", c, standin.Switches{}, nil, true},
-		{"response lost", c, standin.Switches{LostAnswers: 1}, galenastair.ErrAppendUnknown, true},
-		{"response after the timeout", c, standin.Switches{AppendDelay: 200 * time.Millisecond}, galenastair.ErrAppendUnknown, true},
-		{"outage that hangs", c, standin.Switches{Outage: standin.Hang}, galenastair.ErrAppendUnknown, false},
-		{"outage that refuses", c, standin.Switches{Outage: standin.Refuse}, galenastair.ErrAppendRefused, false},
-		{"over the rate limit", c, standin.Switches{AppendsPerSecond: 0.001}, galenastair.ErrAppendRefused, false},
-		{"connection refused", logservice.New(closed.Listener.Addr().String()), standin.Switches{}, galenastair.ErrAppendRefused, false},
+		{"response received", c, standin.Faults{}, nil, true},
+		{"response lost", c, standin.Faults{LostAnswers: 1}, galenastair.ErrAppendUnknown, true},
+		{"response after the timeout", c, standin.Faults{AppendDelay: 200 * time.Millisecond}, galenastair.ErrAppendUnknown, true},
+		{"outage that hangs", c, standin.Faults{Outage: standin.OutageHang}, galenastair.ErrAppendUnknown, false},
+		{"outage that refuses", c, standin.Faults{Outage: standin.OutageRefuse}, galenastair.ErrAppendRefused, false},
+		{"over the rate limit", c, standin.Faults{AppendsPerSecond: 0.001}, galenastair.ErrAppendRefused, false},
+		{"connection refused", logservice.New(closed.Listener.Addr().String()), standin.Faults{}, galenastair.ErrAppendRefused, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			ctx := context.Background()
-			p.Switch(func(s *standin.Switches) { *s = standin.Switches{} })
+			p.UpdateFaults(func(s *standin.Faults) { *s = standin.Faults{} })
 			before, err := c.Read(ctx, stream, 1, 0)
 			is.NoErr(err)
-			p.Switch(func(s *standin.Switches) { *s = tt.switches })
+			p.UpdateFaults(func(s *standin.Faults) { *s = tt.switches })
 			for tt.switches.AppendsPerSecond > 0 && err == nil {
 				_, err = c.Append(ctx, "other", []byte("x"))
 			}
 			_, err = tt.client.Append(ctx, stream, []byte("x"))
 			is.True(errors.Is(err, tt.want))
-			p.Switch(func(s *standin.Switches) { *s = standin.Switches{} })
+			p.UpdateFaults(func(s *standin.Faults) { *s = standin.Faults{} })
 			wait := time.Duration(0)
 			if tt.appended {
 				wait = time.Second
@@ -88,7 +88,7 @@
 	_, err := c.Append(ctx, stream, []byte("a"))
 	is.NoErr(err)
 	is.Equal((<-got).Records, []galenastair.LogRecord{{Offset: 1, Data: []byte("a")}})
-	p.Switch(func(s *standin.Switches) { s.KeepRecords = 1 })
+	p.UpdateFaults(func(s *standin.Faults) { s.KeepRecords = 1 })
 	_, err = c.Append(ctx, stream, []byte("b"))
 	is.NoErr(err)
 	_, err = c.Read(ctx, stream, 1, 0)
@@ -96,7 +96,7 @@
 	b, err := c.Read(ctx, stream, 2, 0)
 	is.NoErr(err)
 	is.Equal(b.First, galenastair.Offset(2))
-	p.Switch(func(s *standin.Switches) { s.Outage = standin.Refuse })
+	p.UpdateFaults(func(s *standin.Faults) { s.Outage = standin.OutageRefuse })
 	_, err = c.Read(ctx, stream, 2, 0)
 	is.True(errors.Is(err, galenastair.ErrLogUnavailable))
 }
@@ -112,7 +112,7 @@
 	list, err := c.List(ctx)
 	is.NoErr(err)
 	is.Equal(list, []galenastair.ListedInstance{in})
-	p.Switch(func(s *standin.Switches) { s.SilentAfter = 0 })
+	p.UpdateFaults(func(s *standin.Faults) { s.SilentAfter = 0 })
 	list, err = c.List(ctx)
 	is.NoErr(err)
 	is.Equal(len(list), 0)
--- a/node/history_test.go
+++ b/node/history_test.go
@@ -131,10 +131,10 @@
 	for ctx.Err() == nil {
 		for _, name := range []string{"p1", "p2"} {
 			die, decline, fail := rand.IntN(4) == 0, rand.IntN(4) == 0, rand.IntN(6) == 0
-			c.replicas[name].Switch(func(s *replica.Switches) { s.Die, s.Decline, s.Fail = die, decline, fail })
+			c.replicas[name].UpdateFaults(func(s *replica.Faults) { s.CloseConnection, s.Decline, s.Fail = die, decline, fail })
 		}
 		refuse := rand.IntN(4) == 0
-		c.store.Switch(func(s *metastore.Switches) { s.Refuse = refuse })
+		c.store.UpdateFaults(func(s *metastore.Faults) { s.Refuse = refuse })
 		time.Sleep(40 * time.Millisecond)
 	}
 }
@@ -160,8 +160,8 @@
 	work.Wait()
 	for _, name := range []string{"p1", "p2"} {
 		for _, run := range c.replicas[name].Runs() {
-			if strings.HasPrefix(run.Target, "/bid/") {
-				h.add(-1, run.At, bidEvent{run.Target, run.ID, started})
+			if strings.HasPrefix(run.RequestURI, "/bid/") {
+				h.add(-1, run.StartedAt, bidEvent{run.RequestURI, run.ID, started})
 			}
 		}
 	}
--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -44,7 +44,7 @@
 // limit must hold, and returns the largest number of requests that e1 received in a window. It
 // calls event when the limit starts to hold.
 func (c *cluster) maxArrivals(limit float64, event func()) int {
-	c.replicas["e1"].Switch(func(s *replica.Switches) { s.Limit = limit })
+	c.replicas["e1"].UpdateFaults(func(s *replica.Faults) { s.ServerLimit = limit })
 	announced := time.Now()
 	var callers sync.WaitGroup
 	for _, n := range c.nodes {
@@ -61,7 +61,7 @@
 	callers.Wait()
 	var times []time.Time
 	for _, r := range c.replicas["e1"].Runs() {
-		times = append(times, r.At)
+		times = append(times, r.StartedAt)
 	}
 	return maxInWindow(times, announced.Add(limitTimeout), limitWindow)
 }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -85,9 +85,9 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	s := replica.Settings{ID: id, Service: service, Address: l.Addr().String(), Zone: "z1", Slots: 8, Events: 6}
+	s := replica.Settings{ID: id, Service: service, Address: l.Addr().String(), Zone: "z1", Slots: 8, EventsPerStream: 6}
 	if len(models) > 0 {
-		s.Places, s.Adapters, s.Models = 3, 2, models
+		s.MaxModels, s.MaxAdapters, s.Models = 3, 2, models
 	}
 	r := replica.New(s)
 	h := &httptest.Server{Listener: l, Config: &http.Server{Handler: r.Handler()}}
@@ -278,9 +278,9 @@
 	c.waitFor("a response of an adapter that no engine has loaded", func() bool { return c.call(c.nodes[0], "/stream/1", "m2/a2", key).body == completeStream })
 	c.waitFor("a response of a model that no engine has loaded", func() bool { return c.call(c.nodes[1], "/stream/1", "m3", key).body == completeStream })
 	for _, r := range c.replicas {
-		is.Equal(r.Crashed(), "")
+		is.Equal(r.CrashReason(), "")
 		for _, run := range r.Runs() {
-			is.True(!run.Key)
+			is.True(!run.HasKey)
 			is.Equal(run.Tenant, "org")
 		}
 	}
@@ -293,7 +293,7 @@
 func TestStreamResumesOnAnotherEngine(t *testing.T) {
 	is := is.New(t)
 	c := newCluster(t, 1)
-	c.replicas["e1"].Switch(func(s *replica.Switches) { s.CutAfter = 2 })
+	c.replicas["e1"].UpdateFaults(func(s *replica.Faults) { s.CutAfter = 2 })
 	for range 6 {
 		is.Equal(c.call(c.nodes[0], "/stream/1", "m1", key).body, completeStream)
 	}
@@ -306,13 +306,13 @@
 	c := newCluster(t, 1)
 	n := c.nodes[0]
 	is.Equal(c.call(n, "/read/1", "", key).status, 200)
-	c.store.Switch(func(s *metastore.Switches) { s.Refuse = true })
+	c.store.UpdateFaults(func(s *metastore.Faults) { s.Refuse = true })
 	c.publish()
 	withdrawn := time.Now()
 	c.waitFor("all keys to be refused", func() bool { return c.call(n, "/read/1", "", key).status == 503 })
 	is.True(time.Since(withdrawn) < 5*time.Second)
 	c.waitFor("the node to be unready", func() bool { return c.status("http://"+n.settings.ReadyAddress+"/v1/ready") == 503 })
-	c.store.Switch(func(s *metastore.Switches) { s.Refuse = false })
+	c.store.UpdateFaults(func(s *metastore.Faults) { s.Refuse = false })
 	c.waitFor("the key to be unknown", func() bool { return c.call(n, "/read/1", "", key).status == 401 })
 }
 
@@ -334,7 +334,7 @@
 	is := is.New(t)
 	c := newCluster(t, 1)
 	for _, r := range c.replicas {
-		r.Switch(func(s *replica.Switches) { s.EventGap = 200 * time.Millisecond })
+		r.UpdateFaults(func(s *replica.Faults) { s.EventInterval = 200 * time.Millisecond })
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.nodes[0].settings.CallerAddress+"/stream/1", strings.NewReader("b"))
@@ -353,7 +353,7 @@
 	disconnected := time.Now()
 	c.waitFor("the engine to stop", func() bool {
 		for _, run := range c.replicas["e1"].Runs() {
-			if run.ID == "left" && run.Left {
+			if run.ID == "left" && run.Canceled {
 				return true
 			}
 		}
@@ -368,7 +368,7 @@
 	is := is.New(t)
 	c := newCluster(t, 2)
 	for _, r := range c.replicas {
-		r.Switch(func(s *replica.Switches) { s.EventGap = 20 * time.Millisecond })
+		r.UpdateFaults(func(s *replica.Faults) { s.EventInterval = 20 * time.Millisecond })
 	}
 	first := c.nodes[0]
 	stopped := make(chan struct{})
--- a/node/servers_test.go
+++ b/node/servers_test.go
@@ -37,7 +37,7 @@
 func (r *serverView) failStoreCall(t *testing.T) {
 	t.Helper()
 	store := metastore.New()
-	store.Switch(func(sw *metastore.Switches) { sw.Refuse = true })
+	store.UpdateFaults(func(sw *metastore.Faults) { sw.Refuse = true })
 	h := httptest.NewServer(store.Handler())
 	defer h.Close()
 	r.follower = follow.New(platform.NewStore(h.Listener.Addr().String()), platform.RegistrationTopic, nil)
@@ -136,10 +136,10 @@
 	for range cap(updated) {
 		<-updated
 	}
-	store.Switch(func(sw *metastore.Switches) { sw.Refuse = true })
+	store.UpdateFaults(func(sw *metastore.Faults) { sw.Refuse = true })
 	time.Sleep(1500 * time.Millisecond)
 	store.Put(string(platform.RegistrationTopic), "e1", nil)
-	store.Switch(func(sw *metastore.Switches) { sw.Refuse = false })
+	store.UpdateFaults(func(sw *metastore.Faults) { sw.Refuse = false })
 	recovered := time.Now()
 	for range cap(removed) {
 		is.True((<-removed).Sub(recovered) < outageRecoveryTime)
--- a/proof/traffic.go
+++ b/proof/traffic.go
@@ -128,7 +128,7 @@
 
 // expectedText returns the text with which a stand-in engine must answer a prompt.
 func expectedText(model galenastair.ModelName, prompt string, tokens galenastair.Tokens) string {
-	digest := engine.Digest(prompt)
+	digest := engine.PromptDigest(prompt)
 	var b strings.Builder
 	for i := range int(tokens) {
 		b.WriteString(engine.Token(model, digest, i))
--- a/service/client_test.go
+++ b/service/client_test.go
@@ -26,21 +26,21 @@
 	defer c.Close()
 	tests := []struct {
 		name     string
-		switches standin.Switches
+		switches standin.Faults
 		want     error
 		status   int
 		runs     int
 	}{
-		{"answered", standin.Switches{}, nil, http.StatusOK, 1},
-		{"failed after the effect", standin.Switches{Fail: true}, nil, http.StatusInternalServerError, 1},
-		{"declined", standin.Switches{Decline: true}, galenastair.ErrDeclined, 0, 0},
-		{"answer lost", standin.Switches{LoseAnswers: true}, galenastair.ErrBackendServer, 0, 1},
-		{"died after the effect", standin.Switches{DieAfterEffect: true}, galenastair.ErrBackendServer, 0, 1},
+		{"answered", standin.Faults{}, nil, http.StatusOK, 1},
+		{"failed after the effect", standin.Faults{Fail: true}, nil, http.StatusInternalServerError, 1},
+		{"declined", standin.Faults{Decline: true}, galenastair.ErrDeclined, 0, 0},
+		{"answer lost", standin.Faults{LoseAnswers: true}, galenastair.ErrBackendServer, 0, 1},
+		{"died after the effect", standin.Faults{DieAfterEffect: true}, galenastair.ErrBackendServer, 0, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			s.Switch(func(sw *standin.Switches) { *sw = tt.switches })
+			s.UpdateFaults(func(sw *standin.Faults) { *sw = tt.switches })
 			before := s.Calls().Total
 			answer, err := c.Call(context.Background(), server.Listener.Addr().String(), galenastair.ServiceCall{
 				ID:     galenastair.RequestID(tt.name),
@@ -66,7 +66,7 @@
 func TestTruncatedResponseIsAnError(t *testing.T) {
 	is := is.New(t)
 	s := standin.New()
-	s.Switch(func(sw *standin.Switches) { sw.CutAnswers = true })
+	s.UpdateFaults(func(sw *standin.Faults) { sw.CutAnswers = true })
 	server := httptest.NewServer(s.Handler())
 	defer server.Close()
 	c := service.New()
--- a/standin/engine/batch.go
+++ b/standin/engine/batch.go
@@ -67,7 +67,7 @@
 		return 0, false
 	}
 	var prefill galenastair.Tokens
-	for len(e.batch.waiting) > 0 && len(e.batch.running) < e.settings.MaxBatch {
+	for len(e.batch.waiting) > 0 && len(e.batch.running) < e.settings.MaxBatchSize {
 		s := e.batch.waiting[0]
 		if !e.cache.reserve(s.totalTokens()) {
 			break
@@ -100,7 +100,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.batch.running = slices.DeleteFunc(e.batch.running, func(s *sequence) bool {
-		done := s.isCancelled() || s.isAbandoned(now, e.settings.ResumeFor) || s.addToken()
+		done := s.isCancelled() || s.isAbandoned(now, e.settings.ResumeTimeout) || s.addToken()
 		if done {
 			e.cache.release(s.totalTokens())
 		}
@@ -126,7 +126,7 @@
 func (e *Engine) removeAbandoned(now time.Time) {
 	e.lastSweep = now
 	for id, s := range e.byID {
-		if s.isAbandoned(now, e.settings.ResumeFor) {
+		if s.isAbandoned(now, e.settings.ResumeTimeout) {
 			s.cancel()
 			delete(e.byID, id)
 		}
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -42,7 +42,7 @@
 	return &cache{
 		capacity:      galenastair.Tokens(s.CacheMemory / max(s.BytesPerToken, 1)),
 		prefixes:      map[prefixKey]galenastair.Tokens{},
-		eventLossRate: s.EventGaps,
+		eventLossRate: s.EventLossRate,
 	}
 }
 
--- a/standin/engine/control.go
+++ b/standin/engine/control.go
@@ -163,7 +163,7 @@
 }
 
 // ViolationsResponse lists memory violations and gives the peak of used memory.
-type ViolationsAnswer struct {
+type ViolationsResponse struct {
 	Violations []Violation
 	MostUsed   galenastair.Bytes
 	Total      galenastair.Bytes
@@ -171,7 +171,7 @@
 
 func (e *Engine) getViolations(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	a := ViolationsAnswer{e.weights.violations, e.weights.peak, e.weights.total}
+	a := ViolationsResponse{e.weights.violations, e.weights.peak, e.weights.total}
 	e.mu.Unlock()
 	writeJSON(w, a)
 }
@@ -191,6 +191,6 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	e.Switch(func(faults *Switches) { *faults = changed })
+	e.UpdateFaults(func(faults *Faults) { *faults = changed })
 	writeJSON(w, changed)
 }
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -19,7 +19,7 @@
 	wake     chan struct{}
 
 	mu            sync.Mutex
-	faults        Switches
+	faults        Faults
 	faultsChanged chan struct{}
 	batch         batch
 	cache         *cache
@@ -67,7 +67,7 @@
 }
 
 // UpdateFaults changes the injected faults while the engine runs.
-func (e *Engine) Switch(f func(*Switches)) {
+func (e *Engine) UpdateFaults(f func(*Faults)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	f(&e.faults)
@@ -89,7 +89,7 @@
 	}
 }
 
-func (e *Engine) currentFaults() (Switches, <-chan struct{}) {
+func (e *Engine) currentFaults() (Faults, <-chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.faults, e.faultsChanged
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -25,7 +25,7 @@
 
 func TestLowerPriorityNumberRunsFirst(t *testing.T) {
 	is := is.New(t)
-	e := newTestEngine(func(s *Settings) { s.MaxBatch = 1 })
+	e := newTestEngine(func(s *Settings) { s.MaxBatchSize = 1 })
 	for i, priority := range []int{5, 1, 5, 0} {
 		is.NoErr(e.admit(newTestSequence(galenastair.RequestID(rune('a'+i)), priority, 1)))
 	}
@@ -84,13 +84,13 @@
 	is.Equal(exits, 0)
 	e.startStep()
 	is.Equal(exits, 1)
-	is.Equal(e.runs.response().Runs, []Run{{"hemlock", 1}}) // counted before the exit
+	is.Equal(e.runs.response().Runs, []RunCount{{"hemlock", 1}}) // counted before the exit
 }
 
 func TestCacheEventsAreLostAtTheConfiguredRate(t *testing.T) {
 	is := is.New(t)
 	e := newTestEngine(func(s *Settings) {
-		s.EventGaps = 0.5
+		s.EventLossRate = 0.5
 		s.CacheMemory = s.BytesPerToken * blockTokens * 4
 	})
 	for i := range 200 {
@@ -112,7 +112,7 @@
 
 func TestAbandonedRequestsAreCancelledAndRemoved(t *testing.T) {
 	is := is.New(t)
-	e := newTestEngine(func(s *Settings) { s.ResumeFor = time.Second })
+	e := newTestEngine(func(s *Settings) { s.ResumeTimeout = time.Second })
 	s := newTestSequence("r1", 0, 1000)
 	is.NoErr(e.admit(s))
 	now := time.Now()
--- a/standin/engine/http.go
+++ b/standin/engine/http.go
@@ -63,7 +63,7 @@
 		return errDraining
 	case !e.weights.isReady(s.request.Model):
 		return errNotReady
-	case len(e.batch.waiting) >= e.settings.MaxWaiting:
+	case len(e.batch.waiting) >= e.settings.MaxQueueLength:
 		return errQueueFull
 	case !e.cache.fits(s.totalTokens()):
 		return errExceedsCache
--- a/standin/engine/runs.go
+++ b/standin/engine/runs.go
@@ -13,14 +13,14 @@
 const maxRuns = 500_000
 
 // RunCount is the number of runs of one request.
-type Run struct {
+type RunCount struct {
 	ID    galenastair.RequestID
 	Count int
 }
 
 // RunsResponse lists the requests that ran and counts those that carried a caller's key.
-type RunsAnswer struct {
-	Runs []Run
+type RunsResponse struct {
+	Runs []RunCount
 	// Total is the number of all runs. Overflow means that Runs is incomplete.
 	Total    int
 	Overflow bool
@@ -69,12 +69,12 @@
 	r.withAuthorization++
 }
 
-func (r *runs) response() RunsAnswer {
+func (r *runs) response() RunsResponse {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	a := RunsAnswer{Runs: make([]Run, 0, len(r.byID)), Total: r.total, Overflow: r.overflow, Keys: r.withAuthorization}
+	a := RunsResponse{Runs: make([]RunCount, 0, len(r.byID)), Total: r.total, Overflow: r.overflow, Keys: r.withAuthorization}
 	for id, n := range r.byID {
-		a.Runs = append(a.Runs, Run{id, n})
+		a.Runs = append(a.Runs, RunCount{id, n})
 	}
 	return a
 }
--- a/standin/engine/sequence.go
+++ b/standin/engine/sequence.go
@@ -38,7 +38,7 @@
 		id:           id,
 		chat:         chat,
 		request:      r,
-		digest:       Digest(r.Prompt),
+		digest:       PromptDigest(r.Prompt),
 		promptTokens: PromptTokens(r.Prompt),
 		maxTokens:    limit,
 		eventPrefix:  renderEventPrefix(chat, id, r.Model),
--- a/standin/engine/settings.go
+++ b/standin/engine/settings.go
@@ -22,22 +22,22 @@
 	BaseStep        time.Duration
 	StepPerRequest  time.Duration
 	PrefillPerToken time.Duration
-	MaxBatch        int
-	MaxWaiting      int
+	MaxBatchSize    int
+	MaxQueueLength  int
 	// ReportLag and EventLag delay reports and cache events.
 	ReportLag time.Duration
 	EventLag  time.Duration
 	// EventLossRate is the fraction of cache events that are lost, 0 to 1.
-	EventGaps   float64
-	ChecksFence bool
+	EventLossRate float64
+	ChecksFence   bool
 	// Poison is a string that ends the process when a request with it in its prompt
 	// starts to run. Empty disables this.
 	Poison string
 	// ResumeTimeout is how long a request without a connection keeps running and can
 	// be resumed.
-	ResumeFor time.Duration
+	ResumeTimeout time.Duration
 	// PingInterval is the interval of keep-alive comments on a stream without events.
-	Ping time.Duration
+	PingInterval time.Duration
 	// Journal records the requests that ran. Nil disables it.
 	Journal *journal.Journal
 	// Load fetches a weight from the platform's weight store.
@@ -55,19 +55,19 @@
 		BaseStep:        5 * time.Millisecond,
 		StepPerRequest:  100 * time.Microsecond,
 		PrefillPerToken: 10 * time.Microsecond,
-		MaxBatch:        64,
-		MaxWaiting:      4096,
+		MaxBatchSize:    64,
+		MaxQueueLength:  4096,
 		ReportLag:       100 * time.Millisecond,
 		EventLag:        200 * time.Millisecond,
-		ResumeFor:       10 * time.Second,
-		Ping:            time.Second,
+		ResumeTimeout:   10 * time.Second,
+		PingInterval:    time.Second,
 		Load:            func(context.Context, galenastair.Weight) error { return nil },
 		Exit:            func() { os.Exit(1) },
 	}
 }
 
 // Faults are the faults to inject. They can be changed while the engine runs.
-type Switches struct {
+type Faults struct {
 	// Slow multiplies the duration of each step; 0 means 1.
 	Slow float64
 	// Frozen pauses the batch and makes every request hang.
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -17,7 +17,7 @@
 	w.WriteHeader(http.StatusOK)
 	flush := http.NewResponseController(w).Flush
 	_ = flush()
-	ping := time.NewTicker(e.settings.Ping)
+	ping := time.NewTicker(e.settings.PingInterval)
 	defer ping.Stop()
 	silenced := s.progress().silenceCount
 	var buf []byte
@@ -112,7 +112,7 @@
 		}
 	}
 	w.Header().Set(wire.HeaderRequestID, string(s.id))
-	choice := completionChoice{FinishReason: "length", Text: Answer(s.request)}
+	choice := completionChoice{FinishReason: "length", Text: CompletionText(s.request)}
 	if s.chat {
 		choice.Message = &completionMessage{"assistant", choice.Text}
 		choice.Text = ""
@@ -126,12 +126,12 @@
 }
 
 // CompletionText returns the complete text that an engine generates for a request.
-func Answer(r Request) string {
+func CompletionText(r Request) string {
 	limit := r.MaxTokens
 	if limit == 0 {
 		limit = defaultMaxTokens
 	}
-	digest := Digest(r.Prompt)
+	digest := PromptDigest(r.Prompt)
 	var text strings.Builder
 	for i := range limit {
 		text.WriteString(Token(r.Model, digest, i))
@@ -141,9 +141,9 @@
 
 // ExpectedText returns the complete text that an engine generates for a prompt, or for a
 // chat with the text as its only user message.
-func Expected(model galenastair.ModelName, text string, chat bool, tokens int) string {
+func ExpectedText(model galenastair.ModelName, text string, chat bool, tokens int) string {
 	if chat {
 		text = chatPrompt([]message{{"user", text}})
 	}
-	return Answer(Request{Model: model, Prompt: text, MaxTokens: tokens})
+	return CompletionText(Request{Model: model, Prompt: text, MaxTokens: tokens})
 }
--- a/standin/engine/token.go
+++ b/standin/engine/token.go
@@ -10,7 +10,7 @@
 )
 
 // PromptDigest returns the hash of a prompt, as Token takes it.
-func Digest(prompt string) uint64 { return xxhash.Sum64String(prompt) }
+func PromptDigest(prompt string) uint64 { return xxhash.Sum64String(prompt) }
 
 // Token returns the token at index i, from 0, of a model's response to a prompt.
 func Token(model galenastair.ModelName, promptDigest uint64, i int) string {
--- a/standin/metastore/log.go
+++ b/standin/metastore/log.go
@@ -144,7 +144,7 @@
 	defer s.mu.Unlock()
 	t := s.topic(r.URL.Query().Get("topic"))
 	from, end := t.latest, t.first+int64(len(t.records))
-	if s.faults.Stale {
+	if s.faults.StaleReads {
 		from, end = t.previous, max(0, end-1)
 	}
 	keys := make([]string, 0, len(from))
--- a/standin/metastore/store.go
+++ b/standin/metastore/store.go
@@ -9,20 +9,20 @@
 )
 
 // Faults are the faults to inject. They can be changed while the store runs.
-type Switches struct {
+type Faults struct {
 	// Refuse responds 503 without executing the request.
 	Refuse bool
 	// Hang neither executes nor answers requests.
-	Silent bool
+	Hang bool
 	// DropResponses executes requests and closes the connection without a response.
-	LoseAnswers bool
+	DropResponses bool
 	// OnlyPath limits Refuse and DropResponses to requests with this path. Empty is no limit.
-	Only string
+	OnlyPath string
 	// Delay is the delay before each request is executed.
 	Delay time.Duration
 	// StaleReads makes reads of the latest records return the state before the last append
 	// to the topic.
-	Stale bool
+	StaleReads bool
 }
 
 type keyedRecord struct {
@@ -45,7 +45,7 @@
 // Store is a fake metadata store.
 type Store struct {
 	mu     sync.Mutex
-	faults Switches
+	faults Faults
 	topics map[string]*topic
 	// producers holds the state of idempotent producers, by "topic/name".
 	producers  map[string]producer
@@ -59,7 +59,7 @@
 }
 
 // UpdateFaults changes the injected faults.
-func (s *Store) Switch(f func(*Switches)) {
+func (s *Store) UpdateFaults(f func(*Faults)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(&s.faults)
@@ -67,7 +67,7 @@
 
 // CallCount returns the number of requests to a path such as "/v1/log-append", or to one
 // topic of it, "/v1/log-append?keyed.x".
-func (s *Store) Calls(path string) int {
+func (s *Store) CallCount(path string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.callCounts[path]
@@ -144,7 +144,7 @@
 	return r
 }
 
-func (s Switches) appliesTo(path string) bool { return s.Only == "" || s.Only == path }
+func (s Faults) appliesTo(path string) bool { return s.OnlyPath == "" || s.OnlyPath == path }
 
 // withFaults applies the injected faults to a handler.
 func (s *Store) withFaults(path string, next http.HandlerFunc) http.HandlerFunc {
@@ -160,9 +160,9 @@
 		switch {
 		case faults.Refuse && faults.appliesTo(path):
 			w.WriteHeader(http.StatusServiceUnavailable)
-		case faults.Silent:
+		case faults.Hang:
 			<-r.Context().Done()
-		case faults.LoseAnswers && faults.appliesTo(path):
+		case faults.DropResponses && faults.appliesTo(path):
 			next(&discardWriter{header: http.Header{}}, r)
 			panic(http.ErrAbortHandler)
 		default:
--- a/standin/platform/list.go
+++ b/standin/platform/list.go
@@ -67,7 +67,7 @@
 
 // read returns the list as of ListLag ago. With ListFrozen it keeps returning the same
 // version.
-func (l *instanceList) read(now time.Time, faults Switches) []galenastair.ListedInstance {
+func (l *instanceList) read(now time.Time, faults Faults) []galenastair.ListedInstance {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.removeExpired(now, faults.SilentAfter)
--- a/standin/platform/log.go
+++ b/standin/platform/log.go
@@ -30,12 +30,12 @@
 	for hung := false; ; hung = true {
 		faults, changed := p.faults.get()
 		switch faults.Outage {
-		case NoOutage:
+		case OutageNone:
 			if hung {
 				panic(http.ErrAbortHandler)
 			}
 			return false
-		case Refuse:
+		case OutageRefuse:
 			http.Error(w, "log outage", http.StatusServiceUnavailable)
 			return true
 		}
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -31,7 +31,7 @@
 type Option func(*Platform)
 
 // WithFaults sets the faults in effect at the start.
-func WithSwitches(s Switches) Option {
+func WithFaults(s Faults) Option {
 	return func(p *Platform) { p.faults = newFaultState(s) }
 }
 
@@ -41,16 +41,16 @@
 }
 
 // WithWeightStore sets the load times and the concurrency of the weight store.
-func WithStoreSpeed(s StoreSpeed) Option {
+func WithWeightStore(s WeightStoreConfig) Option {
 	return func(p *Platform) { p.weightStore.config = s }
 }
 
 // New returns a platform with an empty log and an empty instance list.
 func New(opts ...Option) *Platform {
 	p := &Platform{
-		faults:        newFaultState(DefaultSwitches()),
+		faults:        newFaultState(DefaultFaults()),
 		list:          newInstanceList(),
-		weightStore:   &weightStore{config: DefaultStoreSpeed()},
+		weightStore:   &weightStore{config: DefaultWeightStoreConfig()},
 		streams:       map[string]*stream{},
 		appendLimiter: rate.NewLimiter(0, appendBurst),
 	}
@@ -61,11 +61,11 @@
 }
 
 // UpdateFaults changes the faults while the platform runs.
-func (p *Platform) Switch(f func(*Switches)) {
-	_ = p.faults.update(func(s *Switches) error { f(s); return nil })
+func (p *Platform) UpdateFaults(f func(*Faults)) {
+	_ = p.faults.update(func(s *Faults) error { f(s); return nil })
 }
 
-func (p *Platform) allowAppend(faults Switches) bool {
+func (p *Platform) allowAppend(faults Faults) bool {
 	if faults.AppendsPerSecond <= 0 {
 		return true
 	}
@@ -79,7 +79,7 @@
 
 // HandlerWithContext returns a handler like Handler that also cancels open requests when
 // ctx is cancelled, so that long polls do not delay the shutdown of the process.
-func (p *Platform) HandlerUntil(ctx context.Context) http.Handler {
+func (p *Platform) HandlerWithContext(ctx context.Context) http.Handler {
 	h := p.Handler()
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		waiting, cancel := context.WithCancel(r.Context())
@@ -106,7 +106,7 @@
 }
 
 func (p *Platform) postFaults(w http.ResponseWriter, r *http.Request) {
-	err := p.faults.update(func(s *Switches) error {
+	err := p.faults.update(func(s *Faults) error {
 		changed := *s
 		d := json.NewDecoder(r.Body)
 		d.DisallowUnknownFields()
--- a/standin/platform/stream.go
+++ b/standin/platform/stream.go
@@ -43,7 +43,7 @@
 }
 
 // expire removes records beyond the retention limits.
-func (s *stream) expire(now time.Time, faults Switches) {
+func (s *stream) expire(now time.Time, faults Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	drop := 0
--- a/standin/platform/switches.go
+++ b/standin/platform/switches.go
@@ -12,16 +12,16 @@
 // Failure modes of the log.
 const (
 	// OutageNone is normal service.
-	NoOutage Outage = ""
+	OutageNone Outage = ""
 	// OutageRefuse responds 503 without executing the request.
-	Refuse Outage = "Refuse"
+	OutageRefuse Outage = "Refuse"
 	// OutageHang accepts requests, and neither executes nor answers them.
-	Hang Outage = "Hang"
+	OutageHang Outage = "Hang"
 )
 
 // Faults holds the faults to inject and the limits of the platform. They can be changed
 // while the platform runs.
-type Switches struct {
+type Faults struct {
 	Outage Outage
 	// ListOutage makes the instance list respond 503.
 	ListOutage bool
@@ -45,8 +45,8 @@
 }
 
 // DefaultFaults returns the configuration of a platform without faults.
-func DefaultSwitches() Switches {
-	return Switches{
+func DefaultFaults() Faults {
+	return Faults{
 		AppendsPerSecond: 400,
 		ListLag:          200 * time.Millisecond,
 		SilentAfter:      5 * time.Second,
@@ -56,21 +56,21 @@
 // faultState holds the current faults and a channel that is closed when they change.
 type faultState struct {
 	mu      sync.Mutex
-	current Switches
+	current Faults
 	changed chan struct{}
 }
 
-func newFaultState(s Switches) *faultState {
+func newFaultState(s Faults) *faultState {
 	return &faultState{current: s, changed: make(chan struct{})}
 }
 
-func (f *faultState) get() (Switches, <-chan struct{}) {
+func (f *faultState) get() (Faults, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.current, f.changed
 }
 
-func (f *faultState) update(change func(*Switches) error) error {
+func (f *faultState) update(change func(*Faults) error) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err := change(&f.current); err != nil {
@@ -81,6 +81,6 @@
 	return nil
 }
 
-func (s Switches) losesResponse() bool {
+func (s Faults) losesResponse() bool {
 	return s.LostAnswers > 0 && rand.Float64() < s.LostAnswers
 }
--- a/standin/platform/weights.go
+++ b/standin/platform/weights.go
@@ -11,31 +11,31 @@
 )
 
 // WeightStoreConfig sets the load times and the concurrency of the weight store.
-type StoreSpeed struct {
+type WeightStoreConfig struct {
 	// ModelLoadTime is the time to load one model at full speed.
-	ModelLoad time.Duration
+	ModelLoadTime time.Duration
 	// ConcurrentModels is the number of models that load at full speed together. Further
 	// ones share that bandwidth.
-	ModelsAtOnce int
+	ConcurrentModels int
 	// AdapterLoadTime is the time to load one adapter while at most ConcurrentAdapters are
 	// loading.
-	AdapterLoad    time.Duration
-	AdaptersAtOnce int
+	AdapterLoadTime    time.Duration
+	ConcurrentAdapters int
 }
 
 // DefaultWeightStoreConfig returns the characteristics of Himalbyte's weight store.
-func DefaultStoreSpeed() StoreSpeed {
-	return StoreSpeed{
-		ModelLoad:      time.Second,
-		ModelsAtOnce:   2,
-		AdapterLoad:    40 * time.Millisecond,
-		AdaptersAtOnce: 15,
+func DefaultWeightStoreConfig() WeightStoreConfig {
+	return WeightStoreConfig{
+		ModelLoadTime:      time.Second,
+		ConcurrentModels:   2,
+		AdapterLoadTime:    40 * time.Millisecond,
+		ConcurrentAdapters: 15,
 	}
 }
 
 // LoadStats counts loads from the weight store: in total, current, and the maximum at one
 // time.
-type LoadCounts struct {
+type LoadStats struct {
 	Models, Adapters         int
 	ModelsNow, AdaptersNow   int
 	ModelsMost, AdaptersMost int
@@ -44,9 +44,9 @@
 // weightStore simulates load times. Above the configured concurrency, the time of a load
 // grows in proportion to the loads in progress.
 type weightStore struct {
-	config StoreSpeed
+	config WeightStoreConfig
 	mu     sync.Mutex
-	counts LoadCounts
+	counts LoadStats
 }
 
 // startLoad counts a load and returns its duration.
@@ -58,12 +58,12 @@
 		c.Adapters++
 		c.AdaptersNow++
 		c.AdaptersMost = max(c.AdaptersMost, c.AdaptersNow)
-		return loadDuration(s.config.AdapterLoad, c.AdaptersNow, s.config.AdaptersAtOnce)
+		return loadDuration(s.config.AdapterLoadTime, c.AdaptersNow, s.config.ConcurrentAdapters)
 	}
 	c.Models++
 	c.ModelsNow++
 	c.ModelsMost = max(c.ModelsMost, c.ModelsNow)
-	return loadDuration(s.config.ModelLoad, c.ModelsNow, s.config.ModelsAtOnce)
+	return loadDuration(s.config.ModelLoadTime, c.ModelsNow, s.config.ConcurrentModels)
 }
 
 func loadDuration(fullSpeed time.Duration, inFlight, concurrency int) time.Duration {
--- a/standin/replica/order.go
+++ b/standin/replica/order.go
@@ -25,7 +25,7 @@
 		return
 	}
 	r.mu.Lock()
-	status, dropResponse := r.applyOrder(c), r.faults.LoseOrders
+	status, dropResponse := r.applyOrder(c), r.faults.DropOrderResponses
 	r.mu.Unlock()
 	if dropResponse {
 		panic(http.ErrAbortHandler)
@@ -74,7 +74,7 @@
 	for _, held := range r.models {
 		adapters += len(held)
 	}
-	if len(r.models) > r.settings.Places || adapters > r.settings.Adapters {
+	if len(r.models) > r.settings.MaxModels || adapters > r.settings.MaxAdapters {
 		r.crashReason = "order exceeds the capacity for models or adapters"
 	}
 }
@@ -126,7 +126,7 @@
 		"service": r.settings.Service, "address": r.settings.Address, "zone": r.settings.Zone, "version": "v1",
 		"slots": r.settings.Slots, "state": state, "sequence": r.registrationSequence, "born": r.startedAtMillis,
 	}
-	if r.settings.Places > 0 {
+	if r.settings.MaxModels > 0 {
 		body["models"] = r.loadedModels()
 	}
 	data, err := json.Marshal(body)
--- a/standin/replica/replica.go
+++ b/standin/replica/replica.go
@@ -12,7 +12,7 @@
 )
 
 // Faults are the faults to inject. They can be changed while the replica runs.
-type Switches struct {
+type Faults struct {
 	// Decline responds 503 with the header that states that the request was not executed.
 	Decline bool
 	// Fail executes the request and responds 500.
@@ -23,29 +23,29 @@
 	// Hang executes the request and never responds.
 	Hang bool
 	// CloseConnection executes the request and closes its connection without a response.
-	Die bool
+	CloseConnection bool
 	// DropOrderResponses executes orders and closes the connection without a response.
-	LoseOrders bool
+	DropOrderResponses bool
 	// EventInterval is the delay after each event.
-	EventGap time.Duration
+	EventInterval time.Duration
 	// ServerLimit is the rate in requests per second that responses carry in the header
 	// Server-Limit; 0 omits the header.
-	Limit float64
+	ServerLimit float64
 }
 
 // Run is one execution of a request.
 type Run struct {
-	ID     string
-	Target string
-	Tenant string
-	Body   string
-	After  string
+	ID          string
+	RequestURI  string
+	Tenant      string
+	Body        string
+	LastEventID string
 	// HasKey is set if the request had an Authorization header.
-	Key bool
+	HasKey bool
 	// StartedAt is the start of the execution.
-	At time.Time
+	StartedAt time.Time
 	// Canceled is set if the client closed the connection before the end.
-	Left bool
+	Canceled bool
 }
 
 // Settings configures a Replica.
@@ -57,11 +57,11 @@
 	Slots   int
 	// MaxModels and MaxAdapters are the capacity. A replica with MaxModels 0 is a plain
 	// service: its registration lists no models.
-	Places   int
-	Adapters int
-	Models   []string
+	MaxModels   int
+	MaxAdapters int
+	Models      []string
 	// EventsPerStream is the number of events of a stream.
-	Events int
+	EventsPerStream int
 }
 
 // Replica is a fake backend server.
@@ -70,7 +70,7 @@
 	startedAtMillis int64
 
 	mu                   sync.Mutex
-	faults               Switches
+	faults               Faults
 	models               map[string]map[string]bool
 	sequence             int64
 	registrationSequence int64
@@ -90,7 +90,7 @@
 }
 
 // UpdateFaults changes the injected faults.
-func (r *Replica) Switch(f func(*Switches)) {
+func (r *Replica) UpdateFaults(f func(*Faults)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(&r.faults)
@@ -116,7 +116,7 @@
 
 // CrashReason returns the reason for which an order would have crashed a real server, or
 // "" if none would have.
-func (r *Replica) Crashed() string {
+func (r *Replica) CrashReason() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.crashReason
@@ -164,8 +164,8 @@
 	model := req.Header.Get("Galenastair-Model")
 	r.mu.Lock()
 	faults := r.faults
-	if faults.Limit > 0 {
-		w.Header().Set("Server-Limit", strconv.FormatFloat(faults.Limit, 'f', -1, 64))
+	if faults.ServerLimit > 0 {
+		w.Header().Set("Server-Limit", strconv.FormatFloat(faults.ServerLimit, 'f', -1, 64))
 	}
 	if !r.isLoaded(model) || faults.Decline {
 		missing := !faults.Decline
@@ -179,13 +179,13 @@
 		return
 	}
 	run := &Run{
-		ID:     req.Header.Get("Galenastair-Attempt-Id"),
-		Target: req.RequestURI,
-		Tenant: req.Header.Get("Galenastair-Tenant"),
-		Body:   string(body[:n]),
-		After:  req.Header.Get("Last-Event-Id"),
-		Key:    req.Header.Get("Authorization") != "",
-		At:     time.Now(),
+		ID:          req.Header.Get("Galenastair-Attempt-Id"),
+		RequestURI:  req.RequestURI,
+		Tenant:      req.Header.Get("Galenastair-Tenant"),
+		Body:        string(body[:n]),
+		LastEventID: req.Header.Get("Last-Event-Id"),
+		HasKey:      req.Header.Get("Authorization") != "",
+		StartedAt:   time.Now(),
 	}
 	r.runs = append(r.runs, run)
 	r.mu.Unlock()
@@ -194,7 +194,7 @@
 	case faults.Hang:
 		<-req.Context().Done()
 		r.markCanceled(run)
-	case faults.Die:
+	case faults.CloseConnection:
 		panic(http.ErrAbortHandler)
 	case faults.Fail:
 		w.WriteHeader(http.StatusInternalServerError)
@@ -208,14 +208,14 @@
 func (r *Replica) markCanceled(run *Run) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	run.Left = true
+	run.Canceled = true
 }
 
-func (r *Replica) stream(w http.ResponseWriter, req *http.Request, run *Run, faults Switches) {
+func (r *Replica) stream(w http.ResponseWriter, req *http.Request, run *Run, faults Faults) {
 	w.Header().Set("Content-Type", "text/event-stream")
-	first, _ := strconv.Atoi(run.After)
+	first, _ := strconv.Atoi(run.LastEventID)
 	flusher := http.NewResponseController(w)
-	for n := first + 1; n <= r.settings.Events; n++ {
+	for n := first + 1; n <= r.settings.EventsPerStream; n++ {
 		if faults.CutAfter > 0 && n-first > faults.CutAfter {
 			fmt.Fprintf(w, "id: %d\nda", n)
 			_ = flusher.Flush()
@@ -227,7 +227,7 @@
 		case <-req.Context().Done():
 			r.markCanceled(run)
 			return
-		case <-time.After(faults.EventGap):
+		case <-time.After(faults.EventInterval):
 		}
 	}
 }
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -18,7 +18,7 @@
 const maxBody = 8 << 20
 
 // Faults are the faults to inject. They can be changed while the service runs.
-type Switches struct {
+type Faults struct {
 	// Delay is the delay before each call is executed.
 	Delay time.Duration
 	// Decline responds 503 with the outcome header that states that the call was not
@@ -35,16 +35,16 @@
 }
 
 // CallCount is the number of executions of one call.
-type Call struct {
+type CallCount struct {
 	ID    string
 	Count int
 }
 
 // CallsResponse counts the calls that were executed and those that carried a caller's key.
-type CallsAnswer struct {
+type CallsResponse struct {
 	// ByRequest counts by X-Request-Id, ByCall by the field "Call" of the body.
-	ByRequest []Call
-	ByCall    []Call
+	ByRequest []CallCount
+	ByCall    []CallCount
 	Total     int
 	// Keys is the number of executed calls with an Authorization header.
 	Keys int
@@ -56,7 +56,7 @@
 	journal *journal.Journal
 
 	mu        sync.Mutex
-	faults    Switches
+	faults    Faults
 	byRequest map[string]int
 	byCall    map[string]int
 	total     int
@@ -86,13 +86,13 @@
 }
 
 // UpdateFaults changes the injected faults while the service runs.
-func (s *Service) Switch(f func(*Switches)) {
+func (s *Service) UpdateFaults(f func(*Faults)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(&s.faults)
 }
 
-func (s *Service) currentFaults() Switches {
+func (s *Service) currentFaults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
@@ -177,16 +177,16 @@
 }
 
 // Calls returns the counts so far.
-func (s *Service) Calls() CallsAnswer {
+func (s *Service) Calls() CallsResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return CallsAnswer{callCounts(s.byRequest), callCounts(s.byCall), s.total, s.keys}
+	return CallsResponse{callCounts(s.byRequest), callCounts(s.byCall), s.total, s.keys}
 }
 
-func callCounts(counts map[string]int) []Call {
-	calls := make([]Call, 0, len(counts))
+func callCounts(counts map[string]int) []CallCount {
+	calls := make([]CallCount, 0, len(counts))
 	for id, n := range counts {
-		calls = append(calls, Call{id, n})
+		calls = append(calls, CallCount{id, n})
 	}
 	return calls
 }
@@ -203,7 +203,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	s.Switch(func(faults *Switches) { *faults = changed })
+	s.UpdateFaults(func(faults *Faults) { *faults = changed })
 	writeJSON(w, changed)
 }
 
