--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -12,9 +12,9 @@
 	// catalogRetryAfter is the Retry-After of an instance without a current configuration.
 	// By then the load balancer has stopped sending to it and other instances serve.
 	catalogRetryAfter = 500 * time.Millisecond
-	// minRetryAfter and maxRetryAfter bound the Retry-After of an organisation over its
-	// quota and of overload. A caller that retries sooner meets the same conditions, and
-	// one that is asked to wait longer gives up.
+	// minRetryAfter and maxRetryAfter bound the Retry-After of requests over the quota and of
+	// requests refused because of overload. A caller that retries sooner meets the same
+	// conditions, and one that is asked to wait longer gives up.
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
 	// maxPriority is the least urgent level that backend servers accept.
--- a/gateway/bed_test.go
+++ b/gateway/bed_test.go
@@ -37,8 +37,8 @@
 // truncatedBody is a body that ends with ErrAnswerCut.
 type truncatedBody struct{ io.Reader }
 
-func (c truncatedBody) Read(p []byte) (int, error) {
-	n, err := c.Reader.Read(p)
+func (b truncatedBody) Read(p []byte) (int, error) {
+	n, err := b.Reader.Read(p)
 	if errors.Is(err, io.EOF) {
 		return n, galenastair.ErrAnswerCut
 	}
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -41,7 +41,7 @@
 	}
 	switch choice.Reason {
 	case pool.ReasonThrottled:
-		return pool.Choice{}, r.handleDeferred(ctx, choice)
+		return pool.Choice{}, r.handleThrottled(ctx, choice)
 	case pool.ReasonNoServer:
 		return choice, galenastair.Refuse(galenastair.ErrNoBackendServer, noServerRetryAfter, string(r.service))
 	case pool.ReasonNoModel:
@@ -76,10 +76,11 @@
 	return c, nil
 }
 
-// handleDeferred asks the planner to load the model on another engine, as all that hold it
-// are at their rate limits. Without one in time, the request is refused with the time at
-// which the first of them admits requests again.
-func (r *activeRequest) handleDeferred(ctx context.Context, c pool.Choice) error {
+// handleThrottled asks the planner to load the model on another engine, as all that hold it
+// are at their rate limits. If none can hold it in time, or the request names no model, it
+// returns a refusal whose Retry-After is the time until the first of them admits requests
+// again, up to a third of the remaining time.
+func (r *activeRequest) handleThrottled(ctx context.Context, c pool.Choice) error {
 	if r.req.Hints.Model != "" && r.placementRequests < maxPlacementRequests && r.requestPlacement(ctx) == nil {
 		return nil
 	}
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -176,9 +176,9 @@
 	b := newTestEnv(respond(200, "id: 1\ndata: a\n\n"))
 	b.placement.availability = planner.Availability{Server: "s1", ReadyIn: 50 * time.Millisecond}
 	b.gateway.placement = hookedPlacement{b.placement, func() { b.catalogSource.age = maxCatalogAge }}
-	call := testRequest("/stream/1")
-	call.Hints.Model = "m/a1"
-	_, err := b.gateway.Serve(t.Context(), call, &recordedResponse{})
+	req := testRequest("/stream/1")
+	req.Hints.Model = "m/a1"
+	_, err := b.gateway.Serve(t.Context(), req, &recordedResponse{})
 	is.True(errors.Is(err, galenastair.ErrConfiguration))
 	is.Equal(len(b.backend.calls), 0)
 }
@@ -200,10 +200,10 @@
 	is := is.New(t)
 	b := newTestEnv(respond(200, "id: 1\ndata: a\n\n"))
 	b.placement.availability = planner.Availability{Server: "s2", ReadyIn: 5 * time.Millisecond}
-	call := testRequest("/stream/1")
-	call.Hints.Model = "m/a1"
+	req := testRequest("/stream/1")
+	req.Hints.Model = "m/a1"
 	to := &recordedResponse{}
-	_, err := b.gateway.Serve(t.Context(), call, to)
+	_, err := b.gateway.Serve(t.Context(), req, to)
 	is.NoErr(err)
 	is.Equal(b.backend.calls[0].Expect, galenastair.BackendServerID("s2"))
 	is.Equal(b.placement.requests, 1)
@@ -214,10 +214,10 @@
 	is := is.New(t)
 	b := newTestEnv()
 	b.placement.availability = planner.Availability{Server: "s2", ReadyIn: 5 * time.Second}
-	call := testRequest("/stream/1")
-	call.Hints.Model = "other"
+	req := testRequest("/stream/1")
+	req.Hints.Model = "other"
 	begun := time.Now()
-	_, err := b.gateway.Serve(t.Context(), call, &recordedResponse{})
+	_, err := b.gateway.Serve(t.Context(), req, &recordedResponse{})
 	var r *galenastair.Refusal
 	is.True(errors.As(err, &r))
 	is.Equal(r.Outcome, galenastair.NotRun)
@@ -231,13 +231,13 @@
 func TestRetryAfterCoversModelLoad(t *testing.T) {
 	is := is.New(t)
 	b := newTestEnv()
-	call := testRequest("/stream/1")
-	call.Hints.Model = "other"
-	b.catalogSource.catalog.Match(call.Host, call.Path).Timeout = time.Minute
+	req := testRequest("/stream/1")
+	req.Hints.Model = "other"
+	b.catalogSource.catalog.Match(req.Host, req.Path).Timeout = time.Minute
 	retry := func(ready, left time.Duration) time.Duration {
 		b.placement.availability = planner.Availability{ReadyIn: ready}
-		call.Timeout, call.Received = left, time.Now()
-		_, err := b.gateway.Serve(t.Context(), call, &recordedResponse{})
+		req.Timeout, req.Received = left, time.Now()
+		_, err := b.gateway.Serve(t.Context(), req, &recordedResponse{})
 		var r *galenastair.Refusal
 		is.True(errors.As(err, &r))
 		is.Equal(r.Outcome, galenastair.NotRun)
@@ -276,6 +276,7 @@
 
 // An instance is stopped while a bid waits at a backend server for longer than the shutdown
 // may take. The bid may have run: it is not retried, and the caller gets the outcome Unknown.
+// The attempt does not count as a failure of the server.
 func TestStopReportsOutcomeUnknown(t *testing.T) {
 	is := is.New(t)
 	b := newTestEnv(hang, respond(200, "done"))
@@ -294,13 +295,13 @@
 func TestTimeoutIsReportedAtDeadline(t *testing.T) {
 	is := is.New(t)
 	b := newTestEnv(hang)
-	call := testRequest("/bid/1")
-	call.Timeout = 100 * time.Millisecond
-	_, err := b.gateway.Serve(t.Context(), call, &recordedResponse{})
+	req := testRequest("/bid/1")
+	req.Timeout = 100 * time.Millisecond
+	_, err := b.gateway.Serve(t.Context(), req, &recordedResponse{})
 	var r *galenastair.Refusal
 	is.True(errors.As(err, &r))
 	is.Equal(r.Status(), http.StatusGatewayTimeout)
-	is.True(time.Since(call.Received) < 300*time.Millisecond)
+	is.True(time.Since(req.Received) < 300*time.Millisecond)
 }
 
 // A request that crashes every server is sent repeatedly. After three crashed servers it is
@@ -326,9 +327,9 @@
 	}
 	b := newTestEnv(scripts...)
 	for i := range requests {
-		call := testRequest("/read/1")
-		call.Body = []byte{byte(i), byte(i >> 8)}
-		_, _ = b.gateway.Serve(t.Context(), call, &recordedResponse{})
+		req := testRequest("/read/1")
+		req.Body = []byte{byte(i), byte(i >> 8)}
+		_, _ = b.gateway.Serve(t.Context(), req, &recordedResponse{})
 	}
 	is.True(len(b.backend.calls)-requests <= int(0.2*requests)+50)
 	is.True(len(b.backend.calls) > requests)
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -12,7 +12,7 @@
 )
 
 // errCallerGone reports that the caller closed its connection.
-var errCallerGone = errors.New("the caller closed its connection")
+var errCallerGone = errors.New("the caller left")
 
 // activeRequest is the state of one request while it is served.
 type activeRequest struct {
