--- a/route/health.go
+++ b/route/health.go
@@ -95,10 +95,10 @@
 	h.failures = 0
 }
 
-func (h *health) addInterTokenLatency(gap time.Duration) {
-	if gap > 0 {
+func (h *health) addInterTokenLatency(latency time.Duration) {
+	if latency > 0 {
 		h.interTokenSamples++
-		h.interTokenLatency = smooth(h.interTokenLatency, gap, h.interTokenSamples)
+		h.interTokenLatency = smooth(h.interTokenLatency, latency, h.interTokenSamples)
 	}
 }
 
--- a/route/review.go
+++ b/route/review.go
@@ -14,8 +14,8 @@
 
 // DetectOutliers compares all backend servers and ejects the slow, failing and silent ones.
 // Without it, a share of all requests would continue to reach a backend server that hangs or
-// is slow while its peers are healthy. Comparing in-flight requests reacts only once the
-// window of such a server is full.
+// is slow while its peers are healthy. Such a server holds its requests longest, so that a
+// comparison of in-flight requests alone reacts only once its window is full.
 func (r *Router) DetectOutliers(now time.Time) {
 	if now.Sub(r.reviewed) < reviewPeriod {
 		return
--- a/route/router_test.go
+++ b/route/router_test.go
@@ -119,8 +119,8 @@
 	is.True(r.servers[id(0)].health.ejected)
 }
 
-// Several of nine backend servers fail, for instance with a network link, and among them the
-// only one with a copy of a model. Ejecting all of them would move their load to the rest and
+// One, four or all of nine backend servers fail, for instance with a network link, and among
+// them is the only one with a copy of a model. Ejecting all of them would move their load to the rest and
 // leave no server for that model. Fails with maxEjectedShare at 1, and if lastResort never
 // returns a server.
 func TestEjectionKeepsEnoughServersAndLastCopy(t *testing.T) {
--- a/route/window.go
+++ b/route/window.go
@@ -23,7 +23,7 @@
 	// a request is taken to have queued in the engine.
 	queuedFirstTokenFactor = 2
 	// slowStartTolerance is the number of additional waiting requests that are tolerated until
-	// the window is first decreased. Requests that arrived since the engine's last step, about
+	// the first multiplicative decrease. Requests that arrived since the engine's last step, about
 	// 50 ms ago, are no queue, and treating them as one would end the fast growth at a few slots.
 	slowStartTolerance = 4
 	// queueTolerance is the share of the running batch that may wait in the engine. A few
@@ -51,8 +51,8 @@
 	usedUp bool
 	// exhausted reports whether the window was used up since the last first token.
 	exhausted bool
-	// congestionSeen reports whether the window was ever decreased, so that its size has been
-	// near the capacity of the backend server.
+	// congestionSeen reports whether the window was ever decreased by windowDecrease, so that
+	// its size has been near the capacity of the backend server.
 	congestionSeen bool
 }
 
@@ -92,8 +92,8 @@
 }
 
 // applyInterTokenLatency adapts the window to the time between the tokens of one response.
-func (w *window) applyInterTokenLatency(between time.Duration) {
-	if between > interTokenLatencyTarget {
+func (w *window) applyInterTokenLatency(latency time.Duration) {
+	if latency > interTokenLatencyTarget {
 		w.limit = max(1, w.limit-windowIncrease)
 	}
 }
@@ -109,12 +109,12 @@
 // Reports arrive every 2 s at the current fleet size and every 7 s at the target size, as the
 // budget for control traffic allows. With reports alone the window grew by one slot in that
 // time: at 1,000 short requests per second, an instance made most of them wait for 250 ms and
-// refused one in eight while the engine was idle. Until its first decrease the window doubles
-// within the time of one response; after it, the window grows by one slot in that time. Above
+// refused one in eight while the engine was idle. Until its first multiplicative decrease the
+// window doubles within the time of one response; after it, the window grows by one slot in that time. Above
 // growthInterTokenLatency only reports increase the window, because a batch that is too large
 // shows only in responses that end seconds later.
-func (w *window) applyFirstToken(took, usual, gap time.Duration) {
-	if !w.exhausted || took > queuedFirstTokenFactor*usual || gap > growthInterTokenLatency {
+func (w *window) applyFirstToken(took, expected, latency time.Duration) {
+	if !w.exhausted || took > queuedFirstTokenFactor*expected || latency > growthInterTokenLatency {
 		return
 	}
 	w.exhausted = false
