--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -21,7 +21,7 @@
 	{"region", 270, 250, 2000},
 }
 
-func benchCore(s benchSize) *Scheduler {
+func newBenchScheduler(s benchSize) *Scheduler {
 	c := NewScheduler(rand.New(rand.NewPCG(1, 2)))
 	c.SetServers(start, serverList(s.servers))
 	for i := range s.servers {
@@ -52,7 +52,7 @@
 func BenchmarkAdmitAndRoute(b *testing.B) {
 	for _, s := range benchSizes {
 		b.Run(s.name, func(b *testing.B) {
-			c := benchCore(s)
+			c := newBenchScheduler(s)
 			var rs []Request
 			for i := range 4000 {
 				rs = append(rs, s.request(i, make([]byte, 1600)))
@@ -81,7 +81,7 @@
 func BenchmarkSaturated(b *testing.B) {
 	for _, s := range benchSizes {
 		b.Run(s.name, func(b *testing.B) {
-			c := benchCore(s)
+			c := newBenchScheduler(s)
 			now := start
 			var running []*Ticket
 			collect := func() {
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -178,7 +178,7 @@
 // nextFor returns the waiting request that is next on a backend server, and its model. It
 // compares the first request of each organisation in the queue of each loaded model.
 func (s *Scheduler) nextFor(now time.Time, id galenastair.BackendServerID) (galenastair.ModelName, *queue.Item) {
-	tn := s.serverShare(id)
+	share := s.serverShare(id)
 	fit := func(it *queue.Item) bool { return !s.excludes(it, id) }
 	var best galenastair.ModelName
 	var next *queue.Item
@@ -189,7 +189,7 @@
 			continue
 		}
 		m.queue.Heads(now, fit, func(it *queue.Item) {
-			tag := tn.startTag(it.Organisation)
+			tag := share.startTag(it.Organisation)
 			if next == nil || s.less(now, it, next, tag, start) {
 				best, next, start = name, it, tag
 			}
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -16,7 +16,7 @@
 
 var start = time.Unix(1000, 0)
 
-func newCore(servers int, models ...galenastair.ModelName) *Scheduler {
+func newTestScheduler(servers int, models ...galenastair.ModelName) *Scheduler {
 	c := NewScheduler(rand.New(rand.NewPCG(1, 2)))
 	c.SetServers(start, serverList(servers))
 	for i := range servers {
@@ -51,7 +51,7 @@
 // waits behind the flood. Fails if shareTracker.charge does nothing.
 func TestOrganisationsShareBackendServerAcrossModels(t *testing.T) {
 	is := is.New(t)
-	c := newCore(1, "a", "b")
+	c := newTestScheduler(1, "a", "b")
 	var running []*Ticket
 	served := map[galenastair.ModelName]int{}
 	collect := func() {
@@ -79,7 +79,7 @@
 // block the requests behind it. Fails if dispatchModel lacks the case len(q.Exclude) > 0.
 func TestRetryDoesNotBlockQueue(t *testing.T) {
 	is := is.New(t)
-	c := newCore(2, "m")
+	c := newTestScheduler(2, "m")
 	var tickets []*Ticket
 	for {
 		c.Submit(start, request("a", "m"))
@@ -123,7 +123,7 @@
 // for it; if no copy appears, they are refused with the outcome NotRun.
 func TestWaitsForUnreportedCopy(t *testing.T) {
 	is := is.New(t)
-	c := newCore(1)
+	c := newTestScheduler(1)
 	c.Submit(start, request("a", "m"))
 	is.Equal(len(c.Poll()), 0)
 	c.ApplyReport(start.Add(time.Second), report(0, "m"))
@@ -143,7 +143,7 @@
 func TestWaitingIsBounded(t *testing.T) {
 	is := is.New(t)
 	models := []galenastair.ModelName{"a", "b", "c", "d", "e", "f"}
-	c := newCore(1, models...)
+	c := newTestScheduler(1, models...)
 	for i := range 4000 {
 		c.Submit(start, request("flood", models[i%len(models)]))
 		is.True(c.QueueLength() <= maxQueuedRequests)
@@ -225,7 +225,7 @@
 	for i := range 20 {
 		models = append(models, galenastair.ModelName(fmt.Sprint("m", i)))
 	}
-	c := newCore(2, models...)
+	c := newTestScheduler(2, models...)
 	c.ApplyReport(start, report(1, "x"))
 	send := func(o string, m galenastair.ModelName) []Decision {
 		r := request(o, m)
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -22,8 +22,8 @@
 }
 
 // SetBounds replaces the ratio and the reserve, and caps the balance at the reserve.
-func (b *RetryBudget) SetBounds(share, reserve float64) {
-	b.ratio, b.reserve = share, reserve
+func (b *RetryBudget) SetBounds(ratio, reserve float64) {
+	b.ratio, b.reserve = ratio, reserve
 	b.balance = min(b.balance, reserve)
 }
 
