--- a/registry/table.go
+++ b/registry/table.go
@@ -98,8 +98,9 @@
 	}
 }
 
-// AdvanceTo reports that all records before next have been applied. If they were read as a
-// snapshot, with only the newest record of each key, removals before it are not known.
+// AdvanceTo records that all records before next have been applied. A snapshot has only the
+// newest record of each key: after the first one, and after one of a topic that ends earlier than
+// before, removals before next are not known.
 func (t *Table) AdvanceTo(next galenastair.Offset, snapshot bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
