--- a/follow/follower.go
+++ b/follow/follower.go
@@ -58,10 +58,11 @@
 	resync atomic.Bool
 	wake   chan struct{}
 
-	// used only by the goroutine of Run
-	// listed is false until next is known from a listing, and after the store has dropped the
-	// records at next
-	next       galenastair.Offset
+	// The fields below are used only by the goroutine of Run.
+
+	next galenastair.Offset
+	// listed is false until next is known from a listing, and after Resync or once the store
+	// has dropped the records at next.
 	listed     bool
 	staleReads int
 	// lastHint is the time of the newest confirmation from a hint, or of the last listing.
@@ -127,7 +128,8 @@
 	return f.clock().Sub(boottime.Time(at)), at != 0
 }
 
-// Unavailable reports whether the last call got no usable answer and no hint has come since.
+// Unavailable reports whether the last call got no usable answer and no recent hint has
+// come since.
 func (f *Follower) Unavailable() bool { return f.unavailable.Load() }
 
 // SinceFailure returns the time since the last call without a usable answer was sent: the store
@@ -236,8 +238,8 @@
 	}
 	wait := f.pollTimeout()
 	if f.unavailable.Load() {
-		// a call that doesn't reach the store fails sooner without a long poll, and its
-		// recovery is noticed sooner
+		// without a long poll, a call that doesn't reach the store fails sooner, and the
+		// store's recovery is noticed sooner
 		wait = 0
 	}
 	return f.store.Follow(ctx, f.topic, f.next, wait)
