--- a/node/exchange.go
+++ b/node/exchange.go
@@ -35,19 +35,19 @@
 
 // leaderClient sends this instance's reports and requests to the leader and applies its replies.
 type leaderClient struct {
-	self         galenastair.InstanceID
-	elector      *lease.Elector
-	client       *planning.Client
-	localPlanner *planner.Planner
-	pool         *pool.Pool
-	borrower     *quota.Borrower
-	accounts     *account.Accounts
-	stopping     func() bool
-	poisonTable  *claim.PoisonTracker
-	logger       log.Logger
-	address      string
-	zone         galenastair.AvailabilityZone
-	topics       func() []topicState
+	self          galenastair.InstanceID
+	elector       *lease.Elector
+	client        *planning.Client
+	localPlanner  *planner.Planner
+	pool          *pool.Pool
+	borrower      *quota.Borrower
+	accounts      *account.Accounts
+	stopping      func() bool
+	poisonTracker *claim.PoisonTracker
+	logger        log.Logger
+	address       string
+	zone          galenastair.AvailabilityZone
+	topics        func() []topicState
 
 	limitFallback *ratelimit.FallbackLimiter
 	// index is the position of this instance among all instances, from 0.
@@ -206,7 +206,7 @@
 		c.pool.AddModel(now, p.Server, p.Name)
 	}
 	for _, d := range u.PoisonRequests {
-		c.poisonTable.RecordRemoteCrash(now, d)
+		c.poisonTracker.RecordRemoteCrash(now, d)
 	}
 }
 
--- a/node/lease.go
+++ b/node/lease.go
@@ -20,5 +20,5 @@
 // ServesPeers reports whether this instance may answer the reports of other instances and lend to them.
 func (h leaseAdapter) ServesPeers() bool { return h.lease.ServesPeers(boottime.Now()) }
 
-// FenceRefused ends the term of a fence that an engine has refused.
+// FenceRejected ends the term of a fence that an engine has refused.
 func (h leaseAdapter) FenceRejected(f galenastair.Fence) { h.lease.FenceRejected(f) }
--- a/node/node.go
+++ b/node/node.go
@@ -33,10 +33,10 @@
 )
 
 const (
-	// authorizationMargin is subtracted from the time for which a withdrawn key may still be
+	// authorisationMargin is subtracted from the time for which a withdrawn key may still be
 	// accepted. It covers the time between the check of a key and the arrival of the request
 	// at the backend server.
-	authorizationMargin = 300 * time.Millisecond
+	authorisationMargin = 300 * time.Millisecond
 	// configPollTimeout and registrationPollTimeout are the timeouts of long polls. The first
 	// bounds the age of the configuration while nothing changes; the second bounds how long a
 	// dead connection can hide that a server is leaving.
@@ -160,14 +160,14 @@
 		demands:       map[galenastair.ModelName]time.Duration{},
 		topics:        n.topics,
 	}
-	c.poisonTable = claim.NewPoisonTracker(c.recordPoisonRequest, claim.WithCrashLimit(poisonThreshold, poisonRefusalTime))
+	c.poisonTracker = claim.NewPoisonTracker(c.recordPoisonRequest, claim.WithCrashLimit(poisonThreshold, poisonRefusalTime))
 	return c
 }
 
 func (n *Node) newGateway(backend galenastair.Backend) *gateway.Gateway {
 	b := n.settings.Bounds
 	return gateway.New(gateway.Settings{
-		MaxCatalogAge: b.KeyLife - authorizationMargin,
+		MaxCatalogAge: b.KeyLife - authorisationMargin,
 		RetryRatio:    b.RetryRatio,
 		RetrySlack:    b.RetrySlack,
 		FleetSize:     n.borrower.Fleet,
@@ -179,7 +179,7 @@
 		Quota:         quotas{n.borrower, n.accounts, n.leaderClient},
 		Placement:     n.leaderClient,
 		Limiter:       newLimiter(n.leaderClient, n.metrics),
-		Poison:        n.leaderClient.poisonTable,
+		Poison:        n.leaderClient.poisonTracker,
 	}, gateway.WithLogger(n.logger), gateway.WithRecorder(n.metrics))
 }
 
--- a/node/servers.go
+++ b/node/servers.go
@@ -16,9 +16,9 @@
 
 const (
 	// reregisterTimeout is the time after a failed call to the store within which a server whose
-	// registration has expired may register again; after that the server is removed. Together
-	// with sweepInterval it is shorter than the time after an outage at which the platform's
-	// bounds apply again.
+	// registration has expired may register again; after that the server is removed. It ends,
+	// with a sweep, before the instance counts as in contact with the store again, 3 s after
+	// the outage; from then on the platform's bound on the use of removed servers applies.
 	reregisterTimeout = 2600 * time.Millisecond
 	// sweepInterval is the interval at which expired registrations are checked.
 	sweepInterval = 250 * time.Millisecond
