--- a/gateway/bed_test.go
+++ b/gateway/bed_test.go
@@ -82,14 +82,14 @@
 	body         strings.Builder
 }
 
-func (c *recordedResponse) WriteHeader(status int, _ http.Header, _ int64) error {
-	c.status = status
-	c.headerWrites++
+func (r *recordedResponse) WriteHeader(status int, _ http.Header, _ int64) error {
+	r.status = status
+	r.headerWrites++
 	return nil
 }
 
-func (c *recordedResponse) Write(p []byte) error {
-	c.body.Write(p)
+func (r *recordedResponse) Write(p []byte) error {
+	r.body.Write(p)
 	return nil
 }
 
@@ -100,13 +100,13 @@
 	initial *catalog.Catalog
 }
 
-func (v *fakeCatalogSource) WaitReady(context.Context) {
-	if v.catalog == nil {
-		v.catalog = v.initial
+func (s *fakeCatalogSource) WaitReady(context.Context) {
+	if s.catalog == nil {
+		s.catalog = s.initial
 	}
 }
 
-func (v *fakeCatalogSource) Current() (*catalog.Catalog, time.Duration) { return v.catalog, v.age }
+func (s *fakeCatalogSource) Current() (*catalog.Catalog, time.Duration) { return s.catalog, s.age }
 
 type fakeQuota struct{ refuse bool }
 
@@ -129,18 +129,18 @@
 }
 func (p *fakePlacement) RecordDemand(galenastair.ModelName, time.Duration) {}
 
-// fakeLimiter returns its verdicts in order, and then admits every request at once.
+// fakeLimiter returns its decisions in order, and then admits every request at once.
 type fakeLimiter struct {
-	verdicts []ratelimit.Decision
-	calls    []ratelimit.Limit
+	decisions []ratelimit.Decision
+	calls     []ratelimit.Limit
 }
 
 func (l *fakeLimiter) Admit(_ context.Context, limit ratelimit.Limit, _ time.Duration) ratelimit.Decision {
 	l.calls = append(l.calls, limit)
-	if len(l.calls) > len(l.verdicts) {
+	if len(l.calls) > len(l.decisions) {
 		return ratelimit.Decision{Granted: true}
 	}
-	return l.verdicts[len(l.calls)-1]
+	return l.decisions[len(l.calls)-1]
 }
 
 // testEnv is a gateway with scripted backend servers and fake dependencies.
@@ -162,7 +162,7 @@
 )
 
 func newTestEnv(scripts ...script) *testEnv {
-	b := &testEnv{
+	env := &testEnv{
 		backend:       &fakeBackend{scripts: scripts},
 		catalogSource: &fakeCatalogSource{catalog: testCatalog()},
 		quota:         &fakeQuota{},
@@ -170,24 +170,24 @@
 		pool:          pool.New("z1"),
 		limiter:       &fakeLimiter{},
 	}
-	b.addServers()
-	b.gateway = New(Settings{
+	env.addServers()
+	env.gateway = New(Settings{
 		MaxCatalogAge: maxCatalogAge, RetryRatio: 0.2, RetrySlack: 50,
 		FleetSize: func() int { return 1 },
-		Draining:  func() bool { return b.draining },
+		Draining:  func() bool { return env.draining },
 	}, Dependencies{
-		CatalogSource: b.catalogSource, Pool: b.pool, Backend: b.backend, Quota: b.quota, Placement: b.placement, Limiter: b.limiter,
+		CatalogSource: env.catalogSource, Pool: env.pool, Backend: env.backend, Quota: env.quota, Placement: env.placement, Limiter: env.limiter,
 		Poison: claim.NewPoisonTracker(nil, claim.WithCrashLimit(3, time.Minute)),
 	})
-	return b
+	return env
 }
 
 // addServers registers three servers of each service.
-func (b *testEnv) addServers() {
+func (env *testEnv) addServers() {
 	for _, id := range []galenastair.BackendServerID{"s1", "s2", "s3"} {
-		b.pool.Set(time.Now(), pool.Server{ID: id, Service: "writer", Address: string(id), AvailabilityZone: "z1", Slots: 8,
+		env.pool.Set(time.Now(), pool.Server{ID: id, Service: "writer", Address: string(id), AvailabilityZone: "z1", Slots: 8,
 			Models: []galenastair.EngineModel{{Name: "m"}}})
-		b.pool.Set(time.Now(), pool.Server{ID: "p" + id, Service: "app", Address: string(id), AvailabilityZone: "z1", Slots: 8})
+		env.pool.Set(time.Now(), pool.Server{ID: "p" + id, Service: "app", Address: string(id), AvailabilityZone: "z1", Slots: 8})
 	}
 }
 
@@ -215,9 +215,9 @@
 	return c
 }
 
-func (b *testEnv) serve(t *testing.T, path string) (*recordedResponse, bool, error) {
+func (env *testEnv) serve(t *testing.T, path string) (*recordedResponse, bool, error) {
 	t.Helper()
 	to := &recordedResponse{}
-	wroteHeader, err := b.gateway.Serve(t.Context(), testRequest(path), to)
+	wroteHeader, err := env.gateway.Serve(t.Context(), testRequest(path), to)
 	return to, wroteHeader, err
 }
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -18,8 +18,9 @@
 	responseMargin = 400 * time.Millisecond
 	// minModelRetryAfter is the shortest Retry-After for a model that no backend server holds.
 	minModelRetryAfter = 1500 * time.Millisecond
-	// adapterRetryAfter is the Retry-After when the planner provides no backend server. A
-	// new planner is elected within a few seconds, and an adapter slot is freed sooner.
+	// adapterRetryAfter is the Retry-After when the planner can't be reached or its promised
+	// copy is gone. A new leader, which runs the planner, is elected within a few seconds,
+	// and an adapter slot is freed sooner.
 	adapterRetryAfter = 600 * time.Millisecond
 	// noServerRetryAfter is the Retry-After for a service without any backend server.
 	noServerRetryAfter = time.Second
@@ -58,16 +59,16 @@
 		return c, nil
 	}
 	maxWait := max(0, min(r.admission.route.TargetLatency-c.PredictedLatency, r.deadline.Sub(now)/2))
-	v := r.g.limiter.Admit(ctx, c.Limit, maxWait)
-	r.g.logger.Log("event", "limit", "request", r.req.ID, "server", c.ID, "limit", c.Limit.PerSecond, "age", c.Limit.Age, "granted", v.Granted, "wait", v.Delay)
-	if !v.Granted {
-		r.g.pool.Throttle(r.g.clock.Now(), c.ID, v.Delay-maxWait)
+	decision := r.g.limiter.Admit(ctx, c.Limit, maxWait)
+	r.g.logger.Log("event", "limit", "request", r.req.ID, "server", c.ID, "limit", c.Limit.PerSecond, "age", c.Limit.Age, "granted", decision.Granted, "wait", decision.Delay)
+	if !decision.Granted {
+		r.g.pool.Throttle(r.g.clock.Now(), c.ID, decision.Delay-maxWait)
 		return pool.Choice{}, nil
 	}
-	if v.Delay == 0 {
+	if decision.Delay == 0 {
 		return c, nil
 	}
-	if !timer.Wait(ctx, v.Delay) {
+	if !timer.Wait(ctx, decision.Delay) {
 		return pool.Choice{}, context.Cause(ctx)
 	}
 	if !r.g.pool.Usable(r.g.clock.Now(), c.ID) {
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -17,9 +17,9 @@
 // effect. A retry could bind the buyer twice; the caller gets the outcome Unknown instead.
 func TestBidThatMayHaveRunIsSentOnce(t *testing.T) {
 	is := is.New(t)
-	b := newTestEnv(failWith(galenastair.ErrAnswerCut), respond(200, "second"))
-	_, wroteHeader, err := b.serve(t, "/bid/1")
-	is.Equal(len(b.backend.calls), 1)
+	env := newTestEnv(failWith(galenastair.ErrAnswerCut), respond(200, "second"))
+	_, wroteHeader, err := env.serve(t, "/bid/1")
+	is.Equal(len(env.backend.calls), 1)
 	is.True(!wroteHeader)
 	var r *galenastair.Refusal
 	is.True(errors.As(err, &r))
@@ -31,15 +31,15 @@
 // check of Usable the request would still be sent to it.
 func TestServerLeavingDuringDialGetsNoRequest(t *testing.T) {
 	is := is.New(t)
-	var b *testEnv
+	var env *testEnv
 	dialled := func(_ context.Context, c galenastair.BackendCall) (*galenastair.BackendAnswer, error) {
 		is.True(c.Usable())
-		b.pool.Remove(c.Expect)
+		env.pool.Remove(c.Expect)
 		is.True(!c.Usable())
 		return nil, galenastair.ErrNotSent
 	}
-	b = newTestEnv(dialled, respond(200, "done"))
-	to, _, err := b.serve(t, "/bid/1")
+	env = newTestEnv(dialled, respond(200, "done"))
+	to, _, err := env.serve(t, "/bid/1")
 	is.NoErr(err)
 	is.Equal(to.body.String(), "done")
 }
@@ -47,10 +47,10 @@
 // The response to a bid is truncated. The bid has run and must not run again.
 func TestBidWithTruncatedResponseIsSentOnce(t *testing.T) {
 	is := is.New(t)
-	b := newTestEnv(truncate("half"), respond(200, "second"))
-	to, _, err := b.serve(t, "/bid/1")
+	env := newTestEnv(truncate("half"), respond(200, "second"))
+	to, _, err := env.serve(t, "/bid/1")
 	is.True(err != nil)
-	is.Equal(len(b.backend.calls), 1)
+	is.Equal(len(env.backend.calls), 1)
 	is.Equal(to.headerWrites, 0)
 }
 
@@ -60,11 +60,11 @@
 	for name, first := range map[string]script{"declined": decline(), "not sent": failWith(galenastair.ErrNotSent)} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newTestEnv(first, respond(200, "done"))
-			to, _, err := b.serve(t, "/bid/1")
+			env := newTestEnv(first, respond(200, "done"))
+			to, _, err := env.serve(t, "/bid/1")
 			is.NoErr(err)
 			is.Equal(to.body.String(), "done")
-			is.True(b.backend.calls[0].Expect != b.backend.calls[1].Expect)
+			is.True(env.backend.calls[0].Expect != env.backend.calls[1].Expect)
 		})
 	}
 }
@@ -72,8 +72,8 @@
 // All servers decline: the refusal has the outcome NotRun and a Retry-After.
 func TestRefusalAfterDeclinesSaysNotRun(t *testing.T) {
 	is := is.New(t)
-	b := newTestEnv(decline(), decline(), decline(), decline())
-	_, _, err := b.serve(t, "/bid/1")
+	env := newTestEnv(decline(), decline(), decline(), decline())
+	_, _, err := env.serve(t, "/bid/1")
 	var r *galenastair.Refusal
 	is.True(errors.As(err, &r))
 	is.Equal(r.Outcome, galenastair.NotRun)
@@ -88,8 +88,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newTestEnv(first, respond(200, "page"))
-			to, _, err := b.serve(t, "/read/1")
+			env := newTestEnv(first, respond(200, "page"))
+			to, _, err := env.serve(t, "/read/1")
 			is.NoErr(err)
 			is.Equal(to.status, 200)
 			is.Equal(to.body.String(), "page")
@@ -102,26 +102,26 @@
 // attempts as the route allows.
 func TestReadStopsAtItsAttempts(t *testing.T) {
 	is := is.New(t)
-	b := newTestEnv(respond(500, "first"), respond(500, "second"), respond(200, "third"))
-	to, _, err := b.serve(t, "/read/1")
+	env := newTestEnv(respond(500, "first"), respond(500, "second"), respond(200, "third"))
+	to, _, err := env.serve(t, "/read/1")
 	is.NoErr(err)
 	is.Equal(to.status, 500)
 	is.Equal(to.body.String(), "second")
-	is.Equal(len(b.backend.calls), 2)
+	is.Equal(len(env.backend.calls), 2)
 }
 
 // An engine crashes in the middle of an event. Another engine continues the stream after
 // the last complete event, and the caller sees one response without a gap or a duplicate.
 func TestStreamResumesOnAnotherServer(t *testing.T) {
 	is := is.New(t)
-	b := newTestEnv(truncate("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda"), respond(200, "id: 3\ndata: c\n\n"))
-	to, wroteHeader, err := b.serve(t, "/stream/1")
+	env := newTestEnv(truncate("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda"), respond(200, "id: 3\ndata: c\n\n"))
+	to, wroteHeader, err := env.serve(t, "/stream/1")
 	is.NoErr(err)
 	is.True(wroteHeader)
 	is.Equal(to.headerWrites, 1)
 	is.Equal(to.body.String(), "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n")
-	is.Equal(b.backend.calls[0].After, "")
-	is.Equal(b.backend.calls[1].After, "2")
+	is.Equal(env.backend.calls[0].After, "")
+	is.Equal(env.backend.calls[1].After, "2")
 }
 
 // A stream's first engine crashes during the response, and the second returns an error
@@ -129,8 +129,8 @@
 // framed as complete.
 func TestFailedResumedStreamIsTruncated(t *testing.T) {
 	is := is.New(t)
-	b := newTestEnv(truncate("id: 1\ndata: a\n\n"), respond(500, "failed"))
-	to, wroteHeader, err := b.serve(t, "/stream/1")
+	env := newTestEnv(truncate("id: 1\ndata: a\n\n"), respond(500, "failed"))
+	to, wroteHeader, err := env.serve(t, "/stream/1")
 	is.True(wroteHeader)
 	is.True(err != nil)
 	is.Equal(to.headerWrites, 1)
@@ -141,12 +141,12 @@
 // closed cleanly.
 func TestStreamEndingInsideEventIsTruncated(t *testing.T) {
 	is := is.New(t)
-	b := newTestEnv(respond(200, "id: 1\ndata: a\n\nid: 2\nda"))
-	to, wroteHeader, err := b.serve(t, "/once-stream/1")
+	env := newTestEnv(respond(200, "id: 1\ndata: a\n\nid: 2\nda"))
+	to, wroteHeader, err := env.serve(t, "/once-stream/1")
 	is.True(wroteHeader)
 	is.True(errors.Is(err, galenastair.ErrAnswerCut))
 	is.Equal(to.body.String(), "id: 1\ndata: a\n\n")
-	is.Equal(len(b.backend.calls), 1)
+	is.Equal(len(env.backend.calls), 1)
 }
 
 // An instance that can't reach the store does not learn of withdrawn or new keys. It must
@@ -157,14 +157,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			b := newTestEnv(respond(200, "page"))
-			b.gateway.catalogSource = v
-			_, _, err := b.serve(t, "/read/1")
+			env := newTestEnv(respond(200, "page"))
+			env.gateway.catalogSource = v
+			_, _, err := env.serve(t, "/read/1")
 			var r *galenastair.Refusal
 			is.True(errors.As(err, &r))
 			is.Equal(r.Status(), http.StatusServiceUnavailable)
 			is.Equal(r.Outcome, galenastair.NotRun)
-			is.Equal(len(b.backend.calls), 0)
+			is.Equal(len(env.backend.calls), 0)
 		})
 	}
 }
@@ -173,14 +173,14 @@
 // may have been withdrawn: the request must not be sent.
 func TestKeyIsCheckedAgainBeforeSending(t *testing.T) {
 	is := is.New(t)
-	b := newTestEnv(respond(200, "id: 1\ndata: a\n\n"))
-	b.placement.availability = planner.Availability{Server: "s1", ReadyIn: 50 * time.Millisecond}
-	b.gateway.placement = hookedPlacement{b.placement, func() { b.catalogSource.age = maxCatalogAge }}
+	env := newTestEnv(respond(200, "id: 1\ndata: a\n\n"))
+	env.placement.availability = planner.Availability{Server: "s1", ReadyIn: 50 * time.Millisecond}
+	env.gateway.placement = hookedPlacement{env.placement, func() { env.catalogSource.age = maxCatalogAge }}
 	req := testRequest("/stream/1")
 	req.Hints.Model = "m/a1"
-	_, err := b.gateway.Serve(t.Context(), req, &recordedResponse{})
+	_, err := env.gateway.Serve(t.Context(), req, &recordedResponse{})
 	is.True(errors.Is(err, galenastair.ErrConfiguration))
-	is.Equal(len(b.backend.calls), 0)
+	is.Equal(len(env.backend.calls), 0)
 }
 
 // hookedPlacement calls onRequest before each placement request.
@@ -189,35 +189,35 @@
 	onRequest func()
 }
 
-func (n hookedPlacement) EnsureLoaded(ctx context.Context, name galenastair.ModelName) (planner.Availability, error) {
-	n.onRequest()
-	return n.fakePlacement.EnsureLoaded(ctx, name)
+func (p hookedPlacement) EnsureLoaded(ctx context.Context, name galenastair.ModelName) (planner.Availability, error) {
+	p.onRequest()
+	return p.fakePlacement.EnsureLoaded(ctx, name)
 }
 
 // An adapter that no server holds is loaded while the caller waits; the request is then
 // sent to the promised server.
 func TestAdapterIsLoadedOnDemand(t *testing.T) {
 	is := is.New(t)
-	b := newTestEnv(respond(200, "id: 1\ndata: a\n\n"))
-	b.placement.availability = planner.Availability{Server: "s2", ReadyIn: 5 * time.Millisecond}
+	env := newTestEnv(respond(200, "id: 1\ndata: a\n\n"))
+	env.placement.availability = planner.Availability{Server: "s2", ReadyIn: 5 * time.Millisecond}
 	req := testRequest("/stream/1")
 	req.Hints.Model = "m/a1"
 	to := &recordedResponse{}
-	_, err := b.gateway.Serve(t.Context(), req, to)
+	_, err := env.gateway.Serve(t.Context(), req, to)
 	is.NoErr(err)
-	is.Equal(b.backend.calls[0].Expect, galenastair.BackendServerID("s2"))
-	is.Equal(b.placement.requests, 1)
+	is.Equal(env.backend.calls[0].Expect, galenastair.BackendServerID("s2"))
+	is.Equal(env.placement.requests, 1)
 }
 
 // A request for a model that will be loaded too late is refused at once, with a Retry-After.
 func TestModelLoadedTooLateIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
-	b := newTestEnv()
-	b.placement.availability = planner.Availability{Server: "s2", ReadyIn: 5 * time.Second}
+	env := newTestEnv()
+	env.placement.availability = planner.Availability{Server: "s2", ReadyIn: 5 * time.Second}
 	req := testRequest("/stream/1")
 	req.Hints.Model = "other"
 	begun := time.Now()
-	_, err := b.gateway.Serve(t.Context(), req, &recordedResponse{})
+	_, err := env.gateway.Serve(t.Context(), req, &recordedResponse{})
 	var r *galenastair.Refusal
 	is.True(errors.As(err, &r))
 	is.Equal(r.Outcome, galenastair.NotRun)
@@ -230,14 +230,14 @@
 // third of the caller's remaining time.
 func TestRetryAfterCoversModelLoad(t *testing.T) {
 	is := is.New(t)
-	b := newTestEnv()
+	env := newTestEnv()
 	req := testRequest("/stream/1")
 	req.Hints.Model = "other"
-	b.catalogSource.catalog.Match(req.Host, req.Path).Timeout = time.Minute
+	env.catalogSource.catalog.Match(req.Host, req.Path).Timeout = time.Minute
 	retry := func(ready, left time.Duration) time.Duration {
-		b.placement.availability = planner.Availability{ReadyIn: ready}
+		env.placement.availability = planner.Availability{ReadyIn: ready}
 		req.Timeout, req.Received = left, time.Now()
-		_, err := b.gateway.Serve(t.Context(), req, &recordedResponse{})
+		_, err := env.gateway.Serve(t.Context(), req, &recordedResponse{})
 		var r *galenastair.Refusal
 		is.True(errors.As(err, &r))
 		is.Equal(r.Outcome, galenastair.NotRun)
@@ -252,26 +252,26 @@
 // available, and nothing is sent.
 func TestOverQuotaIsRefused(t *testing.T) {
 	is := is.New(t)
-	b := newTestEnv(respond(200, "page"))
-	b.quota.refuse = true
-	_, _, err := b.serve(t, "/read/1")
+	env := newTestEnv(respond(200, "page"))
+	env.quota.refuse = true
+	_, _, err := env.serve(t, "/read/1")
 	var r *galenastair.Refusal
 	is.True(errors.As(err, &r))
 	is.Equal(r.Status(), http.StatusTooManyRequests)
 	is.Equal(r.RetryAfter, 700*time.Millisecond)
-	is.Equal(len(b.backend.calls), 0)
+	is.Equal(len(env.backend.calls), 0)
 }
 
 // A caller closes its connection while its read waits at an unresponsive server: the read
 // is not retried.
 func TestCallerThatLeavesEndsTheRequest(t *testing.T) {
 	is := is.New(t)
-	b := newTestEnv(hang, respond(200, "page"))
+	env := newTestEnv(hang, respond(200, "page"))
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(20*time.Millisecond, cancel)
-	_, err := b.gateway.Serve(ctx, testRequest("/read/1"), &recordedResponse{})
+	_, err := env.gateway.Serve(ctx, testRequest("/read/1"), &recordedResponse{})
 	is.True(errors.Is(err, errCallerGone))
-	is.Equal(len(b.backend.calls), 1)
+	is.Equal(len(env.backend.calls), 1)
 }
 
 // An instance is stopped while a bid waits at a backend server for longer than the shutdown
@@ -279,25 +279,25 @@
 // The attempt does not count as a failure of the server.
 func TestStopReportsOutcomeUnknown(t *testing.T) {
 	is := is.New(t)
-	b := newTestEnv(hang, respond(200, "done"))
+	env := newTestEnv(hang, respond(200, "done"))
 	ctx, cancel := context.WithCancelCause(t.Context())
 	time.AfterFunc(20*time.Millisecond, func() { cancel(galenastair.ErrStopping) })
-	_, err := b.gateway.Serve(ctx, testRequest("/bid/1"), &recordedResponse{})
+	_, err := env.gateway.Serve(ctx, testRequest("/bid/1"), &recordedResponse{})
 	var r *galenastair.Refusal
 	is.True(errors.As(err, &r))
 	is.True(errors.Is(r, galenastair.ErrStopping))
 	is.Equal(r.Outcome, galenastair.Unknown)
-	is.Equal(len(b.backend.calls), 1)
+	is.Equal(len(env.backend.calls), 1)
 }
 
 // A request times out at an unresponsive server. The caller gets a 504 at its deadline, and
 // not a refusal with the outcome NotRun, as the request may have run.
 func TestTimeoutIsReportedAtDeadline(t *testing.T) {
 	is := is.New(t)
-	b := newTestEnv(hang)
+	env := newTestEnv(hang)
 	req := testRequest("/bid/1")
 	req.Timeout = 100 * time.Millisecond
-	_, err := b.gateway.Serve(t.Context(), req, &recordedResponse{})
+	_, err := env.gateway.Serve(t.Context(), req, &recordedResponse{})
 	var r *galenastair.Refusal
 	is.True(errors.As(err, &r))
 	is.Equal(r.Status(), http.StatusGatewayTimeout)
@@ -308,12 +308,12 @@
 // refused, so that the others keep running.
 func TestRequestThatCrashesServersIsRefused(t *testing.T) {
 	is := is.New(t)
-	b := newTestEnv(failWith(galenastair.ErrAnswerCut), failWith(galenastair.ErrAnswerCut), failWith(galenastair.ErrAnswerCut), respond(200, "x"))
+	env := newTestEnv(failWith(galenastair.ErrAnswerCut), failWith(galenastair.ErrAnswerCut), failWith(galenastair.ErrAnswerCut), respond(200, "x"))
 	for range 6 {
-		_, _, err := b.serve(t, "/bid/1")
+		_, _, err := env.serve(t, "/bid/1")
 		is.True(err != nil)
 	}
-	is.Equal(len(b.backend.calls), 3)
+	is.Equal(len(env.backend.calls), 3)
 }
 
 // All servers of a service fail. Retries must stay a share of the traffic, or they would
@@ -325,24 +325,24 @@
 	for i := range scripts {
 		scripts[i] = failWith(galenastair.ErrCrossed)
 	}
-	b := newTestEnv(scripts...)
+	env := newTestEnv(scripts...)
 	for i := range requests {
 		req := testRequest("/read/1")
 		req.Body = []byte{byte(i), byte(i >> 8)}
-		_, _ = b.gateway.Serve(t.Context(), req, &recordedResponse{})
+		_, _ = env.gateway.Serve(t.Context(), req, &recordedResponse{})
 	}
-	is.True(len(b.backend.calls)-requests <= int(0.2*requests)+50)
-	is.True(len(b.backend.calls) > requests)
+	is.True(len(env.backend.calls)-requests <= int(0.2*requests)+50)
+	is.True(len(env.backend.calls) > requests)
 }
 
 // An instance that is about to shut down accepts no stream, as the shutdown would truncate it.
 func TestDrainingInstanceRefusesStreams(t *testing.T) {
 	is := is.New(t)
-	b := newTestEnv(respond(200, "page"))
-	b.draining = true
-	_, _, err := b.serve(t, "/stream/1")
+	env := newTestEnv(respond(200, "page"))
+	env.draining = true
+	_, _, err := env.serve(t, "/stream/1")
 	is.True(errors.Is(err, galenastair.ErrStopping))
-	to, _, err := b.serve(t, "/read/1")
+	to, _, err := env.serve(t, "/read/1")
 	is.NoErr(err)
 	is.Equal(to.status, 200)
 }
@@ -351,9 +351,9 @@
 // would refuse all that arrive before it has read it.
 func TestFirstRequestsWaitForTheConfiguration(t *testing.T) {
 	is := is.New(t)
-	b := newTestEnv(respond(200, "page"))
-	b.catalogSource.initial, b.catalogSource.catalog = b.catalogSource.catalog, nil
-	to, _, err := b.serve(t, "/read/1")
+	env := newTestEnv(respond(200, "page"))
+	env.catalogSource.initial, env.catalogSource.catalog = env.catalogSource.catalog, nil
+	to, _, err := env.serve(t, "/read/1")
 	is.NoErr(err)
 	is.Equal(to.status, 200)
 }
--- a/gateway/limit_test.go
+++ b/gateway/limit_test.go
@@ -23,71 +23,71 @@
 }
 
 // keepOneServer removes all backend servers but one of each service, s1 and ps1.
-func (b *testEnv) keepOneServer() {
+func (env *testEnv) keepOneServer() {
 	for _, other := range []galenastair.BackendServerID{"s2", "s3"} {
-		b.pool.Remove(other)
-		b.pool.Remove("p" + other)
+		env.pool.Remove(other)
+		env.pool.Remove("p" + other)
 	}
 }
 
 // After a server has advertised a rate limit, each request to it must pass the limiter.
 func TestLimiterIsAskedBeforeEachSend(t *testing.T) {
 	is := is.New(t)
-	b := newTestEnv(respondWithLimit, respondWithLimit, respond(200, "done"), respond(200, "done"))
-	b.keepOneServer()
+	env := newTestEnv(respondWithLimit, respondWithLimit, respond(200, "done"), respond(200, "done"))
+	env.keepOneServer()
 	for range 4 {
-		_, _, err := b.serve(t, "/bid/1")
+		_, _, err := env.serve(t, "/bid/1")
 		is.NoErr(err)
 	}
 	// The third response advertises no limit any more.
-	is.Equal(len(b.limiter.calls), 2)
-	is.Equal(b.limiter.calls[0].Server, galenastair.BackendServerID("ps1"))
-	is.Equal(b.limiter.calls[0].PerSecond, 1.0)
+	is.Equal(len(env.limiter.calls), 2)
+	is.Equal(env.limiter.calls[0].Server, galenastair.BackendServerID("ps1"))
+	is.Equal(env.limiter.calls[0].PerSecond, 1.0)
 }
 
 // A server whose queue is full declines a request without advertising its limit. The decline
 // must not end the limit that it advertised before.
 func TestDeclineDoesNotEndALimit(t *testing.T) {
 	is := is.New(t)
-	b := newTestEnv(respondWithLimit, decline(), respond(200, "done"), respond(200, "done"))
-	b.keepOneServer()
+	env := newTestEnv(respondWithLimit, decline(), respond(200, "done"), respond(200, "done"))
+	env.keepOneServer()
 	for range 4 {
-		_, _, _ = b.serve(t, "/bid/1")
+		_, _, _ = env.serve(t, "/bid/1")
 	}
 	// The response to the third request ends the limit.
-	is.Equal(len(b.limiter.calls), 2)
+	is.Equal(len(env.limiter.calls), 2)
 }
 
 // The only server admits no more requests before the deadline. The request must be refused at
 // once and with a Retry-After, not held until its deadline.
 func TestExhaustedLimitIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
-	b := newTestEnv(respondWithLimit)
-	b.keepOneServer()
-	_, _, err := b.serve(t, "/bid/1")
+	env := newTestEnv(respondWithLimit)
+	env.keepOneServer()
+	_, _, err := env.serve(t, "/bid/1")
 	is.NoErr(err)
-	b.limiter.verdicts = []ratelimit.Decision{{Delay: 1900 * time.Millisecond}}
+	env.limiter.decisions = []ratelimit.Decision{{Delay: 1900 * time.Millisecond}}
 	begun := time.Now()
-	_, _, err = b.serve(t, "/bid/1")
+	_, _, err = env.serve(t, "/bid/1")
 	is.True(time.Since(begun) < 100*time.Millisecond)
 	var r *galenastair.Refusal
 	is.True(errors.As(err, &r))
 	is.Equal(r.Outcome, galenastair.NotRun)
 	is.Equal(r.Status(), http.StatusServiceUnavailable)
 	is.True(r.RetryAfter >= 600*time.Millisecond)
-	is.Equal(len(b.backend.calls), 1)
+	is.Equal(len(env.backend.calls), 1)
 }
 
 // A request waits if the server admits it before the deadline.
 func TestRequestWaitsForLimit(t *testing.T) {
 	is := is.New(t)
-	b := newTestEnv(respondWithLimit, respondWithLimit)
-	b.keepOneServer()
-	_, _, err := b.serve(t, "/bid/1")
+	env := newTestEnv(respondWithLimit, respondWithLimit)
+	env.keepOneServer()
+	_, _, err := env.serve(t, "/bid/1")
 	is.NoErr(err)
-	b.limiter.verdicts = []ratelimit.Decision{{Granted: true, Delay: 150 * time.Millisecond}}
+	env.limiter.decisions = []ratelimit.Decision{{Granted: true, Delay: 150 * time.Millisecond}}
 	begun := time.Now()
-	_, _, err = b.serve(t, "/bid/1")
+	_, _, err = env.serve(t, "/bid/1")
 	is.NoErr(err)
 	is.True(time.Since(begun) >= 150*time.Millisecond)
 }
@@ -99,34 +99,34 @@
 	answer := func(_ context.Context, c galenastair.BackendCall) (*galenastair.BackendAnswer, error) {
 		return &galenastair.BackendAnswer{Status: 200, Header: http.Header{}, Limit: 1, Body: io.NopCloser(strings.NewReader("id: 1\ndata: a\n\n"))}, nil
 	}
-	b := newTestEnv(answer, answer)
-	b.keepOneServer()
-	_, _, err := b.serve(t, "/stream/1")
+	env := newTestEnv(answer, answer)
+	env.keepOneServer()
+	_, _, err := env.serve(t, "/stream/1")
 	is.NoErr(err)
-	b.pool.Set(time.Now(), pool.Server{ID: "s2", Service: "writer", Address: "s2", AvailabilityZone: "z1", Slots: 8})
-	b.limiter.verdicts = []ratelimit.Decision{{Delay: time.Minute}}
-	b.placement.availability = planner.Availability{Server: "s2"}
-	_, _, err = b.serve(t, "/stream/1")
+	env.pool.Set(time.Now(), pool.Server{ID: "s2", Service: "writer", Address: "s2", AvailabilityZone: "z1", Slots: 8})
+	env.limiter.decisions = []ratelimit.Decision{{Delay: time.Minute}}
+	env.placement.availability = planner.Availability{Server: "s2"}
+	_, _, err = env.serve(t, "/stream/1")
 	is.NoErr(err)
-	is.Equal(b.placement.requests, 1)
-	is.Equal(b.backend.calls[1].Expect, galenastair.BackendServerID("s2"))
+	is.Equal(env.placement.requests, 1)
+	is.Equal(env.backend.calls[1].Expect, galenastair.BackendServerID("s2"))
 }
 
 // A server at its rate limit is skipped while another one can serve the request.
 func TestServerAtLimitIsSkipped(t *testing.T) {
 	is := is.New(t)
-	b := newTestEnv(respondWithLimit, respond(200, "done"), respond(200, "done"))
-	b.keepOneServer()
-	_, _, err := b.serve(t, "/bid/1")
+	env := newTestEnv(respondWithLimit, respond(200, "done"), respond(200, "done"))
+	env.keepOneServer()
+	_, _, err := env.serve(t, "/bid/1")
 	is.NoErr(err)
-	b.addServers()
-	b.limiter.verdicts = []ratelimit.Decision{{Delay: time.Minute}}
+	env.addServers()
+	env.limiter.decisions = []ratelimit.Decision{{Delay: time.Minute}}
 	for range 2 {
-		to, _, err := b.serve(t, "/bid/1")
+		to, _, err := env.serve(t, "/bid/1")
 		is.NoErr(err)
 		is.Equal(to.body.String(), "done")
 	}
-	for _, c := range b.backend.calls[1:] {
+	for _, c := range env.backend.calls[1:] {
 		is.True(c.Expect != "ps1")
 	}
 }
