--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -22,17 +22,17 @@
 }
 
 func newBenchScheduler(s benchSize) *Scheduler {
-	c := NewScheduler(rand.New(rand.NewPCG(1, 2)))
-	c.SetServers(start, serverList(s.servers))
+	sched := NewScheduler(rand.New(rand.NewPCG(1, 2)))
+	sched.SetServers(start, serverList(s.servers))
 	for i := range s.servers {
 		r := galenastair.EngineReport{BackendServer: galenastair.BackendServerID(fmt.Sprint(i))}
 		for j := range 6 {
 			m := galenastair.ModelName(fmt.Sprint("m", (i*6+j)%s.models))
 			r.Loaded = append(r.Loaded, galenastair.LoadedWeight{Weight: galenastair.Weight{Name: m}, State: galenastair.Ready})
 		}
-		c.ApplyReport(start, r)
+		sched.ApplyReport(start, r)
 	}
-	return c
+	return sched
 }
 
 func (s benchSize) request(i int, prompt []byte) Request {
@@ -52,7 +52,7 @@
 func BenchmarkAdmitAndRoute(b *testing.B) {
 	for _, s := range benchSizes {
 		b.Run(s.name, func(b *testing.B) {
-			c := newBenchScheduler(s)
+			sched := newBenchScheduler(s)
 			var rs []Request
 			for i := range 4000 {
 				rs = append(rs, s.request(i, make([]byte, 1600)))
@@ -62,14 +62,14 @@
 			i := 0
 			for b.Loop() {
 				now = now.Add(20 * time.Microsecond)
-				t := c.Submit(now, rs[i%len(rs)])
-				for _, d := range c.Poll() {
+				t := sched.Submit(now, rs[i%len(rs)])
+				for _, d := range sched.Poll() {
 					if d.Err != nil {
 						b.Fatal(d.Err)
 					}
 				}
-				c.FirstToken(now, t)
-				c.Done(now, t, Result{OutputTokens: 100})
+				sched.FirstToken(now, t)
+				sched.Done(now, t, Result{OutputTokens: 100})
 				i++
 			}
 		})
@@ -81,11 +81,11 @@
 func BenchmarkSaturated(b *testing.B) {
 	for _, s := range benchSizes {
 		b.Run(s.name, func(b *testing.B) {
-			c := newBenchScheduler(s)
+			sched := newBenchScheduler(s)
 			now := start
 			var running []*Ticket
 			collect := func() {
-				for _, d := range c.Poll() {
+				for _, d := range sched.Poll() {
 					if d.Err == nil {
 						running = append(running, d.Ticket)
 					}
@@ -96,15 +96,15 @@
 				rs = append(rs, s.request(i, nil))
 			}
 			for i := range 10_000 {
-				c.Submit(now, rs[i%len(rs)])
+				sched.Submit(now, rs[i%len(rs)])
 				collect()
 			}
 			b.ReportAllocs()
 			i := 0
 			for b.Loop() {
 				now = now.Add(200 * time.Microsecond)
-				c.Submit(now, rs[i%len(rs)])
-				c.Done(now, running[i], Result{OutputTokens: 100})
+				sched.Submit(now, rs[i%len(rs)])
+				sched.Done(now, running[i], Result{OutputTokens: 100})
 				collect()
 				i++
 			}
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -17,12 +17,12 @@
 var start = time.Unix(1000, 0)
 
 func newTestScheduler(servers int, models ...galenastair.ModelName) *Scheduler {
-	c := NewScheduler(rand.New(rand.NewPCG(1, 2)))
-	c.SetServers(start, serverList(servers))
+	sched := NewScheduler(rand.New(rand.NewPCG(1, 2)))
+	sched.SetServers(start, serverList(servers))
 	for i := range servers {
-		c.ApplyReport(start, report(i, models...))
+		sched.ApplyReport(start, report(i, models...))
 	}
-	return c
+	return sched
 }
 
 func serverList(n int) []Server {
@@ -51,25 +51,25 @@
 // waits behind the flood. Fails if shareTracker.charge does nothing.
 func TestOrganisationsShareBackendServerAcrossModels(t *testing.T) {
 	is := is.New(t)
-	c := newTestScheduler(1, "a", "b")
+	sched := newTestScheduler(1, "a", "b")
 	var running []*Ticket
 	served := map[galenastair.ModelName]int{}
 	collect := func() {
-		for _, d := range c.Poll() {
+		for _, d := range sched.Poll() {
 			is.Equal(d.Err, nil)
 			running = append(running, d.Ticket)
 			served[d.Ticket.Request.Model]++
 		}
 	}
 	for range 100 {
-		c.Submit(start, request("flood", "a"))
+		sched.Submit(start, request("flood", "a"))
 	}
 	for range 20 {
-		c.Submit(start, request("calm", "b"))
+		sched.Submit(start, request("calm", "b"))
 	}
 	for range 40 {
 		collect()
-		c.Done(start, running[0], Result{OutputTokens: 50})
+		sched.Done(start, running[0], Result{OutputTokens: 50})
 		running = running[1:]
 	}
 	is.Equal(served["b"], 20)
@@ -79,11 +79,11 @@
 // block the requests behind it. Fails if dispatchModel lacks the case len(q.Exclude) > 0.
 func TestRetryDoesNotBlockQueue(t *testing.T) {
 	is := is.New(t)
-	c := newTestScheduler(2, "m")
+	sched := newTestScheduler(2, "m")
 	var tickets []*Ticket
 	for {
-		c.Submit(start, request("a", "m"))
-		ds := c.Poll()
+		sched.Submit(start, request("a", "m"))
+		ds := sched.Poll()
 		if len(ds) == 0 {
 			break // Both windows are full and one request waits.
 		}
@@ -93,29 +93,29 @@
 	again.Exclude = []galenastair.BackendServerID{"0"}
 	again.Weight = 100_000 // Its start tag is the lowest.
 	again.Organisation = "b"
-	c.Submit(start, again)
+	sched.Submit(start, again)
 	for _, tk := range tickets {
 		if tk.server == "0" {
-			c.Done(start, tk, Result{})
+			sched.Done(start, tk, Result{})
 			break
 		}
 	}
-	ds := c.Poll()
+	ds := sched.Poll()
 	is.Equal(len(ds), 1)
 	is.Equal(ds[0].Choice.Reason, route.SlotFreed)
 	is.Equal(ds[0].Choice.Server, galenastair.BackendServerID("0"))
 	for _, tk := range tickets {
 		if tk.server == "0" && tk.state == running {
-			c.Done(start, tk, Result{})
+			sched.Done(start, tk, Result{})
 			break
 		}
 	}
-	is.Equal(len(c.Poll()), 0) // Only the retry waits.
-	c.Submit(start, request("a", "m"))
-	is.Equal(len(c.Poll()), 1) // The next request passes it.
+	is.Equal(len(sched.Poll()), 0) // Only the retry waits.
+	sched.Submit(start, request("a", "m"))
+	is.Equal(len(sched.Poll()), 1) // The next request passes it.
 	again.Exclude = []galenastair.BackendServerID{"0", "1"}
-	c.Submit(start, again)
-	ds = c.Poll()
+	sched.Submit(start, again)
+	ds = sched.Poll()
 	is.True(errors.Is(ds[0].Err, galenastair.ErrNoBackendServer))
 }
 
@@ -123,19 +123,19 @@
 // for it; if no copy appears, they are refused with the outcome NotRun.
 func TestWaitsForUnreportedCopy(t *testing.T) {
 	is := is.New(t)
-	c := newTestScheduler(1)
-	c.Submit(start, request("a", "m"))
-	is.Equal(len(c.Poll()), 0)
-	c.ApplyReport(start.Add(time.Second), report(0, "m"))
-	ds := c.Poll()
+	sched := newTestScheduler(1)
+	sched.Submit(start, request("a", "m"))
+	is.Equal(len(sched.Poll()), 0)
+	sched.ApplyReport(start.Add(time.Second), report(0, "m"))
+	ds := sched.Poll()
 	is.Equal(len(ds), 1)
 	is.Equal(ds[0].Err, nil)
-	c.Submit(start, request("a", "n"))
-	c.Expire(start.Add(noCopyTimeout), "n")
-	ds = c.Poll()
+	sched.Submit(start, request("a", "n"))
+	sched.Expire(start.Add(noCopyTimeout), "n")
+	ds = sched.Poll()
 	is.True(errors.Is(ds[0].Err, galenastair.ErrNoBackendServer))
 	is.Equal(ds[0].Err.Outcome, galenastair.NotRun)
-	is.Equal(c.QueueLength(), 0)
+	is.Equal(sched.QueueLength(), 0)
 }
 
 // A flood must not exhaust the memory of an instance: the number of waiting requests is
@@ -143,10 +143,10 @@
 func TestWaitingIsBounded(t *testing.T) {
 	is := is.New(t)
 	models := []galenastair.ModelName{"a", "b", "c", "d", "e", "f"}
-	c := newTestScheduler(1, models...)
+	sched := newTestScheduler(1, models...)
 	for i := range 4000 {
-		c.Submit(start, request("flood", models[i%len(models)]))
-		is.True(c.QueueLength() <= maxQueuedRequests)
+		sched.Submit(start, request("flood", models[i%len(models)]))
+		is.True(sched.QueueLength() <= maxQueuedRequests)
 	}
 }
 
@@ -225,13 +225,13 @@
 	for i := range 20 {
 		models = append(models, galenastair.ModelName(fmt.Sprint("m", i)))
 	}
-	c := newTestScheduler(2, models...)
-	c.ApplyReport(start, report(1, "x"))
+	sched := newTestScheduler(2, models...)
+	sched.ApplyReport(start, report(1, "x"))
 	send := func(o string, m galenastair.ModelName) []Decision {
 		r := request(o, m)
 		r.Weight = 10_000
-		c.Submit(start, r)
-		return c.Poll()
+		sched.Submit(start, r)
+		return sched.Poll()
 	}
 	var flood []*Ticket
 	for i := range 60 {
@@ -248,8 +248,8 @@
 		ds = send("calm", "x") // until the slots beyond the window are taken as well
 	}
 	is.Equal(flood[0].server, galenastair.BackendServerID("0"))
-	c.Done(start, flood[0], Result{OutputTokens: 50})
-	ds = c.Poll()
+	sched.Done(start, flood[0], Result{OutputTokens: 50})
+	ds = sched.Poll()
 	is.Equal(len(ds), 1)
 	is.Equal(ds[0].Ticket.Request.Organisation, galenastair.Organisation("flood"))
 	is.True(ds[0].Choice.Priority > 0)
