--- a/registry/table_test.go
+++ b/registry/table_test.go
@@ -12,8 +12,8 @@
 	"galenastair/pool"
 )
 
-func newServer(id string, born int64, leaving bool, models ...galenastair.EngineModel) pool.Server {
-	return pool.Server{ID: galenastair.BackendServerID(id), Service: "s", Address: "a", Slots: 1, Incarnation: born, Leaving: leaving, Models: models}
+func newServer(id string, incarnation int64, leaving bool, models ...galenastair.EngineModel) pool.Server {
+	return pool.Server{ID: galenastair.BackendServerID(id), Service: "s", Address: "a", Slots: 1, Incarnation: incarnation, Leaving: leaving, Models: models}
 }
 
 // dump returns the contents of a table in a stable order.
--- a/route/router_test.go
+++ b/route/router_test.go
@@ -120,9 +120,9 @@
 }
 
 // One, four or all of nine backend servers fail, for instance with a network link, and among
-// them is the only one with a copy of a model. Ejecting all of them would move their load to the rest and
-// leave no server for that model. Fails with maxEjectedShare at 1, and if lastResort never
-// returns a server.
+// them is the only one with a copy of a model. Ejecting all of them would move their load to
+// the rest and leave no server for that model. Fails with maxEjectedShare at 1, and if
+// lastResort never returns a server.
 func TestEjectionKeepsEnoughServersAndLastCopy(t *testing.T) {
 	for _, failing := range []int{1, 4, 9} {
 		is := is.New(t)
