--- a/node/limit_test.go
+++ b/node/limit_test.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// limitTimeout is the time after its first announcement from which a limit must hold.
+	// limitTimeout is the time after it was first advertised from which a limit must hold.
 	limitTimeout = 3 * time.Second
 	// Within limitWindow at most limitRatio times the number of requests that the limit allows
 	// may arrive, plus limitSlack requests.
@@ -40,36 +40,36 @@
 	return best
 }
 
-// maxArrivals has e1 announce a limit, sends requests through all nodes until two windows after the
+// maxArrivals has e1 advertise a limit, sends requests through all nodes until two windows after the
 // limit must hold, and returns the largest number of requests that e1 received in a window. It
 // calls event when the limit starts to hold.
 func (c *cluster) maxArrivals(limit float64, event func()) int {
 	c.replicas["e1"].Switch(func(s *replica.Switches) { s.Limit = limit })
-	announced := time.Now()
+	advertised := time.Now()
 	var callers sync.WaitGroup
 	for _, n := range c.nodes {
 		callers.Go(func() {
-			for time.Since(announced) < limitTimeout+2*limitWindow {
+			for time.Since(advertised) < limitTimeout+2*limitWindow {
 				c.call(n, "/stream/1", "m2", key)
 				c.call(n, "/stream/1", "m1", key)
 				time.Sleep(200 * time.Millisecond)
 			}
 		})
 	}
-	time.Sleep(time.Until(announced.Add(limitTimeout)))
+	time.Sleep(time.Until(advertised.Add(limitTimeout)))
 	event()
 	callers.Wait()
 	var times []time.Time
 	for _, r := range c.replicas["e1"].Runs() {
 		times = append(times, r.At)
 	}
-	return maxInWindow(times, announced.Add(limitTimeout), limitWindow)
+	return maxInWindow(times, advertised.Add(limitTimeout), limitWindow)
 }
 
 // maxAllowed returns the number of requests that may arrive within limitWindow.
 func maxAllowed(limit float64) int { return int(limitRatio*limit*limitWindow.Seconds()) + limitSlack }
 
-// A backend server announces how many requests per second it accepts. All instances together must
+// A backend server advertises how many requests per second it accepts. All instances together must
 // stay within that limit.
 func TestInstancesShareServerLimit(t *testing.T) {
 	t.Parallel()
--- a/node/limits.go
+++ b/node/limits.go
@@ -9,7 +9,7 @@
 	"galenastair/ratelimit"
 )
 
-// limiter admits requests to backend servers that have announced a rate limit. The leader decides;
+// limiter admits requests to backend servers that have advertised a rate limit. The leader decides;
 // while it does not answer, this instance uses its own fraction of the limit.
 type limiter struct {
 	askLeader func(context.Context, ratelimit.Limit, time.Duration) (ratelimit.Decision, error)
@@ -27,18 +27,18 @@
 // answer, no other request waits for the leader until it has answered a report.
 func (l limiter) Admit(ctx context.Context, limit ratelimit.Limit, maxWait time.Duration) ratelimit.Decision {
 	if !l.fallback.Active() {
-		v, err := l.askLeader(ctx, limit, maxWait)
+		decision, err := l.askLeader(ctx, limit, maxWait)
 		if err == nil {
-			l.metrics.countLimitDecision("Leader", v.Granted)
-			return v
+			l.metrics.countLimitDecision("Leader", decision.Granted)
+			return decision
 		}
 		l.logger.Log("event", "limit share", "server", limit.Server, "limit", limit.PerSecond, "err", err)
 	}
 	now := time.Now()
 	l.fallback.ReportUnreachable(now)
-	v := l.fallback.Admit(now, limit, l.position())
-	l.metrics.countLimitDecision("Share", v.Granted)
-	return v
+	decision := l.fallback.Admit(now, limit, l.position())
+	l.metrics.countLimitDecision("Share", decision.Granted)
+	return decision
 }
 
 func (c *leaderClient) admit(ctx context.Context, limit ratelimit.Limit, maxWait time.Duration) (ratelimit.Decision, error) {
--- a/node/quotas.go
+++ b/node/quotas.go
@@ -61,16 +61,16 @@
 		q.accounts.RecordDenial(now, o, ownerDiscoveryTime)
 		return false
 	}
-	v, err := q.leaderClient.charge(ctx, owner, o, cost)
-	if err != nil || !v.Owned {
-		q.leaderClient.logger.Log("event", "charge", "organisation", o, "owner", owner, "owned", v.Owned, "err", err)
+	result, err := q.leaderClient.charge(ctx, owner, o, cost)
+	if err != nil || !result.Owned {
+		q.leaderClient.logger.Log("event", "charge", "organisation", o, "owner", owner, "owned", result.Owned, "err", err)
 		q.accounts.RecordDenial(now, o, ownerDiscoveryTime)
 		return false
 	}
-	if !v.Granted {
-		q.accounts.RecordDenial(now, o, v.RetryAfter)
+	if !result.Granted {
+		q.accounts.RecordDenial(now, o, result.RetryAfter)
 	}
-	return v.Granted
+	return result.Granted
 }
 
 // RetryAfter estimates the time until an organisation over its quota can send a request again.
@@ -85,11 +85,11 @@
 	if owner == c.address {
 		return c.accounts.Charge(boottime.Now(), o, cost), nil
 	}
-	v, known, err := c.client.Charge(ctx, owner, o, cost, c.elector.LatestRecord())
+	result, known, err := c.client.Charge(ctx, owner, o, cost, c.elector.LatestRecord())
 	if err == nil {
 		c.elector.Observe(known)
 	}
-	return v, err
+	return result, err
 }
 
 func (c *leaderClient) borrow(ctx context.Context, a quota.LoanRequest) (float64, error) {
--- a/node/servers_test.go
+++ b/node/servers_test.go
@@ -26,45 +26,45 @@
 }
 
 func newServerView() *serverView {
-	r := &serverView{serverWatcher: newServerWatcher(log.NewNopLogger()), inUse: map[galenastair.BackendServerID]bool{}}
-	r.follower = follow.New(nil, platform.RegistrationTopic, nil)
-	r.onUpdate = func(s pool.Server) { r.inUse[s.ID] = true }
-	r.onRemove = func(id galenastair.BackendServerID) { delete(r.inUse, id) }
-	return r
+	v := &serverView{serverWatcher: newServerWatcher(log.NewNopLogger()), inUse: map[galenastair.BackendServerID]bool{}}
+	v.follower = follow.New(nil, platform.RegistrationTopic, nil)
+	v.onUpdate = func(s pool.Server) { v.inUse[s.ID] = true }
+	v.onRemove = func(id galenastair.BackendServerID) { delete(v.inUse, id) }
+	return v
 }
 
 // failStoreCall has the follower make one call that the store refuses.
-func (r *serverView) failStoreCall(t *testing.T) {
+func (v *serverView) failStoreCall(t *testing.T) {
 	t.Helper()
 	store := metastore.New()
 	store.Switch(func(sw *metastore.Switches) { sw.Refuse = true })
 	h := httptest.NewServer(store.Handler())
 	defer h.Close()
-	r.follower = follow.New(platform.NewStore(h.Listener.Addr().String()), platform.RegistrationTopic, nil)
+	v.follower = follow.New(platform.NewStore(h.Listener.Addr().String()), platform.RegistrationTopic, nil)
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	_ = r.follower.Run(ctx)
+	_ = v.follower.Run(ctx)
 }
 
 // applyRecords applies records of the store from an offset on.
-func (r *serverView) applyRecords(now time.Time, from galenastair.Offset, snapshot bool, records ...galenastair.KeyedRecord) {
+func (v *serverView) applyRecords(now time.Time, from galenastair.Offset, snapshot bool, records ...galenastair.KeyedRecord) {
 	for i := range records {
 		records[i].Offset = from + galenastair.Offset(i)
 	}
 	end := from + galenastair.Offset(len(records))
-	r.applyBatch(now, serverBatch{KeyedBatch: galenastair.KeyedBatch{Records: records, Next: end, End: end}, snapshot: snapshot})
-	r.next = end
+	v.applyBatch(now, serverBatch{KeyedBatch: galenastair.KeyedBatch{Records: records, Next: end, End: end}, snapshot: snapshot})
+	v.next = end
 }
 
 // applyPeerChanges applies the changes that another instance has from this one's offset on.
-func (r *serverView) applyPeerChanges(t *testing.T, now time.Time, from *serverView) {
+func (v *serverView) applyPeerChanges(t *testing.T, now time.Time, from *serverView) {
 	t.Helper()
-	changes, end, ok := from.table.Since(r.next)
+	changes, end, ok := from.table.Since(v.next)
 	if !ok {
 		t.Fatal("Since: the offset has been compacted")
 	}
-	r.applyBatch(now, serverBatch{KeyedBatch: galenastair.KeyedBatch{Next: end, End: end}, changes: changes})
-	r.next = end
+	v.applyBatch(now, serverBatch{KeyedBatch: galenastair.KeyedBatch{Next: end, End: end}, changes: changes})
+	v.next = end
 }
 
 func registration(id string, heartbeat int) galenastair.KeyedRecord {
--- a/node/tails.go
+++ b/node/tails.go
@@ -37,34 +37,34 @@
 }
 
 // Charge charges a request to an organisation that this instance may own.
-func (t peerServer) Charge(o galenastair.Organisation, cost float64, known lease.Record) (account.ChargeResult, lease.Record) {
-	t.elector.Observe(known)
-	return t.accounts.Charge(boottime.Now(), o, cost), t.elector.LatestRecord()
+func (s peerServer) Charge(o galenastair.Organisation, cost float64, known lease.Record) (account.ChargeResult, lease.Record) {
+	s.elector.Observe(known)
+	return s.accounts.Charge(boottime.Now(), o, cost), s.elector.LatestRecord()
 }
 
 // Exchange answers the report of an instance.
-func (t peerServer) Exchange(ctx context.Context, r planner.Report) (planner.Update, error) {
-	update, err := t.Planner.Exchange(ctx, r)
+func (s peerServer) Exchange(ctx context.Context, r planner.Report) (planner.Update, error) {
+	update, err := s.Planner.Exchange(ctx, r)
 	if err != nil {
 		return update, err
 	}
-	update.Renewal = t.elector.Renewal()
-	for _, f := range t.topics() {
+	update.Renewal = s.elector.Renewal()
+	for _, f := range s.topics() {
 		from, reported := r.Positions[f.topic]
 		age, known := f.follower.Age()
 		if reported && known {
-			update.Tails = append(update.Tails, t.assignSource(r, update.QuotaAllocation.Fleet, f.tailFrom(from, age)))
+			update.Tails = append(update.Tails, s.assignSource(r, update.QuotaAllocation.Fleet, f.tailFrom(from, age)))
 		}
 	}
 	return update, nil
 }
 
 // assignSource sets the source of the records that the tail does not contain.
-func (t peerServer) assignSource(r planner.Report, fleetSize int, tail planner.Tail) planner.Tail {
-	if t.scheduler == nil || fleetSize <= maxDirectReaders || tail.Changed || r.Address == "" {
+func (s peerServer) assignSource(r planner.Report, fleetSize int, tail planner.Tail) planner.Tail {
+	if s.scheduler == nil || fleetSize <= maxDirectReaders || tail.Changed || r.Address == "" {
 		return tail
 	}
-	source := t.scheduler.assign(boottime.Now(), r.Zone, r.Address, tail.Next, tail.End)
+	source := s.scheduler.assign(boottime.Now(), r.Zone, r.Address, tail.Next, tail.End)
 	tail.Peer, tail.Wait = source.Peer, source.Wait
 	return tail
 }
@@ -73,8 +73,8 @@
 const maxDirectReaders = 24
 
 // Fetch returns the records that this instance has of a topic from an offset on.
-func (t peerServer) Fetch(topic galenastair.Topic, from galenastair.Offset) galenastair.KeyedBatch {
-	for _, f := range t.topics() {
+func (s peerServer) Fetch(topic galenastair.Topic, from galenastair.Offset) galenastair.KeyedBatch {
+	for _, f := range s.topics() {
 		if f.topic == topic && f.tail != nil {
 			return f.tail.AllSince(from)
 		}
