--- a/route/choose.go
+++ b/route/choose.go
@@ -35,7 +35,7 @@
 }
 
 // Choose picks a backend server with capacity, and returns false if none has any. Its cost
-// grows with the number of copies of the model, not with the size of the fleet.
+// grows with the number of copies of the model, not with that of the backend servers.
 func (r *Router) Choose(now time.Time, q Query) (Decision, bool) {
 	r.candidates = r.candidates[:0]
 	var sum, n float64
--- a/route/doc.go
+++ b/route/doc.go
@@ -7,5 +7,5 @@
 //
 // Memory: a backend server takes about 400 bytes and each loaded model or adapter about 100.
 // The index of cached prefixes is bounded at 2 * 32,768 entries of about 40 bytes, 2.6 MB,
-// independent of the fleet.
+// for any number of backend servers.
 package route
--- a/route/health.go
+++ b/route/health.go
@@ -26,8 +26,8 @@
 	// maxConsecutiveFailures is the number of consecutive failures after which a backend server
 	// is ejected. One request that crashes its server and its single retry cause two.
 	maxConsecutiveFailures = 3
-	// maxEjectedShare is the share of the fleet that may be ejected at a time. If more backend
-	// servers seem slow, the cause is load or the network, and ejecting them would increase
+	// maxEjectedShare is the share of the backend servers that may be ejected at a time. If more
+	// seem slow, the cause is load or the network, and ejecting them would increase
 	// the load on the others.
 	maxEjectedShare = 0.34
 	// baseEjectionTime is the duration of the first ejection. It is longer than a long garbage
--- a/route/review.go
+++ b/route/review.go
@@ -8,7 +8,7 @@
 )
 
 // reviewPeriod is the time between two comparisons. A slow backend server is detected after a
-// few responses, about a second. With 270 replicas, a comparison at each request would cost
+// few responses, about a second. With 270 backend servers, a comparison at each request would cost
 // more than the choice itself.
 const reviewPeriod = 250 * time.Millisecond
 
