--- a/claim/begin.go
+++ b/claim/begin.go
@@ -21,7 +21,7 @@
 // refused. With a single one, a claim would fail if that instance had just died.
 const maxCopyAttempts = 2
 
-// Claim is the permission to send one request once.
+// Claim is the right to send one request once.
 type Claim struct {
 	manager *Manager
 	key     Key
@@ -86,7 +86,7 @@
 func (m *Manager) acquire(ctx context.Context, a Attempt) error {
 	owner, ok := m.assignment.Owner(string(a.Key))
 	if !ok {
-		return unavailable("no instance owns the idempotency key at present")
+		return unavailable("the key has no home now")
 	}
 	if err := m.requestGrant(ctx, owner, a); err != nil {
 		return err
@@ -109,6 +109,8 @@
 	return !slices.ContainsFunc(m.assignment.Members(), func(p galenastair.Peer) bool { return p.AvailabilityZone != zone })
 }
 
+// unavailable returns a refusal whose detail is sent to other instances and to callers. The
+// details call the owner of an idempotency key its home.
 func unavailable(detail string) error {
 	return galenastair.Refuse(galenastair.ErrClaimUnavailable, unavailableRetryAfter, detail)
 }
@@ -122,7 +124,7 @@
 	m.metrics.messages.Inc()
 	reply, err := m.peerClient(owner).Begin(ctx, &claimpb.BeginRequest{Attempt: fromAttempt(a, a.StartedAt)})
 	if err != nil {
-		return unavailable("the owner of the idempotency key did not answer")
+		return unavailable("the key's home did not answer")
 	}
 	return fromReply(reply)
 }
@@ -135,7 +137,7 @@
 			return nil
 		}
 	}
-	return unavailable("no second instance could store the claim")
+	return unavailable("no second instance keeps the claim")
 }
 
 // sendCopies sends attempts to another instance for storage. The instance is recorded as
--- a/claim/home.go
+++ b/claim/home.go
@@ -13,7 +13,7 @@
 )
 
 // errEpochChanged is returned when the members changed while a new owner was asking them.
-var errEpochChanged = eris.New("the epoch changed while attempts were being exchanged")
+var errEpochChanged = eris.New("the epoch changed meanwhile")
 
 // grant decides, as the owner of a key, whether an attempt may be sent.
 //
@@ -23,20 +23,20 @@
 // that epoch; from then on the previous owner grants nothing, and senders do not ask it.
 func (m *Manager) grant(ctx context.Context, a Attempt) error {
 	if !m.assignment.Serves(string(a.Key), m.clock.Now()) {
-		return unavailable("the instance that was asked does not own the idempotency key")
+		return unavailable("not the key's home now")
 	}
 	if err := m.ensureSynced(ctx); err != nil {
-		return unavailable("the new owner of the idempotency key has not synchronised with all members yet")
+		return unavailable("the key's home is taking over")
 	}
 	if !m.isSenderMember(&a) {
 		// A later owner would not ask this sender and would miss its attempt.
-		return unavailable("the sending instance is not a member of the current epoch")
+		return unavailable("the sender is not a member")
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.clock.Now()
 	if m.syncedEpoch != m.assignment.Epoch() || !m.assignment.Serves(string(a.Key), now) {
-		return unavailable("the owner of the idempotency key is changing")
+		return unavailable("the key's home moves")
 	}
 	if err := m.table.Open(now, a, m.isSenderMember); err != nil {
 		return asRefusal(err)
@@ -111,7 +111,7 @@
 	for _, list := range lists {
 		for _, stored := range m.table.Merge(m.clock.Now(), list...) {
 			if !stored {
-				return eris.New("the table of claims is full")
+				return eris.New("too many claims")
 			}
 		}
 	}
--- a/claim/keeper_test.go
+++ b/claim/keeper_test.go
@@ -184,7 +184,8 @@
 	}
 }
 
-// An instance whose lease has expired, and which has not noticed yet, asks an owner that has.
+// An instance that the others have declared lapsed, and that has not applied that epoch yet, asks an
+// owner that has.
 // If the owner granted the key, the next owner would not ask this instance for its attempt.
 // Fails without the check that the sender is a member.
 func TestLapsedSenderIsRefused(t *testing.T) {
--- a/claim/server.go
+++ b/claim/server.go
@@ -78,7 +78,7 @@
 	}
 	cause, ok := refusalCauses[galenastair.Code(reply.Code)]
 	if !ok {
-		return unavailable("the owner of the idempotency key sent an unknown refusal code")
+		return unavailable("the key's home gave an unknown answer")
 	}
 	return &galenastair.Refusal{
 		Cause:      cause,
--- a/claim/table.go
+++ b/claim/table.go
@@ -27,7 +27,7 @@
 )
 
 // errAlreadySettled is returned when the attempt was settled before the owner was asked to grant it.
-var errAlreadySettled = eris.New("the sender settled the attempt before its claim was granted")
+var errAlreadySettled = eris.New("the attempt was given up before it was asked for")
 
 // Table holds the attempts that one instance stores as sender, owner or copy.
 //
@@ -63,7 +63,7 @@
 	case own != nil:
 		return nil
 	case t.size >= maxAttempts:
-		return galenastair.Refuse(galenastair.ErrClaimUnavailable, unavailableRetryAfter, "the table of claims is full")
+		return galenastair.Refuse(galenastair.ErrClaimUnavailable, unavailableRetryAfter, "too many claims")
 	}
 	a.State = Open
 	a.StartedAt = now
@@ -78,7 +78,7 @@
 	case other.isReleased():
 		return nil
 	case other.Digest != a.Digest:
-		return galenastair.Refuse(galenastair.ErrBadRequest, 0, "the idempotency key was already used for a different request")
+		return galenastair.Refuse(galenastair.ErrBadRequest, 0, "the idempotency key belongs to a different request")
 	case other.State == Open && isSenderMember(other):
 		return &galenastair.Refusal{Cause: galenastair.ErrDuplicateUnsettled, Outcome: galenastair.Unknown, RetryAfter: unsettledRetryAfter}
 	case other.State == Open:
--- a/engine/complete.go
+++ b/engine/complete.go
@@ -57,7 +57,7 @@
 		cancel()
 		if s.timedOut.Load() && !sending.NotSent() {
 			c.pool.CloseIdle(req.URL.Host)
-			return nil, eris.Wrap(galenastair.ErrSilent, "waiting for response headers")
+			return nil, eris.Wrap(galenastair.ErrSilent, "before the answer began")
 		}
 		return nil, c.pool.ClassifyError(ctx, req.URL.Host, sending, err)
 	}
@@ -69,7 +69,7 @@
 	if got := resp.Header.Get(HeaderRequestID); got != string(id) {
 		cancel()
 		_ = resp.Body.Close()
-		return nil, eris.Wrapf(galenastair.ErrCrossed, "response carries request ID %q", got)
+		return nil, eris.Wrapf(galenastair.ErrCrossed, "the answer is for request %q", got)
 	}
 	s.body = resp.Body
 	s.events = newEventReader(resp.Body, s.resetTimer)
@@ -87,7 +87,7 @@
 func completionBody(comp galenastair.Completion) ([]byte, error) {
 	fields := map[string]json.RawMessage{}
 	if err := json.Unmarshal(comp.Body, &fields); err != nil {
-		return nil, eris.Wrap(err, "request body is not a JSON object")
+		return nil, eris.Wrap(err, "the body is no JSON object")
 	}
 	set := func(name string, v any) error {
 		raw, err := json.Marshal(v)
--- a/engine/event.go
+++ b/engine/event.go
@@ -19,8 +19,8 @@
 )
 
 var (
-	errEventTooLarge = eris.New("event exceeds the limit of 1 MiB")
-	errEventID       = eris.New("event id is not a number")
+	errEventTooLarge = eris.New("an event is larger than the limit")
+	errEventID       = eris.New("an event has no readable id")
 )
 
 // event is one server-sent event.
--- a/request/fake_test.go
+++ b/request/fake_test.go
@@ -23,15 +23,15 @@
 
 // fakeConfiguration is a configuration that the test appends records to.
 type fakeConfiguration struct {
-	t    *testing.T
-	fold *config.StateMachine
-	view *config.View
+	t     *testing.T
+	state *config.StateMachine
+	view  *config.View
 	// isolated makes Ready return false.
 	isolated bool
 }
 
 func newConfiguration(t *testing.T) *fakeConfiguration {
-	f := &fakeConfiguration{t: t, fold: config.NewStateMachine()}
+	f := &fakeConfiguration{t: t, state: config.NewStateMachine()}
 	f.apply(config.KindContractPublished, config.ContractPublished{Contract: contract.Contract{
 		Organisation: "Furnir", Rate: 1000, Burst: 10000,
 		Models: []galenastair.ModelName{"m"}, Services: []galenastair.ServiceName{"bids"},
@@ -46,9 +46,9 @@
 	is.NoErr(err)
 	data, err := json.Marshal(r)
 	is.NoErr(err)
-	v := f.fold.Apply(galenastair.LogRecord{Offset: f.fold.Next(), Data: data})
+	v := f.state.Apply(galenastair.LogRecord{Offset: f.state.Next(), Data: data})
 	is.Equal(v.Outcome, config.Accepted)
-	f.view = f.fold.View()
+	f.view = f.state.View()
 }
 
 func (f *fakeConfiguration) View() *config.View { return f.view }
