--- a/config/pace_test.go
+++ b/config/pace_test.go
@@ -52,7 +52,7 @@
 	is := is.New(t)
 	l := newFakeLog()
 	publishContracts(l, 3)
-	clock := &manualClock{now: time.Now()}
+	clock := &fakeClock{now: time.Now()}
 	first, second := NewFollower(l, WithClock(clock)), NewFollower(l, WithClock(clock))
 	startFollower(t, first)
 	startFollower(t, second)
@@ -88,7 +88,7 @@
 	is := is.New(t)
 	l := newFakeLog()
 	publishContracts(l, 3)
-	f := NewFollower(l, WithClock(&manualClock{now: time.Now()}))
+	f := NewFollower(l, WithClock(&fakeClock{now: time.Now()}))
 	is.NoErr(f.poll(t.Context()))
 	checks := startSnapshots(t, f)
 	for range 5 {
@@ -100,18 +100,18 @@
 // offsetAfterFourRecords is the next offset after three contracts and one snapshot.
 const offsetAfterFourRecords galenastair.Offset = 5
 
-type manualClock struct {
+type fakeClock struct {
 	mu  sync.Mutex
 	now time.Time
 }
 
-func (c *manualClock) Now() time.Time {
+func (c *fakeClock) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now
 }
 
-func (c *manualClock) advance(d time.Duration) {
+func (c *fakeClock) advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = c.now.Add(d)
--- a/config/reach_test.go
+++ b/config/reach_test.go
@@ -81,7 +81,7 @@
 	is := is.New(t)
 	l := newFakeLog()
 	publishContracts(l, 1)
-	clock := &manualClock{now: time.Now()}
+	clock := &fakeClock{now: time.Now()}
 	f := NewFollower(l, WithPeers(unreachablePeers{}), WithClock(clock))
 	is.NoErr(f.poll(t.Context()))
 	is.True(f.Ready())
--- a/config/tail.go
+++ b/config/tail.go
@@ -44,8 +44,8 @@
 	t.records, t.bytes, t.next = nil, 0, next
 }
 
-// read returns the kept records from an offset on; First is the offset of the oldest kept
-// record.
+// read returns the kept records from an offset on. First is the offset of the oldest kept
+// record, or Next if there is none; records are missing if it is higher than from.
 func (t *tail) read(from galenastair.Offset) galenastair.Batch {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/entry/adapt.go
+++ b/entry/adapt.go
@@ -54,7 +54,7 @@
 	return r, nil
 }
 
-// claimsAdapter implements request.Claims with a claim keeper.
+// claimsAdapter implements request.Claims with a claim manager.
 type claimsAdapter struct{ *claim.Manager }
 
 // Begin takes the claim of a request with an idempotency key.
--- a/entry/duty.go
+++ b/entry/duty.go
@@ -67,7 +67,7 @@
 	return d.s.ActsAs(shareOwner(a), now)
 }
 
-// claimAssignment tells the claim keeper which member owns which key.
+// claimAssignment tells the claim manager which member owns which key.
 type claimAssignment struct{ members *member.Runtime }
 
 // Self returns this instance.
--- a/entry/duty_test.go
+++ b/entry/duty_test.go
@@ -11,7 +11,8 @@
 
 // While one of three instances is replaced, the ring has two members. If shareOwner did
 // not wrap slots around the ring, the third share of each organisation would have no
-// owner, and organisations would be refused within their rate.
+// owner, and each organisation would have two thirds of its contract and be refused within
+// its rate.
 func TestSmallRingOwnsAllShares(t *testing.T) {
 	is := is.New(t)
 	for size := 1; size <= 5; size++ {
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -162,8 +162,9 @@
 // An instance is stopped while a response is streamed, and the load balancer still sends
 // requests for a moment. No request may be interrupted or refused, /readyz must fail at
 // once, the platform's list must show the instance as leaving, and the process must exit
-// without an error after the last response. Without the notice period, a request is
-// refused; if the server is closed without draining, the stream is interrupted.
+// without an error after the last response. The test fails without the notice period (a
+// request is refused), if the server is closed without draining (the stream is
+// interrupted), if Ready ignores the shutdown, or if registration does not set Leaving.
 func TestGracefulShutdown(t *testing.T) {
 	is := is.New(t)
 	x := newTestSite(t)
@@ -203,7 +204,8 @@
 }
 
 // /status must include engine reports and members, and /metrics the finished requests.
-// Neither may show an API key.
+// Neither may show an API key. The test fails without addReport or addMembers, or if the
+// request server has no recorder.
 func TestStatusAndMetrics(t *testing.T) {
 	is := is.New(t)
 	x := newTestSite(t)
@@ -222,7 +224,7 @@
 }
 
 // If a port is in use, the start must fail with an error that names the port and the
-// address.
+// address. The test fails if the listen error is returned as it is.
 func TestPortInUse(t *testing.T) {
 	is := is.New(t)
 	x := newTestSite(t)
--- a/entry/report.go
+++ b/entry/report.go
@@ -24,12 +24,12 @@
 	cacheEventsTimeout = 500 * time.Millisecond
 )
 
-// reportReaderSlot is the slot of the report reader in the ranking of members for an engine.
-const reportReaderSlot = 0
+// reportPollerSlot is the slot of the poller in the ranking of members for an engine.
+const reportPollerSlot = 0
 
 func reportKey(id galenastair.BackendServerID) string { return "report:" + string(id) }
 
-// reportAssignment tells the reporter which member reads the reports of which engine.
+// reportAssignment tells the reporter which member polls which engine.
 type reportAssignment struct{ s *member.Status }
 
 // Self returns this instance.
@@ -47,9 +47,9 @@
 // Epoch returns the current epoch.
 func (d reportAssignment) Epoch() galenastair.Epoch { return d.s.View.Epoch }
 
-// Poller returns the member that reads the reports of an engine.
+// Poller returns the member that polls an engine.
 func (d reportAssignment) Poller(id galenastair.BackendServerID) (galenastair.Peer, bool) {
-	m, ok := d.s.Owner(reportKey(id), reportReaderSlot)
+	m, ok := d.s.Owner(reportKey(id), reportPollerSlot)
 	return peerOf(m), ok
 }
 
@@ -92,7 +92,7 @@
 		}
 		assignment := reportAssignment{e.members.Status()}
 		for _, s := range servers {
-			if reader, ok := assignment.Poller(s.ID); ok && reader.ID == e.settings.Instance.ID {
+			if poller, ok := assignment.Poller(s.ID); ok && poller.ID == e.settings.Instance.ID {
 				after[s.ID] = e.fetchCacheEvents(ctx, s, after[s.ID])
 			}
 		}
--- a/member/peers.go
+++ b/member/peers.go
@@ -60,9 +60,8 @@
 // drop removes a client after a failed call, so that the next call opens a new connection.
 //
 // If a firewall or another device between two instances drops the state of a connection, calls on
-// it time out indefinitely while new connections work. By dropping all connections to the peer, the
-// next heartbeat, a second later and within the lease, uses a new one.
-// within the lease, starts on a new one.
+// it time out indefinitely while new connections work. Because every failed call drops all connections
+// to the peer, the next heartbeat, a second later and within the lease, opens a new one.
 func (p *peers) drop(address string, c *peerClient) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/member/restart_test.go
+++ b/member/restart_test.go
@@ -10,7 +10,7 @@
 // The leader is killed during a log outage, when leases run for minutes, and its process restarts at
 // the same address at once. The region would have no leader, and models of failed engines no copy,
 // until the long lease has ended, 53 s or more later. A probe of the address shows that the process
-// that held the lease has died.
+// that held the lease has died. The test fails without probeSilent.
 func TestRestartDuringLogOutageIsAdmittedSoonAfter(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/member/runtime_follow.go
+++ b/member/runtime_follow.go
@@ -17,9 +17,9 @@
 	// readWait is how long a read waits for the next record. At 2 s, 53 members make 26 reads a
 	// second, and a log that has failed is noticed within seconds.
 	readWait = 2 * time.Second
-	// readTimeoutSlack is added to the wait for the timeout of a read. Without a timeout, a connection
+	// readTimeoutMargin is added to the wait for the timeout of a read. Without a timeout, a connection
 	// to the log that no longer delivers data would stop the reading for good.
-	readTimeoutSlack = time.Second
+	readTimeoutMargin = time.Second
 	// readBackoff is the delay after a failed read, so that a log that is down is not polled in a tight loop.
 	readBackoff = 250 * time.Millisecond
 	// offsetPastEnd is an offset that no stream reaches. A read there returns the range of kept offsets.
@@ -58,7 +58,7 @@
 }
 
 func (r *Runtime) read(ctx context.Context, from galenastair.Offset, wait time.Duration) (galenastair.Batch, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+readTimeoutSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+readTimeoutMargin)
 	defer cancel()
 	batch, err := r.log.Read(ctx, r.stream, from, wait)
 	if err == nil && batch.First > from {
--- a/member/server.go
+++ b/member/server.go
@@ -16,7 +16,7 @@
 func serveOnLoop[T any](ctx context.Context, r *Runtime, f func(now time.Time) T) (T, error) {
 	reply, err := runOnLoop(ctx, r, func() T { return f(r.clock.Now()) })
 	if err != nil {
-		return reply, twirp.WrapError(twirp.NewError(twirp.Unavailable, "control loop unavailable"), err)
+		return reply, twirp.WrapError(twirp.NewError(twirp.Unavailable, "the control loop does not answer"), err)
 	}
 	return reply, nil
 }
--- a/member/state.go
+++ b/member/state.go
@@ -14,7 +14,7 @@
 const (
 	// Applied means that the record took effect.
 	Applied ApplyResult = "Applied"
-	// NoEffect means that the state at the record's offset made the record invalid.
+	// NoEffect means that the record cannot be decoded, or is not valid for the state at its offset.
 	NoEffect ApplyResult = "Void"
 	// UnknownKind means that the record is not a membership record.
 	UnknownKind ApplyResult = "Foreign"
--- a/rate/demand.go
+++ b/rate/demand.go
@@ -9,7 +9,8 @@
 
 const (
 	// demandWindow is the time over which an entry's own demand is averaged. It is
-	// short, so that little is prefetched once a burst of requests is over.
+	// as long as a loan may be spent, so that little is prefetched once a burst of
+	// requests is over.
 	demandWindow = 2 * time.Second
 	// prefetchTime is the time for which a loan covers the expected demand beyond the
 	// request that needs it.
--- a/rate/doc.go
+++ b/rate/doc.go
@@ -3,10 +3,11 @@
 //
 // Each organisation's rate and burst are divided into three shares. Three instances in
 // different availability zones, the holders, each keep one share in a token bucket, so
-// that the sum never exceeds the contract without any coordination. An entry borrows
-// tokens from the nearest holder for the request that it charges and, if it receives
-// many requests of the organisation, prefetches tokens for the next half second. A
-// request that is larger than one share borrows from several holders.
+// that the sum never exceeds the contract without any coordination. An entry, which is the
+// instance that received a request, borrows tokens from the nearest holder for the request
+// that it charges and, if it receives many requests of the organisation, prefetches tokens
+// for the next half second. A request that is larger than one share borrows from several
+// holders.
 //
 // Charge deducts the estimated prompt tokens plus the maximum length of the answer
 // before the request is sent; the charge counts from the time at which Charge returns.
--- a/report/reporter.go
+++ b/report/reporter.go
@@ -46,7 +46,7 @@
 
 // Reporter polls engines and exchanges their reports with other instances.
 type Reporter struct {
-	ports       Dependencies
+	deps        Dependencies
 	client      *http.Client
 	logger      log.Logger
 	clock       galenastair.Clock
@@ -71,7 +71,7 @@
 // New returns a reporter, which does nothing until Run is called.
 func New(p Dependencies, opts ...Option) *Reporter {
 	r := &Reporter{
-		ports:       p,
+		deps:        p,
 		client:      &http.Client{Transport: httpclient.NewTransport(), Timeout: sendTimeout},
 		logger:      log.NewNopLogger(),
 		clock:       galenastair.SystemClock{},
@@ -123,15 +123,15 @@
 }
 
 func (r *Reporter) plan() Plan {
-	servers, duties := r.ports.Servers(), r.ports.Assignment()
+	servers, assignment := r.deps.Servers(), r.deps.Assignment()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.tracker.SetServers(servers)
-	return r.tracker.Plan(r.clock.Now(), duties)
+	return r.tracker.Plan(r.clock.Now(), assignment)
 }
 
 func (r *Reporter) poll(ctx context.Context, s Server) {
-	rep, err := r.ports.Engine.Report(ctx, s.Address)
+	rep, err := r.deps.Engine.Report(ctx, s.Address)
 	if err != nil {
 		if ctx.Err() == nil {
 			_ = r.logger.Log("event", "report", "engine", s.ID, "err", err)
@@ -142,7 +142,7 @@
 	defer r.mu.Unlock()
 	if r.tracker.ApplyReport(r.clock.Now(), s.ID, rep) {
 		rep.BackendServer = s.ID
-		r.ports.Deliver(rep)
+		r.deps.Deliver(rep)
 	}
 }
 
@@ -162,7 +162,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, rep := range r.tracker.ApplyMessage(r.clock.Now(), msg) {
-		r.ports.Deliver(rep)
+		r.deps.Deliver(rep)
 	}
 	return &reportpb.TellResponse{}, nil
 }
