--- a/config/rules_test.go
+++ b/config/rules_test.go
@@ -29,7 +29,7 @@
 	return s.apply(KindKeyWithdrawn, KeyWithdrawn{KeyHash: h})
 }
 
-func (s *harness) endContract(o galenastair.Organisation) ApplyResult {
+func (s *harness) withdrawContract(o galenastair.Organisation) ApplyResult {
 	return s.apply(KindContractWithdrawn, ContractWithdrawn{Base: 1, Organisation: o})
 }
 
@@ -69,15 +69,19 @@
 		{"key withdrawn before it is given", func(s *harness) ApplyResult { s.withdrawKey(k1); s.publish(0, "A"); return s.giveKey("A", k1) }, KeyWasWithdrawn, "withdrawn"},
 		{"withdrawn key in an older contract file", func(s *harness) ApplyResult { s.publish(0, "A", k1); s.withdrawKey(k1); return s.publish(2, "A", k1) }, KeyWasWithdrawn, "withdrawn"},
 		{"key withdrawn before the contract is published", func(s *harness) ApplyResult { s.publish(0, "A", k1); s.withdrawKey(k1); return s.publish(1, "A", k1) }, Conflict, "withdrawn"},
-		{"contract withdrawn", func(s *harness) ApplyResult { s.publish(0, "A", k1); return s.endContract("A") }, NoReason, "withdrawn"},
-		{"contract withdrawn from an old revision", func(s *harness) ApplyResult { s.publish(0, "A", k1); s.publish(1, "A"); return s.endContract("A") }, Conflict, "A"},
-		{"first record of a withdrawn contract again", func(s *harness) ApplyResult { s.publish(0, "A"); s.endContract("A"); return s.publish(0, "A", k1) }, Conflict, "unknown"},
-		{"contract published again with its key", func(s *harness) ApplyResult { s.publish(0, "A", k1); s.endContract("A"); return s.publish(2, "A", k1) }, KeyWasWithdrawn, "withdrawn"},
-		{"contract published again", func(s *harness) ApplyResult { s.publish(0, "A"); s.endContract("A"); return s.publish(2, "A", k1) }, NoReason, "A"},
+		{"contract withdrawn", func(s *harness) ApplyResult { s.publish(0, "A", k1); return s.withdrawContract("A") }, NoReason, "withdrawn"},
+		{"contract withdrawn from an old revision", func(s *harness) ApplyResult { s.publish(0, "A", k1); s.publish(1, "A"); return s.withdrawContract("A") }, Conflict, "A"},
+		{"first record of a withdrawn contract again", func(s *harness) ApplyResult { s.publish(0, "A"); s.withdrawContract("A"); return s.publish(0, "A", k1) }, Conflict, "unknown"},
+		{"contract published again with its key", func(s *harness) ApplyResult {
+			s.publish(0, "A", k1)
+			s.withdrawContract("A")
+			return s.publish(2, "A", k1)
+		}, KeyWasWithdrawn, "withdrawn"},
+		{"contract published again", func(s *harness) ApplyResult { s.publish(0, "A"); s.withdrawContract("A"); return s.publish(2, "A", k1) }, NoReason, "A"},
 		{"name in another script", func(s *harness) ApplyResult { s.publish(0, "coco", k1); return s.publish(0, "сосо", k2) }, NameConfusable, "coco"},
 		{"name of a withdrawn contract", func(s *harness) ApplyResult {
 			s.publish(0, "Mill 1")
-			s.endContract("Mill 1")
+			s.withdrawContract("Mill 1")
 			return s.publish(0, "mill l")
 		}, NameConfusable, "unknown"},
 		{"invalid", func(s *harness) ApplyResult { return s.publish(0, "A ", k1) }, Invalid, "unknown"},
--- a/member/model_test.go
+++ b/member/model_test.go
@@ -166,9 +166,9 @@
 	if m.now < p.netCutUntil || m.random.IntN(50) == 0 {
 		return nil
 	}
-	apart := m.now < p.isolatedUntil
+	isolated := m.now < p.isolatedUntil
 	for _, q := range slices.Backward(m.procs) {
-		if q.self.PeerAddress == to.PeerAddress && !q.dead && m.now >= q.netCutUntil && apart == (m.now < q.isolatedUntil) {
+		if q.self.PeerAddress == to.PeerAddress && !q.dead && m.now >= q.netCutUntil && isolated == (m.now < q.isolatedUntil) {
 			return q
 		}
 	}
@@ -198,9 +198,9 @@
 	case Append:
 		m.append(p, a.Record)
 	case SendHeartbeat:
-		news := p.Gossip(p.localTime(m), false)
+		gossip := p.Gossip(p.localTime(m), false)
 		m.request(p, a.To, func(q *process) func() {
-			q.MergeGossip(q.localTime(m), news)
+			q.MergeGossip(q.localTime(m), gossip)
 			granted := q.HandleHeartbeat(q.localTime(m), a.Heartbeat)
 			back, left := q.Gossip(q.localTime(m), false), q.Handover(q.localTime(m))
 			return func() {
@@ -210,9 +210,9 @@
 			}
 		})
 	case SendGossip:
-		news := p.Gossip(p.localTime(m), false)
+		gossip := p.Gossip(p.localTime(m), false)
 		m.request(p, a.To, func(q *process) func() {
-			q.MergeGossip(q.localTime(m), news)
+			q.MergeGossip(q.localTime(m), gossip)
 			return func() {}
 		})
 	case AskAdmission:
