--- a/caller/collect.go
+++ b/caller/collect.go
@@ -60,7 +60,7 @@
 }
 
 // errEngineEvent is returned when an engine sends an error event.
-var errEngineEvent = eris.New("engine sent an error event")
+var errEngineEvent = eris.New("the engine ended the answer with an error event")
 
 // collector merges the events of an engine's stream into one response, for clients
 // that did not request a stream. Nothing is sent before the final event, so a
@@ -83,7 +83,7 @@
 	// Numbers that float64 cannot represent must be preserved.
 	d.UseNumber()
 	if err := d.Decode(&b); err != nil {
-		return eris.Wrap(err, "decode completion chunk")
+		return eris.Wrap(err, "chunk of an answer")
 	}
 	if present(b.Error) {
 		return errEngineEvent
--- a/engine.go
+++ b/engine.go
@@ -11,21 +11,21 @@
 var (
 	// ErrStaleFence means that an engine refused an order because its fencing token is lower
 	// than one that the engine has already accepted.
-	ErrStaleFence = eris.New("engine has accepted a higher fencing token")
+	ErrStaleFence = eris.New("the engine has seen a newer fencing number")
 	// ErrNotSent means that no byte of a request can have reached the backend server.
-	ErrNotSent = eris.New("request not sent to the backend server")
+	ErrNotSent = eris.New("the request was not sent")
 	// ErrConnectionRefused means that nothing listens on the backend server's address.
-	ErrAbsent = eris.New("connection refused by the backend server")
+	ErrAbsent = eris.New("nothing listens there")
 	// ErrDeclined means that the backend server stated that it did not run the request.
-	ErrDeclined = eris.New("backend server declined to run the request")
+	ErrDeclined = eris.New("the backend server declined to run the request")
 	// ErrStreamNotFound means that an engine does not know, or no longer knows, the stream to
 	// resume or cancel.
-	ErrStreamGone = eris.New("stream not found on the engine")
+	ErrStreamGone = eris.New("the stream can no longer be resumed")
 	// ErrProgressTimeout means that a connection made no progress within its timeout.
-	ErrSilent = eris.New("connection made no progress before the timeout")
+	ErrSilent = eris.New("the connection went silent")
 	// ErrInvalidResponse means that a response belongs to another request, skips events or has
 	// no usable body.
-	ErrCrossed = eris.New("invalid response to the request")
+	ErrCrossed = eris.New("the answer does not belong to the request")
 )
 
 // Completion is a model request that an entry instance sends to an engine.
--- a/peer/demandpb/doc.go
+++ b/peer/demandpb/doc.go
@@ -1,2 +1,3 @@
-// Package demandpb is the generated form of what entries tell the leader.
+// Package demandpb contains the generated messages and the twirp service by which entries
+// report the demand for each model to the leader.
 package demandpb
--- a/peer/planningpb/doc.go
+++ b/peer/planningpb/doc.go
@@ -1,2 +1,3 @@
-// Package planningpb is the generated form of what instances and the planner exchange.
+// Package planningpb contains the generated messages and the twirp service of calls between
+// instances and the leader.
 package planningpb
--- a/standin/engine/control.go
+++ b/standin/engine/control.go
@@ -52,7 +52,7 @@
 		return errWrongServer
 	}
 	if e.settings.ChecksFence && o.Fence < e.fence {
-		return eris.Wrapf(galenastair.ErrStaleFence, "fence %d is lower than %d", o.Fence, e.fence)
+		return eris.Wrapf(galenastair.ErrStaleFence, "%d before %d", o.Fence, e.fence)
 	}
 	e.fence = max(e.fence, o.Fence)
 	switch o.Kind {
@@ -132,7 +132,7 @@
 func (e *Engine) getEvents(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
-		http.Error(w, "query parameter after: "+err.Error(), http.StatusBadRequest)
+		http.Error(w, "after: "+err.Error(), http.StatusBadRequest)
 		return
 	}
 	e.mu.Lock()
--- a/standin/engine/http.go
+++ b/standin/engine/http.go
@@ -18,10 +18,10 @@
 const maxBody = 8 << 20
 
 var (
-	errDraining     = eris.New("engine is draining")
-	errNotReady     = eris.New("model is not ready on this engine")
-	errQueueFull    = eris.New("request queue is full")
-	errExceedsCache = eris.New("request exceeds the KV cache")
+	errDraining     = eris.New("the engine is leaving")
+	errNotReady     = eris.New("the model is not ready here")
+	errQueueFull    = eris.New("too many requests wait")
+	errExceedsCache = eris.New("the request does not fit into the KV cache")
 )
 
 func (e *Engine) chat(w http.ResponseWriter, r *http.Request)     { e.serveCompletion(w, r, true) }
@@ -84,12 +84,12 @@
 func (e *Engine) resume(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.Atoi(r.Header.Get(wire.HeaderLastEventID))
 	if err != nil || after < 0 {
-		http.Error(w, wire.HeaderLastEventID+" must be a non-negative integer", http.StatusBadRequest)
+		http.Error(w, wire.HeaderLastEventID+" must be a number", http.StatusBadRequest)
 		return
 	}
 	s := e.findSequence(r)
 	if s == nil || s.isCancelled() {
-		http.Error(w, "stream not found", http.StatusNotFound)
+		http.Error(w, "no such stream", http.StatusNotFound)
 		return
 	}
 	s.attach()
@@ -99,7 +99,7 @@
 func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
 	s := e.findSequence(r)
 	if s == nil {
-		http.Error(w, "stream not found", http.StatusNotFound)
+		http.Error(w, "no such stream", http.StatusNotFound)
 		return
 	}
 	s.cancel()
--- a/standin/engine/request.go
+++ b/standin/engine/request.go
@@ -12,7 +12,7 @@
 // bytesPerToken is the approximate size of a token of English text.
 const bytesPerToken = 4
 
-var errMalformedRequest = eris.New("malformed completion request")
+var errMalformedRequest = eris.New("the body is no completion request")
 
 // Request holds the fields of a completion request that the engine uses.
 type Request struct {
@@ -45,7 +45,7 @@
 		return Request{}, eris.Wrapf(errMalformedRequest, "%v", err)
 	}
 	if b.Model == "" || b.MaxTokens < 0 {
-		return Request{}, eris.Wrap(errMalformedRequest, "model is empty or max_tokens is negative")
+		return Request{}, eris.Wrap(errMalformedRequest, "no model, or a negative limit")
 	}
 	r := Request{
 		Model:     b.Model,
--- a/standin/engine/weights.go
+++ b/standin/engine/weights.go
@@ -10,10 +10,10 @@
 )
 
 var (
-	errBaseNotLoaded = eris.New("base model of the adapter is not loaded")
-	errNotFound      = eris.New("weight or cached prefix not found on the engine")
-	errUnknownKind   = eris.New("unknown kind of order")
-	errWrongServer   = eris.New("order is addressed to another backend server")
+	errBaseNotLoaded = eris.New("the adapter's model is not loaded")
+	errNotFound      = eris.New("no such weight is loaded")
+	errUnknownKind   = eris.New("no such kind of order")
+	errWrongServer   = eris.New("the order is for another backend server")
 )
 
 // maxFinishedOrders is the number of finished orders that a report lists.
--- a/standin/platform/list.go
+++ b/standin/platform/list.go
@@ -96,7 +96,7 @@
 func (p *Platform) handleListOutage(w http.ResponseWriter) bool {
 	faults, _ := p.faults.get()
 	if faults.ListOutage {
-		http.Error(w, "instance list outage", http.StatusServiceUnavailable)
+		http.Error(w, "outage", http.StatusServiceUnavailable)
 	}
 	return faults.ListOutage
 }
@@ -104,7 +104,7 @@
 func (p *Platform) postInstance(w http.ResponseWriter, r *http.Request) {
 	var in galenastair.ListedInstance
 	if err := json.NewDecoder(r.Body).Decode(&in); err != nil || in.ID == "" || in.Address == "" {
-		http.Error(w, "instance list entry requires ID and Address", http.StatusBadRequest)
+		http.Error(w, "an instance needs an ID and an Address", http.StatusBadRequest)
 		return
 	}
 	if p.handleListOutage(w) {
--- a/standin/platform/log.go
+++ b/standin/platform/log.go
@@ -36,7 +36,7 @@
 			}
 			return false
 		case OutageRefuse:
-			http.Error(w, "log outage", http.StatusServiceUnavailable)
+			http.Error(w, "outage", http.StatusServiceUnavailable)
 			return true
 		}
 		select {
@@ -58,7 +58,7 @@
 	}
 	faults, _ := p.faults.get()
 	if !p.allowAppend(faults) {
-		http.Error(w, "append rate limit exceeded", http.StatusTooManyRequests)
+		http.Error(w, "too many appends", http.StatusTooManyRequests)
 		return
 	}
 	if faults.AppendDelay > 0 {
@@ -78,12 +78,12 @@
 func (p *Platform) readRecords(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
 	if err != nil {
-		http.Error(w, "query parameter from: "+err.Error(), http.StatusBadRequest)
+		http.Error(w, "from: "+err.Error(), http.StatusBadRequest)
 		return
 	}
 	wait, err := time.ParseDuration(r.URL.Query().Get("wait"))
 	if err != nil {
-		http.Error(w, "query parameter wait: "+err.Error(), http.StatusBadRequest)
+		http.Error(w, "wait: "+err.Error(), http.StatusBadRequest)
 		return
 	}
 	deadline := time.NewTimer(wait)
@@ -97,7 +97,7 @@
 		s.expire(time.Now(), faults)
 		b, appended := s.read(galenastair.Offset(from))
 		if galenastair.Offset(from) < b.First {
-			http.Error(w, "records have expired", http.StatusGone)
+			http.Error(w, "expired", http.StatusGone)
 			return
 		}
 		if len(b.Records) > 0 || !waiting {
--- a/standin/service/service.go
+++ b/standin/service/service.go
@@ -125,7 +125,7 @@
 	faults := s.currentFaults()
 	if faults.Decline {
 		w.Header().Set("X-Outcome", "NotRun")
-		http.Error(w, "call declined, not executed", http.StatusServiceUnavailable)
+		http.Error(w, "declined", http.StatusServiceUnavailable)
 		return
 	}
 	// The sleep ignores the request's context: a delayed call is executed even after its
@@ -139,7 +139,7 @@
 	case faults.LoseAnswers:
 		panic(http.ErrAbortHandler)
 	case faults.Fail:
-		http.Error(w, "call failed after it was executed", http.StatusInternalServerError)
+		http.Error(w, "failed after the effect", http.StatusInternalServerError)
 		return
 	}
 	answer, _ := json.Marshal(echo{r.Method, r.URL.Path, r.URL.RawQuery, string(body), run})
