--- a/caller/answer_test.go
+++ b/caller/answer_test.go
@@ -19,8 +19,8 @@
 
 var errTruncated = &galenastair.Refusal{Cause: galenastair.ErrAnswerCut, Outcome: galenastair.Ran}
 
-// The engine fails after the first token. The client must receive an error event, and
-// a client that ignores the event must still detect the truncation: the connection is
+// The engine fails after the first token. The caller must receive an error event, and
+// a caller that ignores the event must still detect the truncation: the connection is
 // aborted and there is no [DONE].
 func TestTruncatedStreamIsDetected(t *testing.T) {
 	is := is.New(t)
@@ -56,7 +56,7 @@
 }
 
 // A truncated stream, and one with an engine's error event, must result in an error
-// response if the client did not request a stream, not in a partial or empty one.
+// response if the caller did not request a stream, not in a partial or empty one.
 func TestTruncatedNonStreamedResponseIsAnError(t *testing.T) {
 	for name, s := range map[string]*fakeServer{
 		"truncated":   {events: []string{firstToken}, err: errTruncated},
--- a/caller/body.go
+++ b/caller/body.go
@@ -162,7 +162,7 @@
 }
 
 // buildEngineBody returns the body of the request to the engine. It always requests a
-// stream with usage, even if the client did not: only a stream shows that the engine
+// stream with usage, even if the caller did not: only a stream shows that the engine
 // is still making progress, and only a stream can be resumed. max_tokens is always
 // set, so that the engine generates no more than was charged to the organisation.
 func buildEngineBody(fields object, output galenastair.Tokens) ([]byte, error) {
--- a/caller/body_test.go
+++ b/caller/body_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// The body for the engine must contain max_tokens, also if the client did not send it,
+// The body for the engine must contain max_tokens, also if the caller did not send it,
 // and not max_completion_tokens.
 func TestEngineBody(t *testing.T) {
 	is := is.New(t)
--- a/caller/collect.go
+++ b/caller/collect.go
@@ -62,7 +62,7 @@
 // errEngineEvent is returned when an engine sends an error event.
 var errEngineEvent = eris.New("the engine ended the answer with an error event")
 
-// collector merges the events of an engine's stream into one response, for clients
+// collector merges the events of an engine's stream into one response, for callers
 // that did not request a stream. Nothing is sent before the final event, so a
 // truncated stream results in an error response.
 type collector struct {
--- a/caller/error.go
+++ b/caller/error.go
@@ -26,7 +26,7 @@
 	RetryAfter int                   `json:"retry_after,omitempty"`
 }
 
-// toRefusal converts any error to the form that is returned to clients.
+// toRefusal converts any error to the form that is returned to callers.
 func toRefusal(err error) *galenastair.Refusal {
 	var r *galenastair.Refusal
 	if errors.As(err, &r) {
@@ -41,7 +41,7 @@
 	return &galenastair.Refusal{Cause: err, Outcome: galenastair.Unknown}
 }
 
-// retrySeconds rounds up, so that a client does not retry too early.
+// retrySeconds rounds up, so that a caller does not retry too early.
 func retrySeconds(d time.Duration) int {
 	return int(math.Ceil(d.Seconds()))
 }
--- a/caller/error_test.go
+++ b/caller/error_test.go
@@ -78,7 +78,7 @@
 	is.Equal(g.body, `{"object":"list","data":[{"id":"model-1","object":"model"},{"id":"adapter-1","object":"model"}]}`+"\n")
 }
 
-// Requests with the same X-Request-Id must get different internal IDs: a client may
+// Requests with the same X-Request-Id must get different internal IDs: a caller may
 // repeat the header when it retries, or two organisations may both count from 1. With
 // one ID, a stream resumed at an engine would continue with the other's response.
 func TestInternalIDsAreUnique(t *testing.T) {
--- a/caller/handler.go
+++ b/caller/handler.go
@@ -33,7 +33,7 @@
 	Models(key galenastair.KeyHash) ([]galenastair.ModelName, error)
 }
 
-// Handler is the HTTP handler of the clients' API.
+// Handler is the HTTP handler of the callers' API.
 type Handler struct {
 	server Server
 	limits Limits
--- a/caller/object.go
+++ b/caller/object.go
@@ -9,7 +9,7 @@
 // duplicate fields applies.
 //
 // encoding/json accepts "N" for "n", but engines do not. A body with both would be
-// charged for one value and executed with the other, so that the client receives more
+// charged for one value and executed with the other, so that the caller receives more
 // than it is charged for. Names that differ from a known name only by case are
 // therefore rejected, and the engine receives exactly the fields that were parsed.
 type object map[string]json.RawMessage
--- a/caller/service.go
+++ b/caller/service.go
@@ -86,7 +86,7 @@
 }
 
 // copyResponse forwards the response of a service. If it is truncated, the connection
-// is aborted, so that the client does not take it for complete.
+// is aborted, so that the caller does not take it for complete.
 func copyResponse(w http.ResponseWriter, r *http.Request, answer galenastair.ServiceAnswer) {
 	for name, values := range forwardedHeaders(answer.Header) {
 		if name == headerRequestID {
--- a/caller/stream.go
+++ b/caller/stream.go
@@ -91,7 +91,7 @@
 
 // writeFailure sends an error: as an error response if nothing was sent yet, else as
 // an error event. In the second case it returns true and the connection must be
-// aborted: a client that ignores the event would take a body that ends normally for
+// aborted: a caller that ignores the event would take a body that ends normally for
 // a complete response.
 func (s *streamWriter) writeFailure(id galenastair.RequestID, r *galenastair.Refusal) bool {
 	s.mu.Lock()
--- a/explain/losses.go
+++ b/explain/losses.go
@@ -42,7 +42,7 @@
 	RefusedTokens  map[time.Time]float64
 }
 
-// failureInterval is the interval by which failures are counted. A change of owner or a model
+// failureInterval is the interval by which failures are counted. A change of leader or a model
 // load takes several intervals, so the counts show how long its effect lasted.
 const failureInterval = 2 * time.Second
 
--- a/operator/doc.go
+++ b/operator/doc.go
@@ -1,5 +1,5 @@
 // Package operator serves the operators' HTTP endpoints: /healthz (liveness), /readyz
 // (readiness), /metrics (Prometheus text format) and /status (a JSON object, see
-// Status). They have a port of their own, so that clients cannot access them and API
+// Status). They have a port of their own, so that callers cannot access them and API
 // keys are never sent to them.
 package operator
--- a/operator/metrics.go
+++ b/operator/metrics.go
@@ -75,7 +75,7 @@
 }
 
 // isSystemFailure reports whether a request failed because of this system, and not
-// because of the client's key, contract, rate or the form of the request.
+// because of the caller's key, contract, rate or the form of the request.
 func isSystemFailure(c galenastair.Code) bool {
 	switch c {
 	case "RateUnavailable", "Overloaded", "NoBackendServer", "NotMember", "Stopping", "ClaimUnavailable",
--- a/proof/check_backend.go
+++ b/proof/check_backend.go
@@ -98,7 +98,7 @@
 			}
 			res.Checks++
 			delay := r.At.Sub(f.Start)
-			// entries learn that a server is leaving from the instance list alone, so a frozen list excuses them
+			// Entries learn that a server is leaving from the instance list alone, so a frozen list excuses them
 			if delay > b.RequestAfterLeaving && !faultDuring(h, f.Start, r.At, ListFrozen) {
 				res.violationf("%s received %s %s after it began to leave", f.Target, r.Request, delay)
 			}
--- a/proof/check_config.go
+++ b/proof/check_config.go
@@ -62,7 +62,7 @@
 				res.violationf("%s had not applied revision %d %s after its acceptance", s.Entry, c.Offset, delay.Round(time.Millisecond))
 			}
 		}
-		// contracts published at the start of a run precede the first status sample and can't be timed
+		// Contracts published at the start of a run precede the first status sample and can't be timed
 		if c.End.After(h.StatusSamples[0].At) {
 			delays = append(delays, slowestPropagation(h, first, c))
 		}
--- a/proof/check_test.go
+++ b/proof/check_test.go
@@ -104,7 +104,7 @@
 		StatusSamples: []StatusSample{{Entry: "entry-1", At: at(4), Ready: true, ConfigurationOffset: 5}},
 	}
 	is.Equal(len(violations(&late, nil, ConfigurationConsistent)), 1)
-	// an entry without a connection to the log has more time, as it gets the change from its peers
+	// An entry without a connection to the log has more time, as it gets the change from its peers
 	late.Faults = []Fault{{Kind: CutFromLog, Target: "entry-1", Start: at(0), End: at(3)}}
 	is.Equal(len(violations(&late, nil, ConfigurationConsistent)), 0)
 	twice := History{Changes: []Change{
--- a/proof/inject.go
+++ b/proof/inject.go
@@ -131,7 +131,7 @@
 	case ServiceLosesReply:
 		return service.Name, setSwitchesFor(service.ListenAddress, p.duration, switchValues{"LoseAnswers": true}, switchValues{"LoseAnswers": false})
 	default:
-		return "", fmt.Errorf("unknown fault kind: %s", p.kind)
+		return "", fmt.Errorf("no such fault: %s", p.kind)
 	}
 }
 
@@ -156,7 +156,7 @@
 		return err
 	}
 	if !waitExit(pid, stopTimeout) {
-		return fmt.Errorf("%s did not exit within %s of SIGTERM", name, stopTimeout)
+		return fmt.Errorf("%s has not stopped within %s", name, stopTimeout)
 	}
 	return nil
 }
--- a/proof/observe.go
+++ b/proof/observe.go
@@ -79,7 +79,7 @@
 }
 
 func (o *observer) sampleStatus(ctx context.Context, e Entry) {
-	// taken before the request: a change that the status lacks had not been applied at this time
+	// Taken before the request: a change that the status lacks had not been applied at this time
 	at := time.Now()
 	var s operator.Status
 	if o.getJSON(ctx, "http://"+e.OperatorAddress+"/status", &s) != nil {
--- a/proof/switches.go
+++ b/proof/switches.go
@@ -19,7 +19,7 @@
 	resetRetryDelay = 100 * time.Millisecond
 )
 
-var errSwitchRejected = eris.New("stand-in rejected the switch")
+var errSwitchRejected = eris.New("the stand-in did not take the switch")
 
 // switchValues has new values of switches by name; other switches keep theirs.
 type switchValues map[string]any
--- a/refusal.go
+++ b/refusal.go
@@ -9,7 +9,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Causes of a Refusal. Test for them with errors.Is. Clients receive their texts in the
+// Causes of a Refusal. Test for them with errors.Is. Callers receive their texts in the
 // response body.
 var (
 	ErrKeyMissing         = eris.New("no key came with the request")
@@ -36,7 +36,7 @@
 	ErrConfiguration      = eris.New("no configuration is in force yet")
 )
 
-// Code identifies a cause in responses to clients and is stable across versions.
+// Code identifies a cause in responses to callers and is stable across versions.
 type Code string
 
 type causeInfo struct {
@@ -71,8 +71,8 @@
 	{ErrConfiguration, "NoConfiguration", http.StatusServiceUnavailable},
 }
 
-// Refusal is an error that is returned to the client: its cause, whether the request has run, and
-// when the client may retry.
+// Refusal is an error that is returned to the caller: its cause, whether the request has run, and
+// when the caller may retry.
 type Refusal struct {
 	Cause      error
 	Outcome    Outcome
@@ -86,8 +86,8 @@
 }
 
 // WithOutcome returns the refusal with the outcome that the request has reached. If a key is
-// withdrawn during the response, for example, the request has run. The outcome NotRun
-// would make the client send it again.
+// withdrawn during the response, for example, the request has run. OutcomeNotRun
+// would make the caller send it again.
 func (r *Refusal) After(o Outcome) *Refusal {
 	if r.Outcome != NotRun || o == NotRun {
 		return r
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -36,8 +36,9 @@
 	// PeerListenAddress is the address at which it listens for the other instances. It
 	// defaults to PeerAddress.
 	PeerListenAddress string
-	// HistoryPath is a file to which each grant and the end of each request are written,
-	// so that tests can check them. No file is written if it is empty.
+	// HistoryPath is a file to which the tokens granted to each request are written, when it
+	// is charged and again when it is settled, so that tests can check them. No file is
+	// written if it is empty.
 	HistoryPath string
 }
 
@@ -53,7 +54,7 @@
 	Retention time.Duration
 }
 
-// Engines holds the settings for connections to the model engines.
+// Engines holds the settings for the model engines and the connections to them.
 type Engines struct {
 	// CheckFence lists the engines that reject an order with an old fencing token.
 	CheckFence []galenastair.BackendServerID
--- a/standin/metastore/log.go
+++ b/standin/metastore/log.go
@@ -71,8 +71,8 @@
 }
 
 // appendIdempotent appends records. If the request names a producer, a repeated sequence
-// number appends nothing and returns the offset of the first write, and an older epoch is
-// fenced off.
+// number appends nothing and returns the offset of the first write, and an older epoch or
+// a gap in the sequence numbers is refused.
 func (s *Store) appendIdempotent(r *http.Request, records [][]byte) (int64, map[string]any) {
 	name, topic := r.URL.Query().Get("producer"), r.URL.Query().Get("topic")
 	if name == "" {
