--- a/backend.go
+++ b/backend.go
@@ -15,20 +15,20 @@
 
 // RequestHints describe a request for routing and admission. They come from the caller and
 // don't change the meaning of the request.
-type Hints struct {
+type RequestHints struct {
 	// Model is the model or adapter that the request needs; empty for a plain service.
 	Model ModelName
 	// PromptTokens and OutputTokens are valid only if HasTokenCounts is set, as the caller
 	// may send no counts.
-	Prompt  Tokens
-	Output  Tokens
-	Counted bool
+	PromptTokens   Tokens
+	OutputTokens   Tokens
+	HasTokenCounts bool
 	// PromptParts lists the parts in the order in which they appear in the prompt.
-	Parts []PromptPart
+	PromptParts []PromptPart
 }
 
 // BackendRequest is a request to a backend server.
-type BackendCall struct {
+type BackendRequest struct {
 	ID     RequestID
 	Method string
 	// Target is the path and query, byte for byte as received from the caller.
@@ -38,37 +38,37 @@
 	Body   []byte
 	// ExpectedServer is the only backend server that may run the request. Another one that
 	// has taken over the address must decline it.
-	Expect       BackendServerID
-	Organisation Organisation
+	ExpectedServer BackendServerID
+	Organisation   Organisation
 	// Timeout is the remaining time until the caller's deadline.
-	Left time.Duration
+	Timeout time.Duration
 	// Priority orders queued requests; 0 is the highest priority and a negative value means
 	// that none is sent.
 	Priority int
 	// LastEventID is the ID of the last event that the caller has received. If it is empty,
 	// the stream starts at the first event.
-	After string
+	LastEventID string
 	// ShouldSend is called once a connection is available. If it returns false, the request
 	// is not sent. A nil function means that the request is always sent.
-	Usable func() bool
+	ShouldSend func() bool
 }
 
 // BackendResponse is the header of a backend server's response and a reader of its body.
 // Body returns io.EOF only at the end of the message according to the HTTP framing, and
 // ErrResponseTruncated if the connection ends before. Closing Body early closes the
 // connection, which makes the backend server cancel the request.
-type BackendAnswer struct {
+type BackendResponse struct {
 	Status int
 	Header http.Header
 	// Declined reports whether the backend server stated that it did not run the request.
 	Declined bool
 	// Misdirected reports whether the request reached the wrong backend server: another
 	// one has the address, or the model is not loaded.
-	Elsewhere bool
+	Misdirected bool
 	// RateLimit is the number of requests per second that the backend server accepts from
 	// all instances together; 0 if it sent no limit.
-	Limit float64
-	Body  io.ReadCloser
+	RateLimit float64
+	Body      io.ReadCloser
 }
 
 // Backend sends requests to backend servers. It never retries a request.
@@ -78,7 +78,7 @@
 // ErrProgressTimeout if no response came in time, and ErrResponseTruncated or
 // ErrInvalidResponse if the response was incomplete or not one to this request.
 type Backend interface {
-	Call(ctx context.Context, address string, c BackendCall) (*BackendAnswer, error)
+	Call(ctx context.Context, address string, c BackendRequest) (*BackendResponse, error)
 }
 
 // EngineState is the state that a model engine reports.
@@ -87,14 +87,14 @@
 	Sequence int64
 	// Busy reports whether the engine is executing an order.
 	Busy   bool
-	Models []EngineModel
+	Models []LoadedModel
 	// LoadingAdapters lists the adapters that are being loaded, as MODEL/ADAPTER.
-	Fetching []ModelName
+	LoadingAdapters []ModelName
 }
 
 // LoadedModel is a loaded model with its loaded adapters. The names of the adapters have no
 // MODEL/ prefix.
-type EngineModel struct {
+type LoadedModel struct {
 	Name     ModelName
 	Adapters []string
 }
@@ -106,33 +106,33 @@
 	Adapter string
 	// ExpectedSequence must equal EngineState.Sequence, otherwise the engine refuses the
 	// order. Without this check, a delayed order could take effect after a newer one.
-	Sequence int64
+	ExpectedSequence int64
 	// Holder is the ID of the leader that sends the order.
 	Holder string
 	Fence  Fence
 	// ExpectedServer is the only backend server that may execute the order.
-	Expect BackendServerID
+	ExpectedServer BackendServerID
 }
 
 // OrderResult is an engine's response to an order.
-type OrderAnswer int
+type OrderResult int
 
 // Results of an order.
 const (
 	// OrderAccepted means that the engine is executing the order.
-	OrderAccepted OrderAnswer = iota
+	OrderAccepted OrderResult = iota
 	// OrderDone means that the engine had already been in the requested state, or has
 	// executed the order immediately.
-	OrderHeld
+	OrderDone
 	// OrderConflict means that another order is being executed, or that
 	// EngineOrder.ExpectedSequence does not match.
-	OrderBusy
+	OrderConflict
 	// OrderStaleFence means that another holder has used a higher fencing token.
-	OrderFenced
+	OrderStaleFence
 	// OrderMisdirected means that another backend server has the address.
-	OrderGone
+	OrderMisdirected
 	// OrderInvalid means that the engine can't parse or execute the order.
-	OrderWrong
+	OrderInvalid
 )
 
 // EngineControl sends orders to model engines and reads their state.
@@ -140,5 +140,5 @@
 	State(ctx context.Context, address string, id BackendServerID) (EngineState, error)
 	// SendOrder returns an error if it got no response. The order may then still take
 	// effect, even seconds later.
-	Order(ctx context.Context, address string, o EngineOrder) (OrderAnswer, error)
+	SendOrder(ctx context.Context, address string, o EngineOrder) (OrderResult, error)
 }
--- a/caller/answer_test.go
+++ b/caller/answer_test.go
@@ -17,7 +17,7 @@
 	usageEvent = `{"id":"r","model":"model-1","choices":[],"usage":{"prompt_tokens":3,"completion_tokens":2}}`
 )
 
-var errTruncated = &galenastair.Refusal{Cause: galenastair.ErrAnswerCut, Outcome: galenastair.Ran}
+var errTruncated = &galenastair.Refusal{Cause: galenastair.ErrResponseTruncated, Outcome: galenastair.OutcomeRan}
 
 // The engine fails after the first token. The caller must receive an error event, and
 // a caller that ignores the event must still detect the truncation: the connection is
@@ -34,7 +34,7 @@
 	g.body = strings.TrimPrefix(events[1], "data: ")
 	e := g.decodeError(t)
 	is.Equal(e.Code, galenastair.Code("AnswerCut"))
-	is.Equal(e.Outcome, galenastair.Ran)
+	is.Equal(e.Outcome, galenastair.OutcomeRan)
 	is.Equal(e.RequestID, galenastair.RequestID("note-7"))
 }
 
@@ -126,7 +126,7 @@
 			is.NoErr(err)
 			is.True(!r.Complete)
 			is.Equal(r.Code, galenastair.Code("AnswerCut"))
-			is.Equal(r.Outcome, galenastair.Ran)
+			is.Equal(r.Outcome, galenastair.OutcomeRan)
 		})
 	}
 }
--- a/caller/ask.go
+++ b/caller/ask.go
@@ -97,7 +97,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return r, r.readError(resp.Body)
 	}
-	r.Outcome = galenastair.Ran
+	r.Outcome = galenastair.OutcomeRan
 	switch {
 	case request.Service != "":
 		r.readText(resp.Body)
@@ -164,7 +164,7 @@
 func (r *Response) setError(raw []byte) {
 	var e errorBody
 	if json.Unmarshal(raw, &e) != nil || e.Error.Code == "" {
-		r.Outcome = galenastair.Unknown
+		r.Outcome = galenastair.OutcomeUnknown
 		r.Text = string(raw)
 		return
 	}
@@ -179,7 +179,7 @@
 func (r *Response) readNonStreamed(body io.Reader) {
 	var a responseBody
 	if err := json.NewDecoder(body).Decode(&a); err != nil || len(a.Choices) == 0 {
-		r.Outcome = galenastair.Unknown
+		r.Outcome = galenastair.OutcomeUnknown
 		return
 	}
 	_ = json.Unmarshal(a.Usage, &r.Usage)
--- a/caller/error.go
+++ b/caller/error.go
@@ -33,12 +33,12 @@
 		return r
 	}
 	if errors.Is(err, galenastair.ErrBadRequest) || errors.Is(err, galenastair.ErrTooLarge) || errors.Is(err, galenastair.ErrKeyMissing) || errors.Is(err, galenastair.ErrNotFound) {
-		return galenastair.Refuse(err, 0, "")
+		return galenastair.NewRefusal(err, 0, "")
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
-		return &galenastair.Refusal{Cause: galenastair.ErrTimeout, Outcome: galenastair.Unknown}
+		return &galenastair.Refusal{Cause: galenastair.ErrTimeout, Outcome: galenastair.OutcomeUnknown}
 	}
-	return &galenastair.Refusal{Cause: err, Outcome: galenastair.Unknown}
+	return &galenastair.Refusal{Cause: err, Outcome: galenastair.OutcomeUnknown}
 }
 
 // retrySeconds rounds up, so that a caller does not retry too early.
--- a/caller/error_test.go
+++ b/caller/error_test.go
@@ -29,23 +29,23 @@
 		outcome            galenastair.Outcome
 		retry              string
 	}{
-		"path":        {"GET", "/nothing", "", nil, nil, 404, "NotFound", galenastair.NotRun, ""},
-		"method":      {"GET", "/v1/completions", "", nil, nil, 404, "NotFound", galenastair.NotRun, ""},
-		"method 2":    {"PUT", "/v1/models", "", nil, nil, 404, "NotFound", galenastair.NotRun, ""},
-		"method 3":    {"DELETE", "/v1/chat/completions", "", nil, nil, 404, "NotFound", galenastair.NotRun, ""},
-		"scheme":      {"GET", "/v1/models", "", []string{"Authorization", "Basic eA=="}, nil, 401, "KeyMissing", galenastair.NotRun, ""},
-		"no key":      {"POST", "/v1/completions", "{}", []string{"Authorization", "Bearer  "}, nil, 401, "KeyMissing", galenastair.NotRun, ""},
-		"other key":   {"GET", "/v1/models", "", []string{"Authorization", "Bearer other"}, nil, 401, "KeyUnknown", galenastair.NotRun, ""},
-		"no JSON":     {"POST", "/v1/completions", "{", nil, nil, 400, "BadRequest", galenastair.NotRun, ""},
-		"large":       {"POST", "/v1/completions", long, nil, nil, 413, "TooLarge", galenastair.NotRun, ""},
-		"large call":  {"POST", "/services/bids", long, nil, nil, 413, "TooLarge", galenastair.NotRun, ""},
-		"idempotency": {"POST", "/services/bids", "", []string{"Idempotency-Key", "two words"}, nil, 400, "BadRequest", galenastair.NotRun, ""},
+		"path":        {"GET", "/nothing", "", nil, nil, 404, "NotFound", galenastair.OutcomeNotRun, ""},
+		"method":      {"GET", "/v1/completions", "", nil, nil, 404, "NotFound", galenastair.OutcomeNotRun, ""},
+		"method 2":    {"PUT", "/v1/models", "", nil, nil, 404, "NotFound", galenastair.OutcomeNotRun, ""},
+		"method 3":    {"DELETE", "/v1/chat/completions", "", nil, nil, 404, "NotFound", galenastair.OutcomeNotRun, ""},
+		"scheme":      {"GET", "/v1/models", "", []string{"Authorization", "Basic eA=="}, nil, 401, "KeyMissing", galenastair.OutcomeNotRun, ""},
+		"no key":      {"POST", "/v1/completions", "{}", []string{"Authorization", "Bearer  "}, nil, 401, "KeyMissing", galenastair.OutcomeNotRun, ""},
+		"other key":   {"GET", "/v1/models", "", []string{"Authorization", "Bearer other"}, nil, 401, "KeyUnknown", galenastair.OutcomeNotRun, ""},
+		"no JSON":     {"POST", "/v1/completions", "{", nil, nil, 400, "BadRequest", galenastair.OutcomeNotRun, ""},
+		"large":       {"POST", "/v1/completions", long, nil, nil, 413, "TooLarge", galenastair.OutcomeNotRun, ""},
+		"large call":  {"POST", "/services/bids", long, nil, nil, 413, "TooLarge", galenastair.OutcomeNotRun, ""},
+		"idempotency": {"POST", "/services/bids", "", []string{"Idempotency-Key", "two words"}, nil, 400, "BadRequest", galenastair.OutcomeNotRun, ""},
 		"rate": {
 			"POST", "/v1/completions", `{"model":"m","prompt":"p"}`, nil,
-			galenastair.Refuse(galenastair.ErrRateExceeded, 1200*time.Millisecond, ""), 429, "RateExceeded", galenastair.NotRun, "2",
+			galenastair.NewRefusal(galenastair.ErrRateExceeded, 1200*time.Millisecond, ""), 429, "RateExceeded", galenastair.OutcomeNotRun, "2",
 		},
-		"timeout": {"POST", "/services/bids", "", nil, context.DeadlineExceeded, 504, "Timeout", galenastair.Unknown, ""},
-		"unknown": {"POST", "/services/bids", "", nil, errors.New("odd"), 500, "Internal", galenastair.Unknown, ""},
+		"timeout": {"POST", "/services/bids", "", nil, context.DeadlineExceeded, 504, "Timeout", galenastair.OutcomeUnknown, ""},
+		"unknown": {"POST", "/services/bids", "", nil, errors.New("odd"), 500, "Internal", galenastair.OutcomeUnknown, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -83,7 +83,7 @@
 // one ID, a stream resumed at an engine would continue with the other's response.
 func TestInternalIDsAreUnique(t *testing.T) {
 	is := is.New(t)
-	s := &fakeServer{err: galenastair.Refuse(galenastair.ErrOverloaded, 0, "")}
+	s := &fakeServer{err: galenastair.NewRefusal(galenastair.ErrOverloaded, 0, "")}
 	x := newTestServer(t, s)
 	for range 2 {
 		x.chat("", headerRequestID, "1~2")
--- a/caller/fake_test.go
+++ b/caller/fake_test.go
@@ -22,7 +22,7 @@
 	events   []string
 	complete bool
 	err      error
-	answer   galenastair.ServiceAnswer
+	answer   galenastair.ServiceResponse
 
 	completions []request.Call
 	services    []request.ServiceCall
@@ -32,7 +32,7 @@
 	s.completions = append(s.completions, c)
 	for i, e := range s.events {
 		if err := sink.WriteChunk(galenastair.Chunk{Sequence: int64(i + 1), Data: []byte(e)}); err != nil {
-			return &galenastair.Refusal{Cause: galenastair.ErrAnswerCut, Outcome: galenastair.Ran}
+			return &galenastair.Refusal{Cause: galenastair.ErrResponseTruncated, Outcome: galenastair.OutcomeRan}
 		}
 	}
 	if s.complete {
@@ -41,14 +41,14 @@
 	return s.err
 }
 
-func (s *fakeServer) CallService(_ context.Context, c request.ServiceCall) (galenastair.ServiceAnswer, error) {
+func (s *fakeServer) CallService(_ context.Context, c request.ServiceCall) (galenastair.ServiceResponse, error) {
 	s.services = append(s.services, c)
 	return s.answer, s.err
 }
 
 func (s *fakeServer) Models(k galenastair.KeyHash) ([]galenastair.ModelName, error) {
 	if k != galenastair.HashKey(testKey) {
-		return nil, galenastair.Refuse(galenastair.ErrKeyUnknown, 0, "")
+		return nil, galenastair.NewRefusal(galenastair.ErrKeyUnknown, 0, "")
 	}
 	return []galenastair.ModelName{"model-1", "adapter-1"}, nil
 }
--- a/caller/handler.go
+++ b/caller/handler.go
@@ -29,7 +29,7 @@
 // Server processes the requests that the handler has validated.
 type Server interface {
 	Complete(ctx context.Context, c request.Call, sink request.ResponseWriter) error
-	CallService(ctx context.Context, c request.ServiceCall) (galenastair.ServiceAnswer, error)
+	CallService(ctx context.Context, c request.ServiceCall) (galenastair.ServiceResponse, error)
 	Models(key galenastair.KeyHash) ([]galenastair.ModelName, error)
 }
 
@@ -192,7 +192,7 @@
 		return
 	}
 	if !response.done {
-		writeError(w, requestIDFrom(ctx), &galenastair.Refusal{Cause: galenastair.ErrAnswerCut, Outcome: galenastair.Ran})
+		writeError(w, requestIDFrom(ctx), &galenastair.Refusal{Cause: galenastair.ErrResponseTruncated, Outcome: galenastair.OutcomeRan})
 		return
 	}
 	_ = response.write(w)
--- a/caller/service.go
+++ b/caller/service.go
@@ -53,7 +53,7 @@
 	}
 	name := mux.Vars(r)["name"]
 	return request.ServiceCall{
-		ServiceCall: galenastair.ServiceCall{
+		ServiceRequest: galenastair.ServiceRequest{
 			ID:     newInternalID(requestIDFrom(r.Context())),
 			Method: r.Method,
 			Path:   strings.TrimPrefix(r.URL.EscapedPath(), "/services/"+name),
@@ -87,7 +87,7 @@
 
 // copyResponse forwards the response of a service. If it is truncated, the connection
 // is aborted, so that the caller does not take it for complete.
-func copyResponse(w http.ResponseWriter, r *http.Request, answer galenastair.ServiceAnswer) {
+func copyResponse(w http.ResponseWriter, r *http.Request, answer galenastair.ServiceResponse) {
 	for name, values := range forwardedHeaders(answer.Header) {
 		if name == headerRequestID {
 			continue
@@ -96,15 +96,15 @@
 	}
 	if r.Method == http.MethodHead {
 		// Content-Length is that of the response to a GET; no body follows.
-		if answer.Length >= 0 {
-			w.Header().Set("Content-Length", strconv.FormatInt(answer.Length, 10))
+		if answer.ContentLength >= 0 {
+			w.Header().Set("Content-Length", strconv.FormatInt(answer.ContentLength, 10))
 		}
 		w.WriteHeader(answer.Status)
 		return
 	}
 	w.WriteHeader(answer.Status)
 	n, err := io.Copy(w, answer.Body)
-	if err != nil || (answer.Length >= 0 && n != answer.Length) {
+	if err != nil || (answer.ContentLength >= 0 && n != answer.ContentLength) {
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/caller/service_test.go
+++ b/caller/service_test.go
@@ -11,12 +11,12 @@
 	"galenastair"
 )
 
-func serviceAnswer(body string, length int64) galenastair.ServiceAnswer {
-	return galenastair.ServiceAnswer{
-		Status: http.StatusCreated,
-		Header: http.Header{"X-Lot": {"3"}, "Connection": {"close"}, headerRequestID: {"the service's own"}},
-		Body:   io.NopCloser(strings.NewReader(body)),
-		Length: length,
+func serviceAnswer(body string, length int64) galenastair.ServiceResponse {
+	return galenastair.ServiceResponse{
+		Status:        http.StatusCreated,
+		Header:        http.Header{"X-Lot": {"3"}, "Connection": {"close"}, headerRequestID: {"the service's own"}},
+		Body:          io.NopCloser(strings.NewReader(body)),
+		ContentLength: length,
 	}
 }
 
@@ -52,7 +52,7 @@
 // the response to a HEAD, which has a Content-Length and no body.
 func TestServiceResponses(t *testing.T) {
 	is := is.New(t)
-	call := func(method string, a galenastair.ServiceAnswer) testResponse {
+	call := func(method string, a galenastair.ServiceResponse) testResponse {
 		return newTestServer(t, &fakeServer{answer: a}).do(method, "/services/bids/lots", "")
 	}
 	is.True(call(http.MethodGet, serviceAnswer("half", 8)).connErr != nil)
--- a/claim/attempt.go
+++ b/claim/attempt.go
@@ -55,7 +55,7 @@
 }
 
 // isReleased reports whether the attempt no longer holds its key.
-func (a *Attempt) isReleased() bool { return a.State == galenastair.NotRun }
+func (a *Attempt) isReleased() bool { return a.State == galenastair.OutcomeNotRun }
 
 // settle sets the outcome that the sender reported. The retention of a released attempt starts now.
 func (a *Attempt) settle(now time.Time, o galenastair.Outcome) {
--- a/claim/begin.go
+++ b/claim/begin.go
@@ -60,7 +60,7 @@
 
 func (m *Manager) begin(ctx context.Context, a Attempt) error {
 	if !m.assignment.HoldsLease(m.clock.Now()) {
-		return galenastair.Refuse(galenastair.ErrNotMember, unavailableRetryAfter, "")
+		return galenastair.NewRefusal(galenastair.ErrNotMember, unavailableRetryAfter, "")
 	}
 	if err := m.openLocally(a); err != nil {
 		return err
@@ -68,10 +68,10 @@
 	err := m.acquire(ctx, a)
 	if err == nil && !m.assignment.HoldsLease(m.clock.Now()) {
 		// After a pause longer than the lease, the key may have a new owner that has not asked this instance.
-		err = galenastair.Refuse(galenastair.ErrNotMember, unavailableRetryAfter, "")
+		err = galenastair.NewRefusal(galenastair.ErrNotMember, unavailableRetryAfter, "")
 	}
 	if err != nil {
-		m.finish(a.Key, a.ID, galenastair.NotRun)
+		m.finish(a.Key, a.ID, galenastair.OutcomeNotRun)
 	}
 	return err
 }
@@ -112,7 +112,7 @@
 // unavailable returns a refusal whose detail is sent to other instances and to callers. The
 // details call the owner of an idempotency key its home.
 func unavailable(detail string) error {
-	return galenastair.Refuse(galenastair.ErrClaimUnavailable, unavailableRetryAfter, detail)
+	return galenastair.NewRefusal(galenastair.ErrClaimUnavailable, unavailableRetryAfter, detail)
 }
 
 func (m *Manager) requestGrant(ctx context.Context, owner galenastair.Peer, a Attempt) error {
@@ -182,7 +182,7 @@
 	}
 	return &galenastair.Refusal{
 		Cause:      galenastair.ErrClaimUnavailable,
-		Outcome:    galenastair.NotRun,
+		Outcome:    galenastair.OutcomeNotRun,
 		RetryAfter: unavailableRetryAfter,
 		Detail:     err.Error(),
 	}
--- a/claim/history/check.go
+++ b/claim/history/check.go
@@ -52,7 +52,7 @@
 		switch {
 		case !c.Finished:
 			return state == free, claimed
-		case c.Outcome == galenastair.NotRun:
+		case c.Outcome == galenastair.OutcomeNotRun:
 			return state == claimed, free
 		default:
 			return state == claimed, consumed
--- a/claim/history_test.go
+++ b/claim/history_test.go
@@ -54,7 +54,7 @@
 		return
 	}
 	call.Finished = true
-	call.Outcome = []galenastair.Outcome{galenastair.NotRun, galenastair.NotRun, galenastair.Ran, galenastair.Unknown}[r.cluster.randomInt(4)]
+	call.Outcome = []galenastair.Outcome{galenastair.OutcomeNotRun, galenastair.OutcomeNotRun, galenastair.OutcomeRan, galenastair.OutcomeUnknown}[r.cluster.randomInt(4)]
 	r.record(call, func() bool {
 		c.Finish(call.Outcome)
 		return true
--- a/claim/keeper_test.go
+++ b/claim/keeper_test.go
@@ -79,20 +79,20 @@
 	first, err := c.nodes[0].begin("bid", "d", "1")
 	is.NoErr(err)
 	_, err = c.nodes[1].begin("bid", "d", "2")
-	is.True(errors.Is(err, galenastair.ErrDuplicateUnsettled))
-	is.Equal(refusalOf(t, err).Outcome, galenastair.Unknown)
+	is.True(errors.Is(err, galenastair.ErrDuplicateInProgress))
+	is.Equal(refusalOf(t, err).Outcome, galenastair.OutcomeUnknown)
 	_, err = c.nodes[1].begin("bid", "other", "3")
 	is.True(errors.Is(err, galenastair.ErrBadRequest))
-	first.Finish(galenastair.NotRun)
+	first.Finish(galenastair.OutcomeNotRun)
 	c.catchUp()
 	again, err := c.nodes[2].begin("bid", "d", "4")
 	is.NoErr(err)
-	again.Finish(galenastair.Ran)
+	again.Finish(galenastair.OutcomeRan)
 	c.catchUp()
 	for _, n := range c.nodes {
 		_, err = n.begin("bid", "d", "5")
 		is.True(errors.Is(err, galenastair.ErrDuplicate))
-		is.Equal(refusalOf(t, err).Outcome, galenastair.Ran)
+		is.Equal(refusalOf(t, err).Outcome, galenastair.OutcomeRan)
 	}
 }
 
@@ -109,7 +109,7 @@
 	for _, n := range c.runningNodes() {
 		_, err = n.begin(key, "d", "2")
 		is.True(errors.Is(err, galenastair.ErrDuplicate))
-		is.Equal(refusalOf(t, err).Outcome, galenastair.Unknown)
+		is.Equal(refusalOf(t, err).Outcome, galenastair.OutcomeUnknown)
 	}
 }
 
@@ -139,7 +139,7 @@
 	c.firstNodeIncarnation = 1
 	_, err = c.nodes[1].begin("bid", "d", "2")
 	is.True(errors.Is(err, galenastair.ErrDuplicate))
-	is.Equal(refusalOf(t, err).Outcome, galenastair.Unknown)
+	is.Equal(refusalOf(t, err).Outcome, galenastair.OutcomeUnknown)
 }
 
 // The sender of a bid dies and its copy is stored on a third instance, which loses it by a
@@ -202,7 +202,7 @@
 	key := c.keyOwnedBy(c.nodes[1], lapsed, c.nodes[2])
 	_, err := lapsed.begin(key, "d", "1")
 	is.True(errors.Is(err, galenastair.ErrClaimUnavailable))
-	is.Equal(refusalOf(t, err).Outcome, galenastair.NotRun)
+	is.Equal(refusalOf(t, err).Outcome, galenastair.OutcomeNotRun)
 }
 
 // An instance in an old epoch asks an instance that no longer owns the key.
@@ -219,7 +219,7 @@
 	is := is.New(t)
 	_, err := newConvergedCluster(1).nodes[0].begin("bid", "d", "1")
 	is.True(errors.Is(err, galenastair.ErrClaimUnavailable))
-	is.Equal(refusalOf(t, err).Outcome, galenastair.NotRun)
+	is.Equal(refusalOf(t, err).Outcome, galenastair.OutcomeNotRun)
 }
 
 // Messages about an attempt arrive in any order. Fails if settle lets Open replace an outcome,
@@ -231,7 +231,7 @@
 	table := NewTable()
 	open := Attempt{Key: "k", ID: AttemptID{"a", "1"}, Digest: "d", State: Open, StartedAt: now}
 	free, ran := open, open
-	free.State, ran.State = galenastair.NotRun, galenastair.Ran
+	free.State, ran.State = galenastair.OutcomeNotRun, galenastair.OutcomeRan
 	table.Merge(now, free)
 	table.Merge(now, open)
 	is.Equal(table.Open(now, open, always), errAlreadySettled)
@@ -243,7 +243,7 @@
 	table.Merge(now, second)
 	third := open
 	third.ID.Request = "3"
-	is.Equal(refusalOf(t, table.Open(now, third, always)).Outcome, galenastair.Ran)
+	is.Equal(refusalOf(t, table.Open(now, third, always)).Outcome, galenastair.OutcomeRan)
 	is.NoErr(table.Open(now.Add(Lifetime), third, always))
 	is.Equal(table.Len(), 1)
 }
@@ -261,7 +261,7 @@
 	there.RecordRemoteCrash(now, announced[0])
 	is.NoErr(there.Allow(now, "d"))
 	is.True(!there.RecordCrash(now, "d"))
-	is.True(errors.Is(there.Allow(now, "d"), galenastair.ErrPoison))
+	is.True(errors.Is(there.Allow(now, "d"), galenastair.ErrPoisonRequest))
 	is.NoErr(there.Allow(now, "e"))
 	is.NoErr(there.Allow(now.Add(defaultRefusalDuration), "d"))
 	for i := range maxPoisonEntries + 10 {
@@ -283,6 +283,6 @@
 	_, err := c.nodes[0].begin("bid", "d", "1")
 	is.NoErr(err)
 	_, err = c.nodes[1].begin("bid", "d", "2")
-	is.True(errors.Is(err, galenastair.ErrDuplicateUnsettled))
+	is.True(errors.Is(err, galenastair.ErrDuplicateInProgress))
 	is.Equal(refusalOf(t, err).RetryAfter, unsettledRetryAfter)
 }
--- a/claim/message.go
+++ b/claim/message.go
@@ -64,10 +64,10 @@
 // toState decodes a state. An unrecognised state becomes Unknown, since the request may have run.
 func toState(s string) galenastair.Outcome {
 	switch o := galenastair.Outcome(s); o {
-	case Open, galenastair.NotRun, galenastair.Ran:
+	case Open, galenastair.OutcomeNotRun, galenastair.OutcomeRan:
 		return o
 	default:
-		return galenastair.Unknown
+		return galenastair.OutcomeUnknown
 	}
 }
 
--- a/claim/poison.go
+++ b/claim/poison.go
@@ -67,7 +67,7 @@
 	if !ok || !now.Before(s.expiresAt) || s.count < p.maxCrashes {
 		return nil
 	}
-	return galenastair.Refuse(galenastair.ErrPoison, s.expiresAt.Sub(now), "")
+	return galenastair.NewRefusal(galenastair.ErrPoisonRequest, s.expiresAt.Sub(now), "")
 }
 
 // RecordCrash counts one backend server that crashed while it ran the request, and reports
--- a/claim/server.go
+++ b/claim/server.go
@@ -52,7 +52,7 @@
 
 func init() {
 	for _, cause := range []error{
-		galenastair.ErrDuplicate, galenastair.ErrDuplicateUnsettled,
+		galenastair.ErrDuplicate, galenastair.ErrDuplicateInProgress,
 		galenastair.ErrClaimUnavailable, galenastair.ErrBadRequest,
 	} {
 		refusalCauses[(&galenastair.Refusal{Cause: cause}).Code()] = cause
--- a/claim/table.go
+++ b/claim/table.go
@@ -63,7 +63,7 @@
 	case own != nil:
 		return nil
 	case t.size >= maxAttempts:
-		return galenastair.Refuse(galenastair.ErrClaimUnavailable, unavailableRetryAfter, "too many claims")
+		return galenastair.NewRefusal(galenastair.ErrClaimUnavailable, unavailableRetryAfter, "too many claims")
 	}
 	a.State = Open
 	a.StartedAt = now
@@ -78,12 +78,12 @@
 	case other.isReleased():
 		return nil
 	case other.Digest != a.Digest:
-		return galenastair.Refuse(galenastair.ErrBadRequest, 0, "the idempotency key belongs to a different request")
+		return galenastair.NewRefusal(galenastair.ErrBadRequest, 0, "the idempotency key belongs to a different request")
 	case other.State == Open && isSenderMember(other):
-		return &galenastair.Refusal{Cause: galenastair.ErrDuplicateUnsettled, Outcome: galenastair.Unknown, RetryAfter: unsettledRetryAfter}
+		return &galenastair.Refusal{Cause: galenastair.ErrDuplicateInProgress, Outcome: galenastair.OutcomeUnknown, RetryAfter: unsettledRetryAfter}
 	case other.State == Open:
 		// The sender died, and whether it had sent the request is not known.
-		return &galenastair.Refusal{Cause: galenastair.ErrDuplicate, Outcome: galenastair.Unknown}
+		return &galenastair.Refusal{Cause: galenastair.ErrDuplicate, Outcome: galenastair.OutcomeUnknown}
 	default:
 		return &galenastair.Refusal{Cause: galenastair.ErrDuplicate, Outcome: other.State}
 	}
@@ -91,7 +91,7 @@
 
 // mostInformative returns the refusal to report. One whose outcome is Ran has precedence.
 func mostInformative(err error, r *galenastair.Refusal) error {
-	if r == nil || err != nil && r.Outcome != galenastair.Ran {
+	if r == nil || err != nil && r.Outcome != galenastair.OutcomeRan {
 		return err
 	}
 	return r
--- a/cmd/galenastair-standin/cmd_engine.go
+++ b/cmd/galenastair-standin/cmd_engine.go
@@ -84,15 +84,15 @@
 
 // lookUpWeights returns the weights of a comma-separated list of names from the
 // platform's catalogue. Without a platform, they have no size.
-func lookUpWeights(ctx context.Context, platformAddress, names string) ([]galenastair.Weight, error) {
+func lookUpWeights(ctx context.Context, platformAddress, names string) ([]galenastair.ModelWeights, error) {
 	if names == "" {
 		return nil, nil
 	}
 	list := strings.Split(names, ",")
-	var weights []galenastair.Weight
+	var weights []galenastair.ModelWeights
 	if platformAddress == "" {
 		for _, name := range list {
-			weights = append(weights, galenastair.Weight{Name: galenastair.ModelName(name), Version: "v1"})
+			weights = append(weights, galenastair.ModelWeights{Name: galenastair.ModelName(name), Version: "v1"})
 		}
 		return weights, nil
 	}
@@ -112,11 +112,11 @@
 	return weights, nil
 }
 
-func findWeight(weights []galenastair.Weight, name galenastair.ModelName) (galenastair.Weight, bool) {
+func findWeight(weights []galenastair.ModelWeights, name galenastair.ModelName) (galenastair.ModelWeights, bool) {
 	for _, w := range weights {
 		if w.Name == name {
 			return w, true
 		}
 	}
-	return galenastair.Weight{}, false
+	return galenastair.ModelWeights{}, false
 }
--- a/cmd/galenastair-standin/cmd_platform.go
+++ b/cmd/galenastair-standin/cmd_platform.go
@@ -55,11 +55,11 @@
 	return serve(ctx, l, p.HandlerWithContext(handlerCtx), stop)
 }
 
-func readCatalogue(name string) ([]galenastair.Weight, error) {
+func readCatalogue(name string) ([]galenastair.ModelWeights, error) {
 	data, err := os.ReadFile(name)
 	if err != nil {
 		return nil, err
 	}
-	var weights []galenastair.Weight
+	var weights []galenastair.ModelWeights
 	return weights, json.Unmarshal(data, &weights)
 }
--- a/cmd/galenastair/command_test.go
+++ b/cmd/galenastair/command_test.go
@@ -95,8 +95,8 @@
 	return sink.WriteChunk(galenastair.Chunk{Sequence: 3, End: true})
 }
 
-func (f fakeEntry) CallService(context.Context, request.ServiceCall) (galenastair.ServiceAnswer, error) {
-	return galenastair.ServiceAnswer{}, f.refuse
+func (f fakeEntry) CallService(context.Context, request.ServiceCall) (galenastair.ServiceResponse, error) {
+	return galenastair.ServiceResponse{}, f.refuse
 }
 
 func (f fakeEntry) Models(galenastair.KeyHash) ([]galenastair.ModelName, error) { return nil, f.refuse }
@@ -118,7 +118,7 @@
 		is.True(strings.HasPrefix(out, "status=200 outcome=Ran code= whole=true request="))
 		is.True(strings.HasSuffix(out, " text=\"ab\"\n"))
 	}
-	refused := serve(t, caller.NewHandler(fakeEntry{galenastair.Refuse(galenastair.ErrOverBurst, 0, "")}))
+	refused := serve(t, caller.NewHandler(fakeEntry{galenastair.NewRefusal(galenastair.ErrExceedsBurst, 0, "")}))
 	status, out, _ := exec(t, "call", "-entry", refused, "-key", "k", "-service", "bids/lots", "{}")
 	is.Equal(status, 0)
 	is.True(strings.HasPrefix(out, "status=400 outcome=NotRun code=OverBurst whole=false request="))
@@ -172,7 +172,7 @@
 	var r load.Result
 	is.NoErr(json.Unmarshal([]byte(out), &r))
 	is.Equal(r.All.Completed(), r.All.Requests)
-	refused := fakeEntry{galenastair.Refuse(galenastair.ErrRateExceeded, time.Second, "")}
+	refused := fakeEntry{galenastair.NewRefusal(galenastair.ErrRateExceeded, time.Second, "")}
 	status, _, errOut = exec(t, args(serve(t, caller.NewHandler(refused)))...)
 	is.Equal(status, exitFailed)
 	is.True(strings.Contains(errOut, "0.0000 of the requests got a complete answer"))
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -28,7 +28,7 @@
 		r := galenastair.EngineReport{BackendServer: galenastair.BackendServerID(fmt.Sprint(i))}
 		for j := range 6 {
 			m := galenastair.ModelName(fmt.Sprint("m", (i*6+j)%s.models))
-			r.Loaded = append(r.Loaded, galenastair.LoadedWeight{Weight: galenastair.Weight{Name: m}, State: galenastair.Ready})
+			r.Loaded = append(r.Loaded, galenastair.LoadedWeights{Weight: galenastair.ModelWeights{Name: m}, State: galenastair.LoadStateReady})
 		}
 		sched.ApplyReport(start, r)
 	}
--- a/dispatch/core.go
+++ b/dispatch/core.go
@@ -101,7 +101,7 @@
 		return nil
 	}
 	if len(r.Exclude) > 0 {
-		return galenastair.Refuse(galenastair.ErrNoBackendServer, noCopyRetryAfter, "no other copy of "+string(r.Model))
+		return galenastair.NewRefusal(galenastair.ErrNoBackendServer, noCopyRetryAfter, "no other copy of "+string(r.Model))
 	}
 	if m.noCopySince.IsZero() {
 		m.noCopySince = now
@@ -109,7 +109,7 @@
 	if now.Sub(m.noCopySince) < noCopyTimeout {
 		return nil
 	}
-	return galenastair.Refuse(galenastair.ErrNoBackendServer, noCopyRetryAfter, string(r.Model))
+	return galenastair.NewRefusal(galenastair.ErrNoBackendServer, noCopyRetryAfter, string(r.Model))
 }
 
 func (s *Scheduler) model(name galenastair.ModelName) *modelState {
--- a/dispatch/core_test.go
+++ b/dispatch/core_test.go
@@ -36,7 +36,7 @@
 func report(i int, models ...galenastair.ModelName) galenastair.EngineReport {
 	r := galenastair.EngineReport{BackendServer: galenastair.BackendServerID(fmt.Sprint(i))}
 	for _, m := range models {
-		r.Loaded = append(r.Loaded, galenastair.LoadedWeight{Weight: galenastair.Weight{Name: m}, State: galenastair.Ready})
+		r.Loaded = append(r.Loaded, galenastair.LoadedWeights{Weight: galenastair.ModelWeights{Name: m}, State: galenastair.LoadStateReady})
 	}
 	return r
 }
@@ -134,7 +134,7 @@
 	sched.Expire(start.Add(noCopyTimeout), "n")
 	ds = sched.Poll()
 	is.True(errors.Is(ds[0].Err, galenastair.ErrNoBackendServer))
-	is.Equal(ds[0].Err.Outcome, galenastair.NotRun)
+	is.Equal(ds[0].Err.Outcome, galenastair.OutcomeNotRun)
 	is.Equal(sched.QueueLength(), 0)
 }
 
--- a/engine.go
+++ b/engine.go
@@ -15,17 +15,17 @@
 	// ErrNotSent means that no byte of a request can have reached the backend server.
 	ErrNotSent = eris.New("the request was not sent")
 	// ErrConnectionRefused means that nothing listens on the backend server's address.
-	ErrAbsent = eris.New("nothing listens there")
+	ErrConnectionRefused = eris.New("nothing listens there")
 	// ErrDeclined means that the backend server stated that it did not run the request.
 	ErrDeclined = eris.New("the backend server declined to run the request")
 	// ErrStreamNotFound means that an engine does not know, or no longer knows, the stream to
 	// resume or cancel.
-	ErrStreamGone = eris.New("the stream can no longer be resumed")
+	ErrStreamNotFound = eris.New("the stream can no longer be resumed")
 	// ErrProgressTimeout means that a connection made no progress within its timeout.
-	ErrSilent = eris.New("the connection went silent")
+	ErrProgressTimeout = eris.New("the connection went silent")
 	// ErrInvalidResponse means that a response belongs to another request, skips events or has
 	// no usable body.
-	ErrCrossed = eris.New("the answer does not belong to the request")
+	ErrInvalidResponse = eris.New("the answer does not belong to the request")
 )
 
 // Completion is a model request that an entry instance sends to an engine.
@@ -47,7 +47,7 @@
 }
 
 // ResponseStream reads a streamed response. Next returns io.EOF only after the final event.
-type AnswerStream interface {
+type ResponseStream interface {
 	Next() (Chunk, error)
 	io.Closer
 }
@@ -68,7 +68,7 @@
 	Fence         Fence
 	BackendServer BackendServerID
 	Kind          OrderKind
-	Weight        Weight
+	Weight        ModelWeights
 	EngineRole    string
 }
 
@@ -77,14 +77,14 @@
 
 // Loading states.
 const (
-	Loading   LoadState = "Loading"
-	Ready     LoadState = "Ready"
-	Unloading LoadState = "Unloading"
+	LoadStateLoading   LoadState = "Loading"
+	LoadStateReady     LoadState = "Ready"
+	LoadStateUnloading LoadState = "Unloading"
 )
 
 // LoadedWeights is a model or adapter that an engine reports, with its loading state.
-type LoadedWeight struct {
-	Weight Weight
+type LoadedWeights struct {
+	Weight ModelWeights
 	State  LoadState
 	Order  OrderID
 }
@@ -93,16 +93,16 @@
 type EngineReport struct {
 	BackendServer BackendServerID
 	// Age is the age of the values at the time when the engine sent them.
-	Age           time.Duration
-	MemoryTotal   Bytes
-	MemoryUsed    Bytes
-	Running       int
-	Waiting       int
-	CacheUsed     Bytes
-	HighestFence  Fence
-	ChecksFence   bool
-	FinishedOrder []OrderID `json:"FinishedOrder"`
-	Loaded        []LoadedWeight
+	Age            time.Duration
+	MemoryTotal    Bytes
+	MemoryUsed     Bytes
+	Running        int
+	Waiting        int
+	CacheUsed      Bytes
+	HighestFence   Fence
+	ChecksFence    bool
+	FinishedOrders []OrderID `json:"FinishedOrder"`
+	Loaded         []LoadedWeights
 }
 
 // CacheEvent reports that an engine has added a prompt prefix to its cache or evicted it. Events
@@ -111,18 +111,18 @@
 	Sequence int64
 	Model    ModelName
 	Prefix   uint64
-	Dropped  bool `json:"Dropped"`
+	Evicted  bool `json:"Dropped"`
 }
 
 // Engine is a client of model engines. The server arguments are addresses from the InstanceList.
 type Engine interface {
 	// Complete starts a request. Its error wraps ErrNotSent or ErrDeclined only if the request
 	// cannot have run.
-	Complete(ctx context.Context, server string, c Completion) (AnswerStream, error)
+	Complete(ctx context.Context, server string, c Completion) (ResponseStream, error)
 	// Resume opens a new connection and continues a response after the given sequence.
-	Resume(ctx context.Context, server string, id RequestID, after int64) (AnswerStream, error)
+	Resume(ctx context.Context, server string, id RequestID, after int64) (ResponseStream, error)
 	Cancel(ctx context.Context, server string, id RequestID) error
-	Order(ctx context.Context, server string, o Order) error
+	SendOrder(ctx context.Context, server string, o Order) error
 	Report(ctx context.Context, server string) (EngineReport, error)
 	CacheEvents(ctx context.Context, server string, after int64) ([]CacheEvent, error)
 }
--- a/engine/checker.go
+++ b/engine/checker.go
@@ -23,14 +23,14 @@
 // validate returns the event's chunk, or ErrCrossed.
 func (c *eventValidator) validate(ev event) (galenastair.Chunk, error) {
 	if ev.id != c.nextSequence {
-		return galenastair.Chunk{}, eris.Wrapf(galenastair.ErrCrossed, "event %d where %d was due", ev.id, c.nextSequence)
+		return galenastair.Chunk{}, eris.Wrapf(galenastair.ErrInvalidResponse, "event %d where %d was due", ev.id, c.nextSequence)
 	}
 	c.nextSequence++
 	if bytes.Equal(ev.data, doneData) {
 		return galenastair.Chunk{Sequence: ev.id, End: true}, nil
 	}
 	if !c.hasRequestID(ev.data) {
-		return galenastair.Chunk{}, eris.Wrap(galenastair.ErrCrossed, "an event of another request")
+		return galenastair.Chunk{}, eris.Wrap(galenastair.ErrInvalidResponse, "an event of another request")
 	}
 	return galenastair.Chunk{Sequence: ev.id, Data: ev.data}, nil
 }
--- a/engine/client.go
+++ b/engine/client.go
@@ -92,7 +92,7 @@
 func responseError(resp *http.Response) error {
 	detail, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorDetailBytes))
 	if resp.StatusCode == http.StatusNotFound && strings.HasPrefix(resp.Request.URL.Path, streamsPath) {
-		return eris.Wrap(galenastair.ErrStreamGone, resp.Request.URL.Path)
+		return eris.Wrap(galenastair.ErrStreamNotFound, resp.Request.URL.Path)
 	}
 	switch resp.Header.Get(HeaderOutcome) {
 	case OutcomeNotRun:
@@ -100,5 +100,5 @@
 	case OutcomeStaleFence:
 		return eris.Wrapf(galenastair.ErrStaleFence, "%s", detail)
 	}
-	return eris.Wrapf(galenastair.ErrBackendServer, "status %d: %s", resp.StatusCode, detail)
+	return eris.Wrapf(galenastair.ErrBackendFailed, "status %d: %s", resp.StatusCode, detail)
 }
--- a/engine/client_test.go
+++ b/engine/client_test.go
@@ -34,7 +34,7 @@
 		change(&s)
 	}
 	e := standin.New("e1", s)
-	e.Preload(galenastair.Weight{Name: "model-1", Version: "v1", Memory: 1 << 30})
+	e.Preload(galenastair.ModelWeights{Name: "model-1", Version: "v1", Memory: 1 << 30})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- e.Run(ctx) }()
@@ -64,7 +64,7 @@
 }
 
 // read reads a stream to its end and returns the text, the last sequence and the final error.
-func read(s galenastair.AnswerStream) (text string, last int64, err error) {
+func read(s galenastair.ResponseStream) (text string, last int64, err error) {
 	defer s.Close()
 	for {
 		c, err := s.Next()
@@ -103,7 +103,7 @@
 	is.Equal(err, io.EOF)
 	r.Blackhole()
 	rest, last, err := read(s)
-	is.True(errors.Is(err, galenastair.ErrSilent))
+	is.True(errors.Is(err, galenastair.ErrProgressTimeout))
 	s, err = c.Resume(context.Background(), r.Address(), "r1", max(first.Sequence, last))
 	is.NoErr(err)
 	end, _, err := read(s)
@@ -140,9 +140,9 @@
 		{"refused connection", closed.Addr().String(), request("r1", 1), galenastair.ErrNotSent},
 		{"malformed body", open, galenastair.Completion{ID: "r1", Body: []byte("[")}, galenastair.ErrNotSent},
 		{"declined", address, request("r1", 1), galenastair.ErrDeclined},
-		{"closed before the response", abortingServer.Listener.Addr().String(), request("r1", 1), galenastair.ErrBackendServer},
-		{"response to another request", wrongIDServer.Listener.Addr().String(), request("r1", 1), galenastair.ErrCrossed},
-		{"no response headers", hungAddress, request("r1", 1), galenastair.ErrSilent},
+		{"closed before the response", abortingServer.Listener.Addr().String(), request("r1", 1), galenastair.ErrBackendFailed},
+		{"response to another request", wrongIDServer.Listener.Addr().String(), request("r1", 1), galenastair.ErrInvalidResponse},
+		{"no response headers", hungAddress, request("r1", 1), galenastair.ErrProgressTimeout},
 	}
 	c := engine.New(engine.WithIdleTimeout(100 * time.Millisecond))
 	defer c.Close()
@@ -162,8 +162,8 @@
 	is.True(errors.As(err, &d))
 	is.Equal(d.RetryAfter, time.Second)
 	_, err = c.Resume(context.Background(), open, "r9", 0)
-	is.True(errors.Is(err, galenastair.ErrStreamGone))
-	is.True(errors.Is(c.Cancel(context.Background(), open, "r9"), galenastair.ErrStreamGone))
+	is.True(errors.Is(err, galenastair.ErrStreamNotFound))
+	is.True(errors.Is(c.Cancel(context.Background(), open, "r9"), galenastair.ErrStreamNotFound))
 }
 
 func TestEngineFaultsReturnErrors(t *testing.T) {
@@ -182,10 +182,10 @@
 	is.Equal(text, expectedText(5))
 	e.UpdateFaults(func(s *standin.Faults) { s.CutAfter = 3 })
 	_, err = run("r2")
-	is.True(errors.Is(err, galenastair.ErrAnswerCut))
+	is.True(errors.Is(err, galenastair.ErrResponseTruncated))
 	e.UpdateFaults(func(s *standin.Faults) { s.CutAfter, s.Crossed = 0, true })
 	_, err = run("r3")
-	is.True(errors.Is(err, galenastair.ErrCrossed))
+	is.True(errors.Is(err, galenastair.ErrInvalidResponse))
 }
 
 func TestOrdersAndReports(t *testing.T) {
@@ -195,9 +195,9 @@
 	defer c.Close()
 	ctx := context.Background()
 	order := func(id galenastair.OrderID, f galenastair.Fence, k galenastair.OrderKind, m galenastair.ModelName) error {
-		return c.Order(ctx, address, galenastair.Order{
+		return c.SendOrder(ctx, address, galenastair.Order{
 			ID: id, Fence: f, BackendServer: "e1", Kind: k,
-			Weight: galenastair.Weight{Name: m, Version: "v1", Memory: 60 << 30},
+			Weight: galenastair.ModelWeights{Name: m, Version: "v1", Memory: 60 << 30},
 		})
 	}
 	is.NoErr(order("o1", 5, galenastair.LoadModel, "model-2"))
@@ -205,7 +205,7 @@
 	is.True(errors.Is(order("o3", 5, galenastair.UnloadModel, "model-9"), galenastair.ErrDeclined))
 	e.UpdateFaults(func(s *standin.Faults) { s.LoseOrderAnswers = true })
 	err := order("o4", 6, galenastair.LoadModel, "model-4")
-	is.True(errors.Is(err, galenastair.ErrBackendServer)) // the engine has acted, but its response was lost
+	is.True(errors.Is(err, galenastair.ErrBackendFailed)) // the engine has acted, but its response was lost
 	e.UpdateFaults(func(s *standin.Faults) { s.LoseOrderAnswers = false })
 	r, err := c.Report(ctx, address)
 	is.NoErr(err)
--- a/engine/complete.go
+++ b/engine/complete.go
@@ -15,7 +15,7 @@
 
 // Complete starts a request. Its error wraps ErrNotSent or ErrDeclined if the request
 // has not run; with any other error it may have run.
-func (c *Client) Complete(ctx context.Context, server string, comp galenastair.Completion) (galenastair.AnswerStream, error) {
+func (c *Client) Complete(ctx context.Context, server string, comp galenastair.Completion) (galenastair.ResponseStream, error) {
 	body, err := completionBody(comp)
 	if err != nil {
 		return nil, eris.Wrapf(galenastair.ErrNotSent, "%v", err)
@@ -33,7 +33,7 @@
 }
 
 // Resume continues a stream after the given sequence on a new connection.
-func (c *Client) Resume(ctx context.Context, server string, id galenastair.RequestID, after int64) (galenastair.AnswerStream, error) {
+func (c *Client) Resume(ctx context.Context, server string, id galenastair.RequestID, after int64) (galenastair.ResponseStream, error) {
 	req, err := http.NewRequest(http.MethodGet, "http://"+server+streamPath(id), nil)
 	if err != nil {
 		return nil, eris.Wrapf(galenastair.ErrNotSent, "%v", err)
@@ -44,7 +44,7 @@
 }
 
 // openStream sends a request and returns the stream once the response headers have arrived.
-func (c *Client) openStream(ctx context.Context, req *http.Request, t http.RoundTripper, id galenastair.RequestID, after int64) (galenastair.AnswerStream, error) {
+func (c *Client) openStream(ctx context.Context, req *http.Request, t http.RoundTripper, id galenastair.RequestID, after int64) (galenastair.ResponseStream, error) {
 	req.Header.Set(HeaderRequestID, string(id))
 	req.Header.Set("Accept", "text/event-stream")
 	tracked, sending := httpclient.WithRequestTrace(ctx)
@@ -57,7 +57,7 @@
 		cancel()
 		if s.timedOut.Load() && !sending.NotSent() {
 			c.pool.CloseIdle(req.URL.Host)
-			return nil, eris.Wrap(galenastair.ErrSilent, "before the answer began")
+			return nil, eris.Wrap(galenastair.ErrProgressTimeout, "before the answer began")
 		}
 		return nil, c.pool.ClassifyError(ctx, req.URL.Host, sending, err)
 	}
@@ -69,7 +69,7 @@
 	if got := resp.Header.Get(HeaderRequestID); got != string(id) {
 		cancel()
 		_ = resp.Body.Close()
-		return nil, eris.Wrapf(galenastair.ErrCrossed, "the answer is for request %q", got)
+		return nil, eris.Wrapf(galenastair.ErrInvalidResponse, "the answer is for request %q", got)
 	}
 	s.body = resp.Body
 	s.events = newEventReader(resp.Body, s.resetTimer)
--- a/engine/control.go
+++ b/engine/control.go
@@ -9,9 +9,9 @@
 	"galenastair"
 )
 
-// Order sends an order. Its error wraps ErrNotSent, ErrDeclined or ErrStaleFence if the
+// SendOrder sends an order. Its error wraps ErrNotSent, ErrDeclined or ErrStaleFence if the
 // engine has not acted on the order; with any other error it may have.
-func (c *Client) Order(ctx context.Context, server string, o galenastair.Order) error {
+func (c *Client) SendOrder(ctx context.Context, server string, o galenastair.Order) error {
 	return c.callControl(ctx, server, http.MethodPost, "/control/orders", o, nil)
 }
 
--- a/engine/stream.go
+++ b/engine/stream.go
@@ -63,11 +63,11 @@
 func (s *stream) wrapReadError(err error) error {
 	switch {
 	case s.timedOut.Load():
-		return eris.Wrapf(galenastair.ErrSilent, "before event %d", s.validator.nextSequence)
+		return eris.Wrapf(galenastair.ErrProgressTimeout, "before event %d", s.validator.nextSequence)
 	case errors.Is(err, context.Canceled), errors.Is(err, context.DeadlineExceeded):
 		return err
 	}
-	return eris.Wrapf(galenastair.ErrAnswerCut, "before event %d: %v", s.validator.nextSequence, err)
+	return eris.Wrapf(galenastair.ErrResponseTruncated, "before event %d: %v", s.validator.nextSequence, err)
 }
 
 // Close closes the stream. The connection and the read buffer are reused only if the
--- a/engine/stream_test.go
+++ b/engine/stream_test.go
@@ -61,17 +61,17 @@
 		want error
 	}{
 		{"complete", completeResponse, io.EOF},
-		{"truncated before the [DONE] event", event(1, ownData), galenastair.ErrAnswerCut},
-		{"truncated within the [DONE] event", event(1, ownData) + "id: 2\ndata: [DONE]\n", galenastair.ErrAnswerCut},
-		{"duplicate event", event(1, ownData) + event(1, ownData), galenastair.ErrCrossed},
-		{"dropped event", event(1, ownData) + event(3, ownData), galenastair.ErrCrossed},
-		{"dropped before the [DONE] event", event(1, ownData) + event(3, "[DONE]"), galenastair.ErrCrossed},
-		{"event of another request", event(1, `{"id":"r2"}`), galenastair.ErrCrossed},
-		{"event of a request whose ID has this one's as prefix", event(1, `{"id":"r11"}`), galenastair.ErrCrossed},
-		{"no id in the object", event(1, `{}`), galenastair.ErrCrossed},
-		{"no sequence", "data: " + ownData + "\n\n", galenastair.ErrCrossed},
-		{"too large", "id: 1\ndata: " + strings.Repeat("x", maxEventBytes+1) + "\n\n", galenastair.ErrAnswerCut},
-		{"too many data lines", "id: 1\n" + strings.Repeat("data: "+strings.Repeat("x", 1000)+"\n", 1100), galenastair.ErrAnswerCut},
+		{"truncated before the [DONE] event", event(1, ownData), galenastair.ErrResponseTruncated},
+		{"truncated within the [DONE] event", event(1, ownData) + "id: 2\ndata: [DONE]\n", galenastair.ErrResponseTruncated},
+		{"duplicate event", event(1, ownData) + event(1, ownData), galenastair.ErrInvalidResponse},
+		{"dropped event", event(1, ownData) + event(3, ownData), galenastair.ErrInvalidResponse},
+		{"dropped before the [DONE] event", event(1, ownData) + event(3, "[DONE]"), galenastair.ErrInvalidResponse},
+		{"event of another request", event(1, `{"id":"r2"}`), galenastair.ErrInvalidResponse},
+		{"event of a request whose ID has this one's as prefix", event(1, `{"id":"r11"}`), galenastair.ErrInvalidResponse},
+		{"no id in the object", event(1, `{}`), galenastair.ErrInvalidResponse},
+		{"no sequence", "data: " + ownData + "\n\n", galenastair.ErrInvalidResponse},
+		{"too large", "id: 1\ndata: " + strings.Repeat("x", maxEventBytes+1) + "\n\n", galenastair.ErrResponseTruncated},
+		{"too many data lines", "id: 1\n" + strings.Repeat("data: "+strings.Repeat("x", 1000)+"\n", 1100), galenastair.ErrResponseTruncated},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -89,7 +89,7 @@
 	s := newTestStream("id: 1\ndata: {\"id\":\"r2\"}\n\nid: 2\ndata: {\"id\":\"r1\"}\n\nid: 3\ndata: [DONE]\n\n")
 	for range 4 {
 		_, err := s.Next()
-		is.True(errors.Is(err, galenastair.ErrCrossed))
+		is.True(errors.Is(err, galenastair.ErrInvalidResponse))
 	}
 }
 
@@ -97,7 +97,7 @@
 	is := is.New(t)
 	for n := range len(completeResponse) {
 		_, err := readAll(newTestStream(completeResponse[:n]))
-		is.True(errors.Is(err, galenastair.ErrAnswerCut))
+		is.True(errors.Is(err, galenastair.ErrResponseTruncated))
 	}
 }
 
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -82,7 +82,7 @@
 	es := engine.DefaultSettings()
 	es.BaseStep = 20 * time.Millisecond
 	e := engine.New("engine-1", es)
-	e.Preload(galenastair.Weight{Name: "model-1", Version: "v1"})
+	e.Preload(galenastair.ModelWeights{Name: "model-1", Version: "v1"})
 	server := httptest.NewServer(e.Handler())
 	ran, registered := make(chan error, 1), make(chan error, 1)
 	ctx, cancel := context.WithCancel(ctx)
@@ -261,7 +261,7 @@
 	x.waitUntil("the second has received the crash", func() bool { return second.members.Status().Fleet.Refuses(firstCrashKey(d), now) })
 	is.NoErr(two.Allow(now, d))
 	is.True(!two.RecordCrash(now, d))
-	x.waitUntil("the first refuses the request", func() bool { return errors.Is(one.Allow(now, d), galenastair.ErrPoison) })
+	x.waitUntil("the first refuses the request", func() bool { return errors.Is(one.Allow(now, d), galenastair.ErrPoisonRequest) })
 	is.NoErr(one.Allow(now, claim.DigestOf("Furnir", "model-1", []byte("other"))))
 	x.stop()
 	is.NoErr(<-x.runErr)
--- a/entry/poison.go
+++ b/entry/poison.go
@@ -38,7 +38,7 @@
 		return err
 	}
 	if until := p.members.Status().Fleet.Refused[secondCrashKey(d)]; now.Before(until) {
-		return galenastair.Refuse(galenastair.ErrPoison, until.Sub(now), "")
+		return galenastair.NewRefusal(galenastair.ErrPoisonRequest, until.Sub(now), "")
 	}
 	return nil
 }
--- a/entry/status.go
+++ b/entry/status.go
@@ -14,7 +14,7 @@
 	case e.shutdown.started():
 		return galenastair.ErrStopping
 	case !e.follower.Ready():
-		return galenastair.ErrConfiguration
+		return galenastair.ErrNoConfiguration
 	case !e.Holds(time.Now()):
 		return galenastair.ErrNotMember
 	default:
@@ -81,9 +81,9 @@
 	b.ReportAge = r.report.Age + now.Sub(r.receivedAt)
 	for _, l := range r.report.Loaded {
 		switch l.State {
-		case galenastair.Ready:
+		case galenastair.LoadStateReady:
 			b.Ready = append(b.Ready, l.Weight.Name)
-		case galenastair.Loading:
+		case galenastair.LoadStateLoading:
 			b.Loading = append(b.Loading, l.Weight.Name)
 		}
 	}
--- a/follow/follower.go
+++ b/follow/follower.go
@@ -242,7 +242,7 @@
 		// store's recovery is noticed sooner
 		wait = 0
 	}
-	return f.store.Follow(ctx, f.topic, f.next, wait)
+	return f.store.Read(ctx, f.topic, f.next, wait)
 }
 
 // countStaleRead counts an answer whose end is below the current offset and reports whether to
--- a/gateway/admit.go
+++ b/gateway/admit.go
@@ -52,43 +52,43 @@
 func (g *Gateway) authorise(c *Request) (admission, error) {
 	current, age := g.catalogSource.Current()
 	if current == nil {
-		return admission{}, galenastair.Refuse(galenastair.ErrConfiguration, catalogRetryAfter, "not loaded yet")
+		return admission{}, galenastair.NewRefusal(galenastair.ErrNoConfiguration, catalogRetryAfter, "not loaded yet")
 	}
 	fresh := age < g.settings.MaxCatalogAge
 	a := admission{version: current.Version, age: age}
 	a.route = current.Match(c.Host, c.Path)
 	if a.route == nil {
 		if !fresh {
-			return a, galenastair.Refuse(galenastair.ErrConfiguration, catalogRetryAfter, "configuration too old to match the route")
+			return a, galenastair.NewRefusal(galenastair.ErrNoConfiguration, catalogRetryAfter, "configuration too old to match the route")
 		}
-		return a, galenastair.Refuse(galenastair.ErrNotFound, 0, "no route matches")
+		return a, galenastair.NewRefusal(galenastair.ErrNotFound, 0, "no route matches")
 	}
 	if !current.RequiresKey(a.route) {
 		return a, nil
 	}
 	if !fresh {
-		return a, galenastair.Refuse(galenastair.ErrConfiguration, catalogRetryAfter, "configuration too old to verify the key")
+		return a, galenastair.NewRefusal(galenastair.ErrNoConfiguration, catalogRetryAfter, "configuration too old to verify the key")
 	}
 	if c.Key == "" {
-		return a, galenastair.Refuse(galenastair.ErrKeyMissing, 0, "")
+		return a, galenastair.NewRefusal(galenastair.ErrKeyMissing, 0, "")
 	}
 	a.organisation = current.OrganisationByKey(c.Key)
 	if a.organisation == nil {
-		return a, galenastair.Refuse(galenastair.ErrKeyUnknown, 0, "")
+		return a, galenastair.NewRefusal(galenastair.ErrKeyUnknown, 0, "")
 	}
 	return a, nil
 }
 
 // charge deducts a request's cost from its organisation's quota.
-func (g *Gateway) charge(ctx context.Context, a admission, h galenastair.Hints) error {
+func (g *Gateway) charge(ctx context.Context, a admission, h galenastair.RequestHints) error {
 	if a.organisation == nil || a.organisation.Rate <= 0 {
 		return nil
 	}
-	cost := a.organisation.Cost(h.Prompt+h.Output, h.Counted)
+	cost := a.organisation.Cost(h.PromptTokens+h.OutputTokens, h.HasTokenCounts)
 	if g.quota.Take(g.clock.Now(), a.organisationName(), cost) || g.quota.Borrow(ctx, a.organisationName(), cost) {
 		return nil
 	}
-	return galenastair.Refuse(galenastair.ErrRateExceeded, clampRetryAfter(g.quota.RetryAfter(a.organisationName(), cost)), "")
+	return galenastair.NewRefusal(galenastair.ErrRateExceeded, clampRetryAfter(g.quota.RetryAfter(a.organisationName(), cost)), "")
 }
 
 func clampRetryAfter(d time.Duration) time.Duration { return min(maxRetryAfter, max(minRetryAfter, d)) }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -45,8 +45,8 @@
 		return r.handleFailure(ctx, attempt, err)
 	}
 	defer resp.Body.Close()
-	if resp.Limit > 0 || !resp.Declined {
-		r.g.pool.ObserveLimit(r.g.clock.Now(), choice.ID, resp.Limit, now)
+	if resp.RateLimit > 0 || !resp.Declined {
+		r.g.pool.ObserveLimit(r.g.clock.Now(), choice.ID, resp.RateLimit, now)
 	}
 	if resp.Declined {
 		return r.handleDecline(attempt, choice, resp)
@@ -63,26 +63,26 @@
 	return r.forwardStream(ctx, attempt, resp, stop)
 }
 
-func (r *activeRequest) backendCall(choice pool.Choice, now time.Time) galenastair.BackendCall {
-	c := galenastair.BackendCall{
-		ID:           r.req.ID,
-		Method:       r.req.Method,
-		Target:       r.req.Target,
-		Host:         r.req.Host,
-		Header:       r.req.Header,
-		Body:         r.req.Body,
-		Expect:       choice.ID,
-		Organisation: r.admission.organisationName(),
-		Left:         max(0, r.deadline.Sub(now)),
-		Priority:     -1,
-		After:        r.req.LastEventID,
-		Usable:       func() bool { return r.g.pool.Usable(r.g.clock.Now(), choice.ID) },
+func (r *activeRequest) backendCall(choice pool.Choice, now time.Time) galenastair.BackendRequest {
+	c := galenastair.BackendRequest{
+		ID:             r.req.ID,
+		Method:         r.req.Method,
+		Target:         r.req.Target,
+		Host:           r.req.Host,
+		Header:         r.req.Header,
+		Body:           r.req.Body,
+		ExpectedServer: choice.ID,
+		Organisation:   r.admission.organisationName(),
+		Timeout:        max(0, r.deadline.Sub(now)),
+		Priority:       -1,
+		LastEventID:    r.req.LastEventID,
+		ShouldSend:     func() bool { return r.g.pool.Usable(r.g.clock.Now(), choice.ID) },
 	}
 	if r.req.Hints.Model != "" {
 		c.Priority = r.admission.priority()
 	}
 	if r.events.lastEventID != "" {
-		c.After = r.events.lastEventID
+		c.LastEventID = r.events.lastEventID
 	}
 	return c
 }
@@ -116,7 +116,7 @@
 	if wait > remaining/2 {
 		return func() bool { return true }
 	}
-	t := time.AfterFunc(wait, func() { cancel(galenastair.ErrSilent) })
+	t := time.AfterFunc(wait, func() { cancel(galenastair.ErrProgressTimeout) })
 	return t.Stop
 }
 
@@ -125,21 +125,21 @@
 func (r *activeRequest) handleFailure(ctx context.Context, attempt *pool.Attempt, err error) error {
 	now := r.g.clock.Now()
 	switch {
-	case errors.Is(err, galenastair.ErrAbsent):
+	case errors.Is(err, galenastair.ErrConnectionRefused):
 		attempt.End(now, pool.Down)
 		return err
 	case errors.Is(err, galenastair.ErrNotSent):
 		attempt.End(now, pool.Failed)
 		return err
 	case errors.Is(err, galenastair.ErrStopping),
-		errors.Is(err, context.Canceled) && !errors.Is(err, galenastair.ErrSilent):
+		errors.Is(err, context.Canceled) && !errors.Is(err, galenastair.ErrProgressTimeout):
 		r.runs++
 		attempt.End(now, pool.Neutral)
 		return err
 	}
 	r.runs++
 	attempt.End(now, pool.Failed)
-	if ctx.Err() == nil && errors.Is(err, galenastair.ErrAnswerCut) {
+	if ctx.Err() == nil && errors.Is(err, galenastair.ErrResponseTruncated) {
 		r.g.poison.RecordCrash(now, r.digest)
 	}
 	return err
@@ -147,9 +147,9 @@
 
 // handleDecline handles a response that states that the backend server did not run the
 // request.
-func (r *activeRequest) handleDecline(attempt *pool.Attempt, choice pool.Choice, resp *galenastair.BackendAnswer) error {
+func (r *activeRequest) handleDecline(attempt *pool.Attempt, choice pool.Choice, resp *galenastair.BackendResponse) error {
 	result := pool.Full
-	if resp.Elsewhere {
+	if resp.Misdirected {
 		result = pool.Neutral
 		if r.req.Hints.Model != "" {
 			r.g.pool.RemoveModel(r.g.clock.Now(), choice.ID, r.req.Hints.Model)
@@ -161,7 +161,7 @@
 
 // forwardResponse forwards a response that is no stream. A body of up to maxBufferedBytes
 // is read completely first.
-func (r *activeRequest) forwardResponse(ctx context.Context, attempt *pool.Attempt, resp *galenastair.BackendAnswer, stop func() bool) error {
+func (r *activeRequest) forwardResponse(ctx context.Context, attempt *pool.Attempt, resp *galenastair.BackendResponse, stop func() bool) error {
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxBufferedBytes+1))
 	stop()
 	now := r.g.clock.Now()
@@ -226,7 +226,7 @@
 // handleTruncation reports a response that broke off to the pool.
 func (r *activeRequest) handleTruncation(ctx context.Context, attempt *pool.Attempt, err error) error {
 	result := pool.Failed
-	if errors.Is(err, errCallerGone) || ctx.Err() != nil && !errors.Is(context.Cause(ctx), galenastair.ErrSilent) {
+	if errors.Is(err, errCallerGone) || ctx.Err() != nil && !errors.Is(context.Cause(ctx), galenastair.ErrProgressTimeout) {
 		result = pool.Neutral
 	}
 	attempt.End(r.g.clock.Now(), result)
@@ -235,7 +235,7 @@
 
 // forwardStream forwards a stream event by event. The caller gets complete events only, so
 // that another backend server can continue the same response after the last one.
-func (r *activeRequest) forwardStream(ctx context.Context, attempt *pool.Attempt, resp *galenastair.BackendAnswer, stop func() bool) error {
+func (r *activeRequest) forwardStream(ctx context.Context, attempt *pool.Attempt, resp *galenastair.BackendResponse, stop func() bool) error {
 	buf := make([]byte, readBufferBytes)
 	started := false
 	for {
@@ -261,12 +261,12 @@
 	}
 }
 
-func (r *activeRequest) finishStream(attempt *pool.Attempt, resp *galenastair.BackendAnswer) error {
+func (r *activeRequest) finishStream(attempt *pool.Attempt, resp *galenastair.BackendResponse) error {
 	now := r.g.clock.Now()
 	if r.events.hasPartial() {
 		r.events.discardPartial()
 		attempt.End(now, pool.Failed)
-		return eris.Wrap(galenastair.ErrAnswerCut, "the stream ended inside an event")
+		return eris.Wrap(galenastair.ErrResponseTruncated, "the stream ended inside an event")
 	}
 	attempt.End(now, pool.Succeeded)
 	r.g.poison.RecordSuccess(r.digest)
@@ -278,7 +278,7 @@
 
 // writeEvents writes complete events to the caller, preceded by the header of the first
 // response.
-func (r *activeRequest) writeEvents(resp *galenastair.BackendAnswer, complete []byte) error {
+func (r *activeRequest) writeEvents(resp *galenastair.BackendResponse, complete []byte) error {
 	if !r.wroteHeader {
 		r.wroteHeader = true
 		r.firstByteAt, r.status = r.g.clock.Now(), resp.Status
--- a/gateway/bed_test.go
+++ b/gateway/bed_test.go
@@ -18,15 +18,15 @@
 )
 
 // script answers one request to a backend server.
-type script func(ctx context.Context, c galenastair.BackendCall) (*galenastair.BackendAnswer, error)
+type script func(ctx context.Context, c galenastair.BackendRequest) (*galenastair.BackendResponse, error)
 
 // fakeBackend runs its scripts in order and records the requests.
 type fakeBackend struct {
 	scripts []script
-	calls   []galenastair.BackendCall
+	calls   []galenastair.BackendRequest
 }
 
-func (b *fakeBackend) Call(ctx context.Context, _ string, c galenastair.BackendCall) (*galenastair.BackendAnswer, error) {
+func (b *fakeBackend) Call(ctx context.Context, _ string, c galenastair.BackendRequest) (*galenastair.BackendResponse, error) {
 	b.calls = append(b.calls, c)
 	if len(b.calls) > len(b.scripts) {
 		return nil, galenastair.ErrNotSent
@@ -40,7 +40,7 @@
 func (b truncatedBody) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
 	if errors.Is(err, io.EOF) {
-		return n, galenastair.ErrAnswerCut
+		return n, galenastair.ErrResponseTruncated
 	}
 	return n, err
 }
@@ -48,29 +48,31 @@
 func (truncatedBody) Close() error { return nil }
 
 func respond(status int, text string) script {
-	return func(context.Context, galenastair.BackendCall) (*galenastair.BackendAnswer, error) {
-		return &galenastair.BackendAnswer{Status: status, Header: http.Header{"X-From": {text}}, Body: io.NopCloser(strings.NewReader(text))}, nil
+	return func(context.Context, galenastair.BackendRequest) (*galenastair.BackendResponse, error) {
+		return &galenastair.BackendResponse{Status: status, Header: http.Header{"X-From": {text}}, Body: io.NopCloser(strings.NewReader(text))}, nil
 	}
 }
 
 func truncate(text string) script {
-	return func(context.Context, galenastair.BackendCall) (*galenastair.BackendAnswer, error) {
-		return &galenastair.BackendAnswer{Status: 200, Header: http.Header{}, Body: truncatedBody{strings.NewReader(text)}}, nil
+	return func(context.Context, galenastair.BackendRequest) (*galenastair.BackendResponse, error) {
+		return &galenastair.BackendResponse{Status: 200, Header: http.Header{}, Body: truncatedBody{strings.NewReader(text)}}, nil
 	}
 }
 
 func decline() script {
-	return func(context.Context, galenastair.BackendCall) (*galenastair.BackendAnswer, error) {
-		return &galenastair.BackendAnswer{Status: 503, Header: http.Header{}, Declined: true, Body: io.NopCloser(strings.NewReader(""))}, nil
+	return func(context.Context, galenastair.BackendRequest) (*galenastair.BackendResponse, error) {
+		return &galenastair.BackendResponse{Status: 503, Header: http.Header{}, Declined: true, Body: io.NopCloser(strings.NewReader(""))}, nil
 	}
 }
 
 func failWith(err error) script {
-	return func(context.Context, galenastair.BackendCall) (*galenastair.BackendAnswer, error) { return nil, err }
+	return func(context.Context, galenastair.BackendRequest) (*galenastair.BackendResponse, error) {
+		return nil, err
+	}
 }
 
 // hang sends no response until the context ends.
-func hang(ctx context.Context, _ galenastair.BackendCall) (*galenastair.BackendAnswer, error) {
+func hang(ctx context.Context, _ galenastair.BackendRequest) (*galenastair.BackendResponse, error) {
 	<-ctx.Done()
 	return nil, context.Cause(ctx)
 }
@@ -186,7 +188,7 @@
 func (env *testEnv) addServers() {
 	for _, id := range []galenastair.BackendServerID{"s1", "s2", "s3"} {
 		env.pool.Set(time.Now(), pool.Server{ID: id, Service: "writer", Address: string(id), AvailabilityZone: "z1", Slots: 8,
-			Models: []galenastair.EngineModel{{Name: "m"}}})
+			Models: []galenastair.LoadedModel{{Name: "m"}}})
 		env.pool.Set(time.Now(), pool.Server{ID: "p" + id, Service: "app", Address: string(id), AvailabilityZone: "z1", Slots: 8})
 	}
 }
@@ -210,7 +212,7 @@
 	c := Request{ID: "r1", Method: http.MethodPost, Host: testHost, Target: path, Path: path, Header: http.Header{},
 		Body: []byte("body"), Key: galenastair.HashKey(testKey), Timeout: 2 * time.Second, Received: time.Now()}
 	if strings.Contains(path, "stream") {
-		c.Hints = galenastair.Hints{Model: "m", Prompt: 100, Output: 20, Counted: true}
+		c.Hints = galenastair.RequestHints{Model: "m", PromptTokens: 100, OutputTokens: 20, HasTokenCounts: true}
 	}
 	return c
 }
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -19,7 +19,7 @@
 	Body   []byte
 	// Key is the hash of the caller's API key, empty if it sent none.
 	Key   galenastair.KeyHash
-	Hints galenastair.Hints
+	Hints galenastair.RequestHints
 	// Timeout is how long the caller waits from Received on, 0 if it did not say.
 	Timeout time.Duration
 	// LastEventID is the id of the last event of this stream that the caller has received.
--- a/gateway/choose.go
+++ b/gateway/choose.go
@@ -44,11 +44,11 @@
 	case pool.ReasonThrottled:
 		return pool.Choice{}, r.handleThrottled(ctx, choice)
 	case pool.ReasonNoServer:
-		return choice, galenastair.Refuse(galenastair.ErrNoBackendServer, noServerRetryAfter, string(r.service))
+		return choice, galenastair.NewRefusal(galenastair.ErrNoBackendServer, noServerRetryAfter, string(r.service))
 	case pool.ReasonNoModel:
 		return pool.Choice{}, r.requestPlacement(ctx)
 	}
-	return choice, galenastair.Refuse(galenastair.ErrNoBackendServer, overloadRetryAfter, choice.Reason)
+	return choice, galenastair.NewRefusal(galenastair.ErrNoBackendServer, overloadRetryAfter, choice.Reason)
 }
 
 // awaitLimit waits for admission to a backend server that advertises a rate limit. If it
@@ -86,7 +86,7 @@
 		return nil
 	}
 	remaining := r.deadline.Sub(r.g.clock.Now())
-	return galenastair.Refuse(galenastair.ErrOverloaded, clampRetryAfter(min(c.RetryAfter, remaining/3)), c.Reason)
+	return galenastair.NewRefusal(galenastair.ErrOverloaded, clampRetryAfter(min(c.RetryAfter, remaining/3)), c.Reason)
 }
 
 // checkQueueTime refuses a request that can't be answered before its deadline. When engines
@@ -97,7 +97,7 @@
 	if c.PredictedLatency < remaining || r.sends > 0 || r.req.Hints.Model == "" {
 		return nil
 	}
-	return galenastair.Refuse(galenastair.ErrOverloaded, clampRetryAfter(min(c.PredictedLatency-remaining/2, remaining/3)), "expected queue time exceeds the deadline")
+	return galenastair.NewRefusal(galenastair.ErrOverloaded, clampRetryAfter(min(c.PredictedLatency-remaining/2, remaining/3)), "expected queue time exceeds the deadline")
 }
 
 // requestPlacement asks the planner for a backend server that holds or loads the request's
@@ -106,20 +106,20 @@
 	name := r.req.Hints.Model
 	r.placementRequests++
 	if r.placementRequests > maxPlacementRequests {
-		return galenastair.Refuse(galenastair.ErrNoBackendServer, adapterRetryAfter, "the promised copy is gone")
+		return galenastair.NewRefusal(galenastair.ErrNoBackendServer, adapterRetryAfter, "the promised copy is gone")
 	}
 	availability, err := r.g.placement.EnsureLoaded(ctx, name)
 	if err != nil {
 		r.g.logger.Log("event", "need", "request", r.req.ID, "model", name, "err", err)
-		return galenastair.Refuse(galenastair.ErrNoBackendServer, adapterRetryAfter, "the planner could not be reached")
+		return galenastair.NewRefusal(galenastair.ErrNoBackendServer, adapterRetryAfter, "the planner could not be reached")
 	}
 	remaining := r.deadline.Sub(r.g.clock.Now())
 	r.g.logger.Log("event", "need", "request", r.req.ID, "model", name, "server", availability.Server, "ready", availability.ReadyIn, "left", remaining)
 	if availability.Server == "" {
-		return galenastair.Refuse(galenastair.ErrNoBackendServer, min(max(minModelRetryAfter, availability.ReadyIn), remaining/3), "no copy is loaded or being loaded")
+		return galenastair.NewRefusal(galenastair.ErrNoBackendServer, min(max(minModelRetryAfter, availability.ReadyIn), remaining/3), "no copy is loaded or being loaded")
 	}
 	if availability.ReadyIn > remaining-responseMargin {
-		return galenastair.Refuse(galenastair.ErrNoBackendServer, min(availability.ReadyIn, remaining/3), "the model would be loaded too late")
+		return galenastair.NewRefusal(galenastair.ErrNoBackendServer, min(availability.ReadyIn, remaining/3), "the model would be loaded too late")
 	}
 	if !timer.Wait(ctx, availability.ReadyIn) {
 		return context.Cause(ctx)
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -17,13 +17,13 @@
 // effect. A retry could bind the buyer twice; the caller gets the outcome Unknown instead.
 func TestBidThatMayHaveRunIsSentOnce(t *testing.T) {
 	is := is.New(t)
-	env := newTestEnv(failWith(galenastair.ErrAnswerCut), respond(200, "second"))
+	env := newTestEnv(failWith(galenastair.ErrResponseTruncated), respond(200, "second"))
 	_, wroteHeader, err := env.serve(t, "/bid/1")
 	is.Equal(len(env.backend.calls), 1)
 	is.True(!wroteHeader)
 	var r *galenastair.Refusal
 	is.True(errors.As(err, &r))
-	is.Equal(r.Outcome, galenastair.Unknown)
+	is.Equal(r.Outcome, galenastair.OutcomeUnknown)
 	is.Equal(r.Status(), http.StatusBadGateway)
 }
 
@@ -32,10 +32,10 @@
 func TestServerLeavingDuringDialGetsNoRequest(t *testing.T) {
 	is := is.New(t)
 	var env *testEnv
-	dialled := func(_ context.Context, c galenastair.BackendCall) (*galenastair.BackendAnswer, error) {
-		is.True(c.Usable())
-		env.pool.Remove(c.Expect)
-		is.True(!c.Usable())
+	dialled := func(_ context.Context, c galenastair.BackendRequest) (*galenastair.BackendResponse, error) {
+		is.True(c.ShouldSend())
+		env.pool.Remove(c.ExpectedServer)
+		is.True(!c.ShouldSend())
 		return nil, galenastair.ErrNotSent
 	}
 	env = newTestEnv(dialled, respond(200, "done"))
@@ -64,7 +64,7 @@
 			to, _, err := env.serve(t, "/bid/1")
 			is.NoErr(err)
 			is.Equal(to.body.String(), "done")
-			is.True(env.backend.calls[0].Expect != env.backend.calls[1].Expect)
+			is.True(env.backend.calls[0].ExpectedServer != env.backend.calls[1].ExpectedServer)
 		})
 	}
 }
@@ -76,7 +76,7 @@
 	_, _, err := env.serve(t, "/bid/1")
 	var r *galenastair.Refusal
 	is.True(errors.As(err, &r))
-	is.Equal(r.Outcome, galenastair.NotRun)
+	is.Equal(r.Outcome, galenastair.OutcomeNotRun)
 	is.Equal(r.Status(), http.StatusServiceUnavailable)
 	is.True(r.RetryAfter > 0)
 }
@@ -84,7 +84,7 @@
 // A read that fails at one server is retried at another within its route's attempts.
 func TestReadIsRetriedOnAnotherServer(t *testing.T) {
 	for name, first := range map[string]script{
-		"error": respond(500, "failed"), "cut": truncate("half"), "crossed": failWith(galenastair.ErrCrossed), "silent": hang,
+		"error": respond(500, "failed"), "cut": truncate("half"), "crossed": failWith(galenastair.ErrInvalidResponse), "silent": hang,
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -120,8 +120,8 @@
 	is.True(wroteHeader)
 	is.Equal(to.headerWrites, 1)
 	is.Equal(to.body.String(), "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n")
-	is.Equal(env.backend.calls[0].After, "")
-	is.Equal(env.backend.calls[1].After, "2")
+	is.Equal(env.backend.calls[0].LastEventID, "")
+	is.Equal(env.backend.calls[1].LastEventID, "2")
 }
 
 // A stream's first engine crashes during the response, and the second returns an error
@@ -144,7 +144,7 @@
 	env := newTestEnv(respond(200, "id: 1\ndata: a\n\nid: 2\nda"))
 	to, wroteHeader, err := env.serve(t, "/once-stream/1")
 	is.True(wroteHeader)
-	is.True(errors.Is(err, galenastair.ErrAnswerCut))
+	is.True(errors.Is(err, galenastair.ErrResponseTruncated))
 	is.Equal(to.body.String(), "id: 1\ndata: a\n\n")
 	is.Equal(len(env.backend.calls), 1)
 }
@@ -163,7 +163,7 @@
 			var r *galenastair.Refusal
 			is.True(errors.As(err, &r))
 			is.Equal(r.Status(), http.StatusServiceUnavailable)
-			is.Equal(r.Outcome, galenastair.NotRun)
+			is.Equal(r.Outcome, galenastair.OutcomeNotRun)
 			is.Equal(len(env.backend.calls), 0)
 		})
 	}
@@ -179,7 +179,7 @@
 	req := testRequest("/stream/1")
 	req.Hints.Model = "m/a1"
 	_, err := env.gateway.Serve(t.Context(), req, &recordedResponse{})
-	is.True(errors.Is(err, galenastair.ErrConfiguration))
+	is.True(errors.Is(err, galenastair.ErrNoConfiguration))
 	is.Equal(len(env.backend.calls), 0)
 }
 
@@ -205,7 +205,7 @@
 	to := &recordedResponse{}
 	_, err := env.gateway.Serve(t.Context(), req, to)
 	is.NoErr(err)
-	is.Equal(env.backend.calls[0].Expect, galenastair.BackendServerID("s2"))
+	is.Equal(env.backend.calls[0].ExpectedServer, galenastair.BackendServerID("s2"))
 	is.Equal(env.placement.requests, 1)
 }
 
@@ -220,7 +220,7 @@
 	_, err := env.gateway.Serve(t.Context(), req, &recordedResponse{})
 	var r *galenastair.Refusal
 	is.True(errors.As(err, &r))
-	is.Equal(r.Outcome, galenastair.NotRun)
+	is.Equal(r.Outcome, galenastair.OutcomeNotRun)
 	is.True(r.RetryAfter > 0)
 	is.True(time.Since(begun) < 200*time.Millisecond)
 }
@@ -240,7 +240,7 @@
 		_, err := env.gateway.Serve(t.Context(), req, &recordedResponse{})
 		var r *galenastair.Refusal
 		is.True(errors.As(err, &r))
-		is.Equal(r.Outcome, galenastair.NotRun)
+		is.Equal(r.Outcome, galenastair.OutcomeNotRun)
 		return r.RetryAfter.Round(100 * time.Millisecond)
 	}
 	is.Equal(retry(0, 30*time.Second), minModelRetryAfter)
@@ -286,7 +286,7 @@
 	var r *galenastair.Refusal
 	is.True(errors.As(err, &r))
 	is.True(errors.Is(r, galenastair.ErrStopping))
-	is.Equal(r.Outcome, galenastair.Unknown)
+	is.Equal(r.Outcome, galenastair.OutcomeUnknown)
 	is.Equal(len(env.backend.calls), 1)
 }
 
@@ -308,7 +308,7 @@
 // refused, so that the others keep running.
 func TestRequestThatCrashesServersIsRefused(t *testing.T) {
 	is := is.New(t)
-	env := newTestEnv(failWith(galenastair.ErrAnswerCut), failWith(galenastair.ErrAnswerCut), failWith(galenastair.ErrAnswerCut), respond(200, "x"))
+	env := newTestEnv(failWith(galenastair.ErrResponseTruncated), failWith(galenastair.ErrResponseTruncated), failWith(galenastair.ErrResponseTruncated), respond(200, "x"))
 	for range 6 {
 		_, _, err := env.serve(t, "/bid/1")
 		is.True(err != nil)
@@ -323,7 +323,7 @@
 	const requests = 400
 	scripts := make([]script, 3*requests)
 	for i := range scripts {
-		scripts[i] = failWith(galenastair.ErrCrossed)
+		scripts[i] = failWith(galenastair.ErrInvalidResponse)
 	}
 	env := newTestEnv(scripts...)
 	for i := range requests {
--- a/gateway/limit_test.go
+++ b/gateway/limit_test.go
@@ -18,8 +18,8 @@
 )
 
 // respondWithLimit sends a complete response that advertises a rate limit.
-func respondWithLimit(context.Context, galenastair.BackendCall) (*galenastair.BackendAnswer, error) {
-	return &galenastair.BackendAnswer{Status: 200, Header: http.Header{}, Limit: 1, Body: io.NopCloser(strings.NewReader("done"))}, nil
+func respondWithLimit(context.Context, galenastair.BackendRequest) (*galenastair.BackendResponse, error) {
+	return &galenastair.BackendResponse{Status: 200, Header: http.Header{}, RateLimit: 1, Body: io.NopCloser(strings.NewReader("done"))}, nil
 }
 
 // keepOneServer removes all backend servers but one of each service, s1 and ps1.
@@ -72,7 +72,7 @@
 	is.True(time.Since(begun) < 100*time.Millisecond)
 	var r *galenastair.Refusal
 	is.True(errors.As(err, &r))
-	is.Equal(r.Outcome, galenastair.NotRun)
+	is.Equal(r.Outcome, galenastair.OutcomeNotRun)
 	is.Equal(r.Status(), http.StatusServiceUnavailable)
 	is.True(r.RetryAfter >= 600*time.Millisecond)
 	is.Equal(len(env.backend.calls), 1)
@@ -96,8 +96,8 @@
 // one, as that can hold the model before the deadline.
 func TestModelAtLimitIsLoadedElsewhere(t *testing.T) {
 	is := is.New(t)
-	answer := func(_ context.Context, c galenastair.BackendCall) (*galenastair.BackendAnswer, error) {
-		return &galenastair.BackendAnswer{Status: 200, Header: http.Header{}, Limit: 1, Body: io.NopCloser(strings.NewReader("id: 1\ndata: a\n\n"))}, nil
+	answer := func(_ context.Context, c galenastair.BackendRequest) (*galenastair.BackendResponse, error) {
+		return &galenastair.BackendResponse{Status: 200, Header: http.Header{}, RateLimit: 1, Body: io.NopCloser(strings.NewReader("id: 1\ndata: a\n\n"))}, nil
 	}
 	env := newTestEnv(answer, answer)
 	env.keepOneServer()
@@ -109,7 +109,7 @@
 	_, _, err = env.serve(t, "/stream/1")
 	is.NoErr(err)
 	is.Equal(env.placement.requests, 1)
-	is.Equal(env.backend.calls[1].Expect, galenastair.BackendServerID("s2"))
+	is.Equal(env.backend.calls[1].ExpectedServer, galenastair.BackendServerID("s2"))
 }
 
 // A server at its rate limit is skipped while another one can serve the request.
@@ -127,6 +127,6 @@
 		is.Equal(to.body.String(), "done")
 	}
 	for _, c := range env.backend.calls[1:] {
-		is.True(c.Expect != "ps1")
+		is.True(c.ExpectedServer != "ps1")
 	}
 }
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -63,12 +63,12 @@
 	}
 	if a.route.Kind.Streamed() && r.g.settings.Draining() {
 		// A stream takes seconds, and the shutdown of this instance would truncate it.
-		return galenastair.Refuse(galenastair.ErrStopping, minRetryAfter, "")
+		return galenastair.NewRefusal(galenastair.ErrStopping, minRetryAfter, "")
 	}
 	r.service = a.route.PickService(randomFraction())
 	r.digest = claim.DigestOf(a.organisationName(), r.req.Method+" "+r.req.Target, r.req.Body)
 	if err := r.g.poison.Allow(r.g.clock.Now(), r.digest); err != nil {
-		return galenastair.Refuse(galenastair.ErrOverloaded, maxRetryAfter, "identical requests crashed the backend servers")
+		return galenastair.NewRefusal(galenastair.ErrOverloaded, maxRetryAfter, "identical requests crashed the backend servers")
 	}
 	if err := r.g.charge(ctx, a, r.req.Hints); err != nil {
 		return err
@@ -159,11 +159,11 @@
 		return "NotSent"
 	case errors.Is(err, galenastair.ErrDeclined):
 		return "Declined"
-	case errors.Is(err, galenastair.ErrSilent):
+	case errors.Is(err, galenastair.ErrProgressTimeout):
 		return "Silent"
-	case errors.Is(err, galenastair.ErrAnswerCut):
+	case errors.Is(err, galenastair.ErrResponseTruncated):
 		return "Cut"
-	case errors.Is(err, galenastair.ErrCrossed):
+	case errors.Is(err, galenastair.ErrInvalidResponse):
 		return "Crossed"
 	}
 	return "Failed"
@@ -173,7 +173,7 @@
 func (r *activeRequest) poolQuery() pool.Query {
 	return pool.Query{
 		Service:       r.service,
-		Hints:         r.req.Hints,
+		RequestHints:  r.req.Hints,
 		TargetLatency: r.admission.route.TargetLatency,
 		NoRetry:       !r.admission.route.Kind.Retryable(),
 		Exclude:       r.tried,
@@ -183,28 +183,28 @@
 // toRefusal converts the error that ended the request into the one sent to the caller.
 func (r *activeRequest) toRefusal(err error) *galenastair.Refusal {
 	var refused *galenastair.Refusal
-	outcome := galenastair.NotRun
+	outcome := galenastair.OutcomeNotRun
 	if r.runs > 0 {
-		outcome = galenastair.Unknown
+		outcome = galenastair.OutcomeUnknown
 	}
 	switch {
 	case errors.As(err, &refused):
-		return refused.After(outcome)
+		return refused.WithOutcome(outcome)
 	case errors.Is(err, galenastair.ErrStopping):
 		return &galenastair.Refusal{Cause: galenastair.ErrStopping, Outcome: outcome, RetryAfter: minRetryAfter}
 	case errors.Is(err, context.Canceled):
 		return &galenastair.Refusal{Cause: errCallerGone, Outcome: outcome}
 	case errors.Is(err, context.DeadlineExceeded):
-		if outcome == galenastair.NotRun {
-			return galenastair.Refuse(galenastair.ErrOverloaded, overloadRetryAfter, "no backend server had capacity in time")
+		if outcome == galenastair.OutcomeNotRun {
+			return galenastair.NewRefusal(galenastair.ErrOverloaded, overloadRetryAfter, "no backend server had capacity in time")
 		}
 		return &galenastair.Refusal{Cause: galenastair.ErrTimeout, Outcome: outcome}
-	case outcome == galenastair.NotRun:
-		return galenastair.Refuse(galenastair.ErrOverloaded, overloadRetryAfter, err.Error())
-	case errors.Is(err, galenastair.ErrAnswerCut):
-		return &galenastair.Refusal{Cause: galenastair.ErrAnswerCut, Outcome: outcome, Detail: err.Error()}
+	case outcome == galenastair.OutcomeNotRun:
+		return galenastair.NewRefusal(galenastair.ErrOverloaded, overloadRetryAfter, err.Error())
+	case errors.Is(err, galenastair.ErrResponseTruncated):
+		return &galenastair.Refusal{Cause: galenastair.ErrResponseTruncated, Outcome: outcome, Detail: err.Error()}
 	default:
-		return &galenastair.Refusal{Cause: galenastair.ErrBackendServer, Outcome: outcome, Detail: err.Error()}
+		return &galenastair.Refusal{Cause: galenastair.ErrBackendFailed, Outcome: outcome, Detail: err.Error()}
 	}
 }
 
@@ -218,7 +218,7 @@
 		ID:           r.req.ID,
 		Organisation: r.admission.organisationName(),
 		Status:       r.status,
-		Outcome:      galenastair.Ran,
+		Outcome:      galenastair.OutcomeRan,
 		Sends:        r.sends,
 		Duration:     now.Sub(r.startedAt),
 		Complete:     err == nil,
@@ -246,7 +246,7 @@
 	}
 	r.g.logger.Log("event", event, "request", e.ID, "organisation", e.Organisation, "route", e.Route, "status", e.Status,
 		"code", e.Code, "outcome", e.Outcome, "sends", e.Sends, "runs", r.runs, "first", e.TimeToFirstByte, "total", e.Duration, "pause", r.longestPause,
-		"version", r.admission.version, "age", r.admission.age, "model", r.req.Hints.Model, "tokens", int64(r.req.Hints.Prompt+r.req.Hints.Output), "cause", err)
+		"version", r.admission.version, "age", r.admission.age, "model", r.req.Hints.Model, "tokens", int64(r.req.Hints.PromptTokens+r.req.Hints.OutputTokens), "cause", err)
 }
 
 func errorCode(r *galenastair.Refusal) galenastair.Code {
--- a/httpclient/failed.go
+++ b/httpclient/failed.go
@@ -22,5 +22,5 @@
 	}
 	// The other pooled connections to the server may have failed as well.
 	p.CloseIdle(server)
-	return eris.Wrapf(galenastair.ErrBackendServer, "no answer: %v", err)
+	return eris.Wrapf(galenastair.ErrBackendFailed, "no answer: %v", err)
 }
--- a/httpclient/failed_test.go
+++ b/httpclient/failed_test.go
@@ -56,11 +56,11 @@
 	is.Equal(opened.Load(), int32(1))
 	sent := &RequestTrace{written: true}
 	err := p.ClassifyError(t.Context(), server, sent, io.ErrUnexpectedEOF)
-	is.True(errors.Is(err, galenastair.ErrBackendServer))
+	is.True(errors.Is(err, galenastair.ErrBackendFailed))
 	is.NoErr(send(server, "/"))
 	is.Equal(opened.Load(), int32(2))
 	err = send(server, "/die")
-	is.True(errors.Is(err, galenastair.ErrBackendServer))
+	is.True(errors.Is(err, galenastair.ErrBackendFailed))
 	is.True(!errors.Is(err, galenastair.ErrNotSent))
 
 	gone, cancel := context.WithCancel(t.Context())
--- a/httpconn/client.go
+++ b/httpconn/client.go
@@ -92,7 +92,7 @@
 func (p *Pool) dial(ctx context.Context, address string) (*Conn, error) {
 	conn, err := p.dialer.DialContext(ctx, "tcp", address)
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		return nil, fmt.Errorf("dial %s: %w: %w", address, galenastair.ErrAbsent, galenastair.ErrNotSent)
+		return nil, fmt.Errorf("dial %s: %w: %w", address, galenastair.ErrConnectionRefused, galenastair.ErrNotSent)
 	}
 	if err != nil {
 		return nil, eris.Wrapf(galenastair.ErrNotSent, "dial %s: %v", address, err)
--- a/httpconn/exchange.go
+++ b/httpconn/exchange.go
@@ -66,7 +66,7 @@
 	if err := ctx.Err(); err != nil {
 		return nil, context.Cause(ctx)
 	}
-	return nil, eris.Wrap(galenastair.ErrCrossed, "received only responses to other requests")
+	return nil, eris.Wrap(galenastair.ErrInvalidResponse, "received only responses to other requests")
 }
 
 func (c *Conn) writeRequest(ctx context.Context, r Request) error {
@@ -91,7 +91,7 @@
 	if ctx.Err() == nil && c.reader.Buffered() > 0 {
 		return nil
 	}
-	return eris.Wrapf(galenastair.ErrAnswerCut, "write: %v", err)
+	return eris.Wrapf(galenastair.ErrResponseTruncated, "write: %v", err)
 }
 
 // readResponse reads the next final response. It skips informational (1xx) responses
@@ -113,9 +113,9 @@
 		return context.Cause(ctx)
 	}
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-		return eris.Wrap(galenastair.ErrAnswerCut, "connection closed before a response")
+		return eris.Wrap(galenastair.ErrResponseTruncated, "connection closed before a response")
 	}
-	return eris.Wrapf(galenastair.ErrAnswerCut, "read response: %v", err)
+	return eris.Wrapf(galenastair.ErrResponseTruncated, "read response: %v", err)
 }
 
 // responseBody returns the connection to the pool at the end of the body.
@@ -143,7 +143,7 @@
 	case b.ctx.Err() != nil:
 		return n, context.Cause(b.ctx)
 	default:
-		return n, eris.Wrapf(galenastair.ErrAnswerCut, "%v", err)
+		return n, eris.Wrapf(galenastair.ErrResponseTruncated, "%v", err)
 	}
 }
 
--- a/httpconn/httpconn_test.go
+++ b/httpconn/httpconn_test.go
@@ -125,7 +125,7 @@
 			_, err := sendRequest(t.Context(), pool, server.Addr().String(), "1")
 			is.NoErr(err)
 			_, err = sendRequest(t.Context(), pool, server.Addr().String(), "2")
-			is.True(errors.Is(err, galenastair.ErrAnswerCut))
+			is.True(errors.Is(err, galenastair.ErrResponseTruncated))
 			is.Equal(server.requestCount.Load(), int32(2))
 		})
 	}
@@ -196,7 +196,7 @@
 			is := is.New(t)
 			server := startRawServer(t, c.step)
 			body, err := sendRequest(t.Context(), NewPool(), server.Addr().String(), "1")
-			is.Equal(errors.Is(err, galenastair.ErrAnswerCut), c.truncated)
+			is.Equal(errors.Is(err, galenastair.ErrResponseTruncated), c.truncated)
 			if !c.truncated {
 				is.NoErr(err)
 				is.Equal(body, c.body)
@@ -214,7 +214,7 @@
 	is.NoErr(l.Close())
 	_, err = sendRequest(t.Context(), NewPool(), address, "1")
 	is.True(errors.Is(err, galenastair.ErrNotSent))
-	is.True(errors.Is(err, galenastair.ErrAbsent))
+	is.True(errors.Is(err, galenastair.ErrConnectionRefused))
 }
 
 // When a caller disconnects, the connection to the backend server must be closed at once,
--- a/instance.go
+++ b/instance.go
@@ -30,7 +30,7 @@
 }
 
 // ModelWeights describe the weights that an engine must load to serve a model or adapter.
-type Weight struct {
+type ModelWeights struct {
 	Name    ModelName
 	Version string
 	// Base is the base model of an adapter; empty for a model.
@@ -41,5 +41,5 @@
 // WeightStore is the platform's store of model weights. Engines load weights from it directly,
 // and the store limits the rate of these loads.
 type WeightStore interface {
-	Catalogue(ctx context.Context) ([]Weight, error)
+	Catalogue(ctx context.Context) ([]ModelWeights, error)
 }
--- a/lease/elector.go
+++ b/lease/elector.go
@@ -222,7 +222,7 @@
 	if err != nil {
 		return r, err
 	}
-	offset, err := e.store.PutAt(ctx, e.topic, leaseKey, data, r.Offset)
+	offset, err := e.store.CompareAndPut(ctx, e.topic, leaseKey, data, r.Offset)
 	r.Offset = offset
 	return r, err
 }
--- a/lease/elector_test.go
+++ b/lease/elector_test.go
@@ -32,11 +32,11 @@
 	partitioned atomic.Bool
 }
 
-func (c *partitionableStore) PutAt(ctx context.Context, t galenastair.Topic, key string, value []byte, at galenastair.Offset) (galenastair.Offset, error) {
+func (c *partitionableStore) CompareAndPut(ctx context.Context, t galenastair.Topic, key string, value []byte, at galenastair.Offset) (galenastair.Offset, error) {
 	if c.partitioned.Load() {
 		return 0, galenastair.ErrStoreUnavailable
 	}
-	return c.Store.PutAt(ctx, t, key, value, at)
+	return c.Store.CompareAndPut(ctx, t, key, value, at)
 }
 
 // startInstance starts an instance and adds it to the fleet; exchanges reach only instances in the
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -24,7 +24,7 @@
 func order(by Leader, id string, memory galenastair.Bytes) galenastair.Order {
 	return galenastair.Order{
 		ID: galenastair.OrderID(id), Fence: by.Fence, BackendServer: "e", Kind: galenastair.LoadModel,
-		Weight: galenastair.Weight{Name: galenastair.ModelName("m-" + id), Memory: memory},
+		Weight: galenastair.ModelWeights{Name: galenastair.ModelName("m-" + id), Memory: memory},
 	}
 }
 
@@ -36,7 +36,7 @@
 func report(checks bool, f galenastair.Fence, loaded ...string) galenastair.EngineReport {
 	r := galenastair.EngineReport{BackendServer: "e", MemoryTotal: 10, ChecksFence: checks, HighestFence: f}
 	for _, id := range loaded {
-		r.Loaded = append(r.Loaded, galenastair.LoadedWeight{Weight: order(leader1, id, 6).Weight, State: galenastair.Ready})
+		r.Loaded = append(r.Loaded, galenastair.LoadedWeights{Weight: order(leader1, id, 6).Weight, State: galenastair.LoadStateReady})
 	}
 	return r
 }
--- a/ledger/memory.go
+++ b/ledger/memory.go
@@ -10,13 +10,13 @@
 	version string
 }
 
-func weightKeyOf(w galenastair.Weight) weightKey { return weightKey{w.Name, w.Version} }
+func weightKeyOf(w galenastair.ModelWeights) weightKey { return weightKey{w.Name, w.Version} }
 
 // memoryByWeight returns the memory that each weight on a backend server takes or may take
 // once all pending loads have arrived.
 func (l *Ledger) memoryByWeight(id galenastair.BackendServerID) map[weightKey]galenastair.Bytes {
 	sum := map[weightKey]galenastair.Bytes{}
-	count := func(w galenastair.Weight) { sum[weightKeyOf(w)] = max(sum[weightKeyOf(w)], w.Memory) }
+	count := func(w galenastair.ModelWeights) { sum[weightKeyOf(w)] = max(sum[weightKeyOf(w)], w.Memory) }
 	if obs := l.reports[id]; obs != nil {
 		for _, w := range obs.report.Loaded {
 			count(w.Weight)
--- a/ledger/model_engine_test.go
+++ b/ledger/model_engine_test.go
@@ -13,11 +13,11 @@
 	}
 	e.fence = max(e.fence, o.Fence)
 	if o.Kind == galenastair.LoadModel {
-		e.loaded[o.Weight.Name] = galenastair.LoadedWeight{Weight: o.Weight, State: galenastair.Ready, Order: o.ID}
+		e.loaded[o.Weight.Name] = galenastair.LoadedWeights{Weight: o.Weight, State: galenastair.LoadStateReady, Order: o.ID}
 		return
 	}
 	if l, ok := e.loaded[o.Weight.Name]; ok {
-		l.State = galenastair.Unloading
+		l.State = galenastair.LoadStateUnloading
 		e.loaded[o.Weight.Name] = l
 	}
 }
@@ -26,7 +26,7 @@
 func (sim *simulation) finishUnloads() {
 	for _, e := range sim.engines {
 		for name, l := range e.loaded {
-			if l.State == galenastair.Unloading {
+			if l.State == galenastair.LoadStateUnloading {
 				delete(e.loaded, name)
 			}
 		}
--- a/ledger/model_steps_test.go
+++ b/ledger/model_steps_test.go
@@ -58,7 +58,7 @@
 		Fence:         in.ledger.leader.Fence,
 		BackendServer: e.id,
 		Kind:          galenastair.LoadModel,
-		Weight:        galenastair.Weight{Name: galenastair.ModelName(fmt.Sprint("m", size)), Memory: size},
+		Weight:        galenastair.ModelWeights{Name: galenastair.ModelName(fmt.Sprint("m", size)), Memory: size},
 	}
 	if obs := in.ledger.reports[e.id]; obs != nil && len(obs.report.Loaded) > 0 && sim.randN(2) == 0 {
 		o.Kind = galenastair.UnloadModel
@@ -74,7 +74,7 @@
 		so.abandoned = true // its record may still appear in the log, but it is never sent
 	}
 	if e.checksFence && !in.ledger.FenceConfirmed(e.id, o.Fence) {
-		o.Kind, o.Weight = galenastair.UnloadModel, galenastair.Weight{Name: "none"}
+		o.Kind, o.Weight = galenastair.UnloadModel, galenastair.ModelWeights{Name: "none"}
 		sim.inFlight = append(sim.inFlight, &simOrder{createdAt: sim.now, order: o, readBack: true, sent: true})
 		return
 	}
--- a/ledger/model_test.go
+++ b/ledger/model_test.go
@@ -47,7 +47,7 @@
 	id          galenastair.BackendServerID
 	checksFence bool
 	fence       galenastair.Fence
-	loaded      map[galenastair.ModelName]galenastair.LoadedWeight
+	loaded      map[galenastair.ModelName]galenastair.LoadedWeights
 	// reports holds the past reports, oldest first, any of which a request may return.
 	reports []timedReport
 }
@@ -132,7 +132,7 @@
 		e := &simEngine{
 			id:          galenastair.BackendServerID(fmt.Sprint("e", i)),
 			checksFence: i == 0,
-			loaded:      map[galenastair.ModelName]galenastair.LoadedWeight{},
+			loaded:      map[galenastair.ModelName]galenastair.LoadedWeights{},
 		}
 		sim.engines = append(sim.engines, e)
 		sim.saveReport(e)
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -22,7 +22,7 @@
 	s := engine.DefaultSettings()
 	s.BaseStep = time.Millisecond
 	e := engine.New("e1", s)
-	e.Preload(galenastair.Weight{Name: "model-1"}, galenastair.Weight{Name: "model-2"})
+	e.Preload(galenastair.ModelWeights{Name: "model-1"}, galenastair.ModelWeights{Name: "model-2"})
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- e.Run(ctx) }()
@@ -148,7 +148,7 @@
 	for _, c := range seen {
 		is.Equal(c.Key, "secret")
 		is.Equal(c.Hints.Model, galenastair.ModelName("m1/a1"))
-		is.Equal(c.Hints.Output, galenastair.Tokens(7))
+		is.Equal(c.Hints.OutputTokens, galenastair.Tokens(7))
 		is.True(c.Timeout > time.Second)
 	}
 }
--- a/load/opaque.go
+++ b/load/opaque.go
@@ -42,11 +42,11 @@
 		c.Timeout = time.Until(deadline)
 	}
 	if a.params.Model != "" {
-		c.Hints = galenastair.Hints{
-			Model:   a.params.Model,
-			Prompt:  galenastair.Tokens(len(a.params.Prompt) / bytesPerToken),
-			Output:  galenastair.Tokens(a.params.Tokens),
-			Counted: true,
+		c.Hints = galenastair.RequestHints{
+			Model:          a.params.Model,
+			PromptTokens:   galenastair.Tokens(len(a.params.Prompt) / bytesPerToken),
+			OutputTokens:   galenastair.Tokens(a.params.Tokens),
+			HasTokenCounts: true,
 		}
 	}
 	platform.EncodeCallerRequest(req.Header, c)
@@ -60,7 +60,7 @@
 		_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBytes))
 		s.code = galenastair.Code(fmt.Sprintf("Status%d", resp.StatusCode))
 		if platform.PromisesNotRun(resp.StatusCode) {
-			s.outcome = galenastair.NotRun
+			s.outcome = galenastair.OutcomeNotRun
 		}
 		return
 	}
@@ -72,7 +72,7 @@
 		}
 		switch {
 		case errors.Is(err, io.EOF):
-			s.code, s.outcome = codeComplete, galenastair.Ran
+			s.code, s.outcome = codeComplete, galenastair.OutcomeRan
 			return
 		case err != nil:
 			s.code = codeTruncated
--- a/load/send.go
+++ b/load/send.go
@@ -85,7 +85,7 @@
 // send sends one request and returns its measurement. Latencies are measured from due,
 // the scheduled time of the request.
 func send(ctx context.Context, client *http.Client, target string, a arrival, due time.Time, expectedText func(RequestParams) string) *sample {
-	s := &sample{code: codeNoAnswer, outcome: galenastair.Unknown}
+	s := &sample{code: codeNoAnswer, outcome: galenastair.OutcomeUnknown}
 	defer func() { s.total = time.Since(due) }()
 	req, err := newRequest(ctx, target, a)
 	if err != nil {
@@ -160,7 +160,7 @@
 		switch {
 		case !ok:
 		case bytes.Equal(data, doneMarker):
-			s.code, s.outcome = codeComplete, galenastair.Ran
+			s.code, s.outcome = codeComplete, galenastair.OutcomeRan
 			_, _ = io.Copy(io.Discard, r)
 			return
 		case bytes.HasPrefix(data, errorPrefix):
@@ -210,5 +210,5 @@
 	}
 	s.recordToken(time.Now(), due)
 	s.appendText(data)
-	s.code, s.outcome = codeComplete, galenastair.Ran
+	s.code, s.outcome = codeComplete, galenastair.OutcomeRan
 }
--- a/load/tally.go
+++ b/load/tally.go
@@ -65,7 +65,7 @@
 func (t *tally) addDropped() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.outcomes[outcomeKey{codeDropped, galenastair.NotRun}]++
+	t.outcomes[outcomeKey{codeDropped, galenastair.OutcomeNotRun}]++
 }
 
 // record adds d to the histogram, clamped to the range that the histogram covers. A Max
--- a/logservice/catalogue.go
+++ b/logservice/catalogue.go
@@ -11,7 +11,7 @@
 )
 
 // Catalogue returns all models and adapters of the weight store.
-func (c *Client) Catalogue(ctx context.Context) ([]galenastair.Weight, error) {
+func (c *Client) Catalogue(ctx context.Context) ([]galenastair.ModelWeights, error) {
 	var resp CatalogueResponse
 	err := c.callJSON(ctx, http.MethodGet, "/catalogue", nil, &resp)
 	return resp.Weights, err
@@ -19,7 +19,7 @@
 
 // Load downloads a weight from the weight store, as engines do, and returns when the
 // download has ended.
-func (c *Client) Load(ctx context.Context, w galenastair.Weight) error {
+func (c *Client) Load(ctx context.Context, w galenastair.ModelWeights) error {
 	body, err := json.Marshal(w)
 	if err != nil {
 		return err
--- a/logservice/wire.go
+++ b/logservice/wire.go
@@ -21,5 +21,5 @@
 
 // CatalogueResponse has the models and adapters of the weight store.
 type CatalogueResponse struct {
-	Weights []galenastair.Weight
+	Weights []galenastair.ModelWeights
 }
--- a/measure/engine.go
+++ b/measure/engine.go
@@ -30,12 +30,12 @@
 	lastUse     int
 	inStep      bool
 	cacheEvents []galenastair.CacheEvent
-	loaded      []galenastair.LoadedWeight
+	loaded      []galenastair.LoadedWeights
 }
 
 func (e *engine) ready(m galenastair.ModelName) bool {
 	for _, l := range e.loaded {
-		if l.Weight.Name == m && l.State == galenastair.Ready {
+		if l.Weight.Name == m && l.State == galenastair.LoadStateReady {
 			return true
 		}
 	}
@@ -140,7 +140,7 @@
 	slices.Sort(dropped)
 	for _, h := range dropped {
 		delete(e.cache, h)
-		e.cacheEvents = append(e.cacheEvents, galenastair.CacheEvent{Prefix: h, Dropped: true})
+		e.cacheEvents = append(e.cacheEvents, galenastair.CacheEvent{Prefix: h, Evicted: true})
 	}
 }
 
--- a/measure/placing.go
+++ b/measure/placing.go
@@ -16,7 +16,7 @@
 	fleet           *fleet
 	planner         *place.Planner
 	forecast        *forecast.Forecast
-	catalogue       []galenastair.Weight
+	catalogue       []galenastair.ModelWeights
 	moves           int
 	modelsLoading   int
 	adaptersLoading int
@@ -29,9 +29,9 @@
 	}
 	l := &leader{fleet: f, planner: place.NewPlanner(s), forecast: forecast.New()}
 	for m := range f.site.models {
-		l.catalogue = append(l.catalogue, galenastair.Weight{Name: modelName(m), Memory: galenastair.Bytes(10 + m%7)})
+		l.catalogue = append(l.catalogue, galenastair.ModelWeights{Name: modelName(m), Memory: galenastair.Bytes(10 + m%7)})
 		for a := range f.site.adaptersPerModel {
-			l.catalogue = append(l.catalogue, galenastair.Weight{Name: adapterName(m, a), Base: modelName(m), Memory: 1})
+			l.catalogue = append(l.catalogue, galenastair.ModelWeights{Name: adapterName(m, a), Base: modelName(m), Memory: 1})
 		}
 	}
 	return l
@@ -78,9 +78,9 @@
 
 func copyState(s galenastair.LoadState) place.CopyState {
 	switch s {
-	case galenastair.Ready:
+	case galenastair.LoadStateReady:
 		return place.Ready
-	case galenastair.Unloading:
+	case galenastair.LoadStateUnloading:
 		return place.Unloading
 	}
 	return place.Loading
@@ -92,17 +92,17 @@
 		l.moves++
 	}
 	if s.Kind == galenastair.UnloadModel {
-		en.setState(s.Weight, galenastair.Unloading)
+		en.setState(s.Weight, galenastair.LoadStateUnloading)
 		l.fleet.after(time.Second, func() { en.remove(s.Weight) })
 		return
 	}
-	en.loaded = append(en.loaded, galenastair.LoadedWeight{Weight: s.Weight, State: galenastair.Loading})
-	l.fleet.after(l.loadDuration(s.Weight), func() { en.setState(s.Weight, galenastair.Ready) })
+	en.loaded = append(en.loaded, galenastair.LoadedWeights{Weight: s.Weight, State: galenastair.LoadStateLoading})
+	l.fleet.after(l.loadDuration(s.Weight), func() { en.setState(s.Weight, galenastair.LoadStateReady) })
 }
 
 // loadDuration returns how long loading a model or adapter takes. Once more loads are in
 // flight than the weight store can serve, each new one takes proportionally longer.
-func (l *leader) loadDuration(w galenastair.Weight) time.Duration {
+func (l *leader) loadDuration(w galenastair.ModelWeights) time.Duration {
 	loading, limit, duration := &l.modelsLoading, l.fleet.site.loadsInFlight, modelLoadTime
 	if w.Base != "" {
 		loading, limit, duration = &l.adaptersLoading, l.fleet.site.adaptersInFlight, adapterLoadTime
@@ -113,7 +113,7 @@
 	return duration
 }
 
-func (e *engine) setState(w galenastair.Weight, s galenastair.LoadState) {
+func (e *engine) setState(w galenastair.ModelWeights, s galenastair.LoadState) {
 	for i := range e.loaded {
 		if e.loaded[i].Weight == w {
 			e.loaded[i].State = s
@@ -121,7 +121,7 @@
 	}
 }
 
-func (e *engine) remove(w galenastair.Weight) {
+func (e *engine) remove(w galenastair.ModelWeights) {
 	for i := range e.loaded {
 		if e.loaded[i].Weight == w {
 			e.loaded = append(e.loaded[:i], e.loaded[i+1:]...)
--- a/measure/policy.go
+++ b/measure/policy.go
@@ -115,7 +115,7 @@
 	}
 	d.Work += 0.1*float64(req.PromptTokens) + float64(req.OutputTokens)
 	if !r.hasCopy(req) {
-		r.decisions = append(r.decisions, dispatch.Decision{Ticket: t, Err: galenastair.Refuse(galenastair.ErrNoBackendServer, time.Second, "")})
+		r.decisions = append(r.decisions, dispatch.Decision{Ticket: t, Err: galenastair.NewRefusal(galenastair.ErrNoBackendServer, time.Second, "")})
 		return t
 	}
 	if !r.send(t) {
@@ -162,7 +162,7 @@
 
 func hasReadyCopy(r galenastair.EngineReport, m galenastair.ModelName) bool {
 	for _, l := range r.Loaded {
-		if l.Weight.Name == m && l.State == galenastair.Ready {
+		if l.Weight.Name == m && l.State == galenastair.LoadStateReady {
 			return true
 		}
 	}
@@ -187,7 +187,7 @@
 		if now.Before(t.Request.Deadline) {
 			return false
 		}
-		r.decisions = append(r.decisions, dispatch.Decision{Ticket: t, Err: galenastair.Refuse(galenastair.ErrOverloaded, time.Second, "")})
+		r.decisions = append(r.decisions, dispatch.Decision{Ticket: t, Err: galenastair.NewRefusal(galenastair.ErrOverloaded, time.Second, "")})
 		return true
 	})
 }
--- a/node/listen.go
+++ b/node/listen.go
@@ -93,7 +93,7 @@
 	case n.stopping.Load():
 		return galenastair.ErrStopping
 	case current == nil || !ok || silence > n.maxHintAge()+readinessGrace:
-		return galenastair.ErrConfiguration
+		return galenastair.ErrNoConfiguration
 	default:
 		return nil
 	}
--- a/operator/handler_test.go
+++ b/operator/handler_test.go
@@ -77,7 +77,7 @@
 	m := NewMetrics()
 	end := func(first, between time.Duration, code galenastair.Code, attempts int) {
 		m.RequestEnded(request.Summary{
-			Organisation: "Furnir", Code: code, Outcome: galenastair.Ran, Used: 10,
+			Organisation: "Furnir", Code: code, Outcome: galenastair.OutcomeRan, Used: 10,
 			TimeToFirstToken: first, InterTokenLatency: between, Attempts: attempts,
 		})
 	}
--- a/outcome.go
+++ b/outcome.go
@@ -7,10 +7,10 @@
 const (
 	// OutcomeNotRun means that the request cannot have run: no backend server received any of it,
 	// or the backend server stated that it did not run it.
-	NotRun Outcome = "NotRun"
+	OutcomeNotRun Outcome = "NotRun"
 	// OutcomeRan means that a backend server ran the request, although the response was
 	// truncated or refused.
-	Ran Outcome = "Ran"
+	OutcomeRan Outcome = "Ran"
 	// OutcomeUnknown means that the request may or may not have run.
-	Unknown Outcome = "Unknown"
+	OutcomeUnknown Outcome = "Unknown"
 )
--- a/place/board.go
+++ b/place/board.go
@@ -62,7 +62,7 @@
 }
 
 type planModel struct {
-	weight   galenastair.Weight
+	weight   galenastair.ModelWeights
 	work     float64
 	adapters []*planModel
 	base     *planModel
--- a/place/fence.go
+++ b/place/fence.go
@@ -100,7 +100,7 @@
 	}
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	err = l.engine.Order(call, address, galenastair.Order{
+	err = l.engine.SendOrder(call, address, galenastair.Order{
 		ID:            galenastair.OrderID(uuid.NewString()),
 		Fence:         f,
 		BackendServer: id,
--- a/place/input.go
+++ b/place/input.go
@@ -21,7 +21,7 @@
 
 // Copy is a copy of a model or adapter on a backend server.
 type Copy struct {
-	Weight galenastair.Weight
+	Weight galenastair.ModelWeights
 	State  CopyState
 }
 
@@ -48,14 +48,14 @@
 	CachedModels map[galenastair.ModelName]bool
 	// Reserved lists the weights whose memory is reserved for orders that were probably
 	// lost. Another order for the same weight needs no more memory.
-	Reserved []galenastair.Weight
+	Reserved []galenastair.ModelWeights
 }
 
 // Input is everything that a planning round depends on.
 type Input struct {
 	Now       time.Time
 	Servers   []Server
-	Catalogue []galenastair.Weight
+	Catalogue []galenastair.ModelWeights
 	// Work returns the forecast work per second for a model or adapter, excluding the
 	// adapters of a model.
 	Work func(galenastair.ModelName) float64
@@ -84,6 +84,6 @@
 type Step struct {
 	Kind   galenastair.OrderKind
 	Server galenastair.BackendServerID
-	Weight galenastair.Weight
+	Weight galenastair.ModelWeights
 	Reason Reason
 }
--- a/place/large_test.go
+++ b/place/large_test.go
@@ -17,7 +17,7 @@
 	in := Input{Now: time.Unix(1000, 0)}
 	work := map[galenastair.ModelName]float64{}
 	for i := range models {
-		w := galenastair.Weight{Name: galenastair.ModelName(fmt.Sprint("m", i)), Memory: 10}
+		w := galenastair.ModelWeights{Name: galenastair.ModelName(fmt.Sprint("m", i)), Memory: 10}
 		in.Catalogue = append(in.Catalogue, w)
 		work[w.Name] = 40 / float64(i+1)
 	}
--- a/place/leader.go
+++ b/place/leader.go
@@ -75,7 +75,7 @@
 	fence        galenastair.Fence
 	servers      map[galenastair.BackendServerID]route.Server
 	reports      map[galenastair.BackendServerID]galenastair.EngineReport
-	catalogue    []galenastair.Weight
+	catalogue    []galenastair.ModelWeights
 	plannedSteps map[galenastair.BackendServerID][]Step
 	ownOrders    map[galenastair.OrderID]*ownOrder
 	polledAt     map[galenastair.BackendServerID]time.Time
--- a/place/leader_test.go
+++ b/place/leader_test.go
@@ -35,7 +35,7 @@
 
 	mu          sync.Mutex
 	log         []galenastair.Record
-	catalogue   []galenastair.Weight
+	catalogue   []galenastair.ModelWeights
 	engines     map[string]*galenastair.EngineReport
 	orders      []galenastair.Order
 	loseAnswers bool
@@ -48,8 +48,8 @@
 	for i := range models {
 		name := galenastair.ModelName(fmt.Sprint("m", i))
 		e.catalogue = append(e.catalogue,
-			galenastair.Weight{Name: name, Memory: 10},
-			galenastair.Weight{Name: name + "-a", Base: name, Memory: 1})
+			galenastair.ModelWeights{Name: name, Memory: 10},
+			galenastair.ModelWeights{Name: name + "-a", Base: name, Memory: 1})
 	}
 	var list []route.Server
 	for i := range engines {
@@ -105,7 +105,9 @@
 	}
 }
 
-func (e *testEnv) Catalogue(context.Context) ([]galenastair.Weight, error) { return e.catalogue, nil }
+func (e *testEnv) Catalogue(context.Context) ([]galenastair.ModelWeights, error) {
+	return e.catalogue, nil
+}
 
 func (e *testEnv) Append(ctx context.Context, _ galenastair.Stream, data []byte) (galenastair.Offset, error) {
 	if e.logDown.Load() {
@@ -143,7 +145,7 @@
 	return r, nil
 }
 
-func (e *testEnv) Order(_ context.Context, address string, o galenastair.Order) error {
+func (e *testEnv) SendOrder(_ context.Context, address string, o galenastair.Order) error {
 	if delay := time.Duration(e.firstAnswerDelay.Swap(0)); delay > 0 {
 		defer time.Sleep(delay)
 	}
@@ -162,9 +164,9 @@
 	}
 	e.orders = append(e.orders, o)
 	if o.Kind == galenastair.UnloadModel {
-		r.Loaded = slices.DeleteFunc(r.Loaded, func(l galenastair.LoadedWeight) bool { return l.Weight == o.Weight })
+		r.Loaded = slices.DeleteFunc(r.Loaded, func(l galenastair.LoadedWeights) bool { return l.Weight == o.Weight })
 	} else {
-		r.Loaded = append(r.Loaded, galenastair.LoadedWeight{Weight: o.Weight, State: galenastair.Ready, Order: o.ID})
+		r.Loaded = append(r.Loaded, galenastair.LoadedWeights{Weight: o.Weight, State: galenastair.LoadStateReady, Order: o.ID})
 	}
 	var used galenastair.Bytes
 	for _, l := range r.Loaded {
--- a/place/order.go
+++ b/place/order.go
@@ -143,7 +143,7 @@
 
 func hasReady(r galenastair.EngineReport, m galenastair.ModelName) bool {
 	for _, w := range r.Loaded {
-		if w.Weight.Name == m && w.State == galenastair.Ready {
+		if w.Weight.Name == m && w.State == galenastair.LoadStateReady {
 			return true
 		}
 	}
@@ -217,7 +217,7 @@
 	// If the process is paused here, the order may arrive after the lease has expired. An
 	// engine that checks fences rejects it; for the others the ledger keeps the memory
 	// reserved for the order lifetime.
-	err := l.engine.Order(call, address, o.order)
+	err := l.engine.SendOrder(call, address, o.order)
 	switch {
 	case err == nil:
 		l.endOrder(ctx, o, ledger.Answered)
--- a/place/planner_test.go
+++ b/place/planner_test.go
@@ -16,7 +16,7 @@
 	now        time.Time
 	total      galenastair.Bytes
 	servers    []Server
-	catalogue  []galenastair.Weight
+	catalogue  []galenastair.ModelWeights
 	work       map[galenastair.ModelName]float64
 	inProgress []stepInProgress
 	steps      []Step
@@ -36,9 +36,9 @@
 	}
 	for i := range models {
 		name := galenastair.ModelName(fmt.Sprint("m", i))
-		f.catalogue = append(f.catalogue, galenastair.Weight{Name: name, Memory: galenastair.Bytes(10 + i%7)})
+		f.catalogue = append(f.catalogue, galenastair.ModelWeights{Name: name, Memory: galenastair.Bytes(10 + i%7)})
 		for j := range adapters {
-			f.catalogue = append(f.catalogue, galenastair.Weight{Name: galenastair.ModelName(fmt.Sprint("m", i, "-a", j)), Base: name, Memory: 1})
+			f.catalogue = append(f.catalogue, galenastair.ModelWeights{Name: galenastair.ModelName(fmt.Sprint("m", i, "-a", j)), Base: name, Memory: 1})
 		}
 	}
 	return f
--- a/place/round.go
+++ b/place/round.go
@@ -208,9 +208,9 @@
 
 func copyStateOf(s galenastair.LoadState) CopyState {
 	switch s {
-	case galenastair.Ready:
+	case galenastair.LoadStateReady:
 		return Ready
-	case galenastair.Unloading:
+	case galenastair.LoadStateUnloading:
 		return Unloading
 	}
 	return Loading
@@ -221,7 +221,7 @@
 	version string
 }
 
-func key(w galenastair.Weight) weightKey { return weightKey{w.Name, w.Version} }
+func key(w galenastair.ModelWeights) weightKey { return weightKey{w.Name, w.Version} }
 
 // view collects the copies on a backend server and the memory that they may take.
 type view struct {
@@ -229,16 +229,16 @@
 	memory map[weightKey]galenastair.Bytes
 }
 
-func (v view) reserve(w galenastair.Weight) { v.memory[key(w)] = max(v.memory[key(w)], w.Memory) }
+func (v view) reserve(w galenastair.ModelWeights) { v.memory[key(w)] = max(v.memory[key(w)], w.Memory) }
 
-func (v view) add(w galenastair.Weight, s CopyState) {
+func (v view) add(w galenastair.ModelWeights, s CopyState) {
 	v.reserve(w)
 	v.copies[key(w)] = &Copy{w, s}
 }
 
 // applyOrder applies an order that may or may not have been carried out: a copy that may be
 // unloaded counts as unloading, and one that may be loaded as still loading.
-func (v view) applyOrder(k galenastair.OrderKind, w galenastair.Weight) {
+func (v view) applyOrder(k galenastair.OrderKind, w galenastair.ModelWeights) {
 	c := v.copies[key(w)]
 	switch {
 	case k == galenastair.LoadModel && c == nil:
--- a/place/successor_test.go
+++ b/place/successor_test.go
@@ -18,7 +18,7 @@
 // fakeEngines accept all orders and report what these have loaded.
 type fakeEngines struct {
 	mu     sync.Mutex
-	loaded map[string][]galenastair.LoadedWeight
+	loaded map[string][]galenastair.LoadedWeights
 	orders []galenastair.Order
 	galenastair.Engine
 }
@@ -31,11 +31,11 @@
 	}, nil
 }
 
-func (e *fakeEngines) Order(_ context.Context, server string, o galenastair.Order) error {
+func (e *fakeEngines) SendOrder(_ context.Context, server string, o galenastair.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.orders = append(e.orders, o)
-	e.loaded[server] = append(e.loaded[server], galenastair.LoadedWeight{Weight: o.Weight, State: galenastair.Ready, Order: o.ID})
+	e.loaded[server] = append(e.loaded[server], galenastair.LoadedWeights{Weight: o.Weight, State: galenastair.LoadStateReady, Order: o.ID})
 	return nil
 }
 
@@ -61,11 +61,13 @@
 	return 1, f.loop.Post(ctx, func() { f.leader.applyRecord(time.Now(), rec, f.recordLeader) })
 }
 
-type fakeStore struct{ weights []galenastair.Weight }
+type fakeStore struct{ weights []galenastair.ModelWeights }
 
-func (s fakeStore) Catalogue(context.Context) ([]galenastair.Weight, error) { return s.weights, nil }
+func (s fakeStore) Catalogue(context.Context) ([]galenastair.ModelWeights, error) {
+	return s.weights, nil
+}
 
-func settledOrder(t *testing.T, w galenastair.Weight, by galenastair.Fence, author string) []galenastair.Record {
+func settledOrder(t *testing.T, w galenastair.ModelWeights, by galenastair.Fence, author string) []galenastair.Record {
 	is := is.New(t)
 	o := galenastair.Order{ID: "old", Fence: by, BackendServer: "e1", Kind: galenastair.LoadModel, Weight: w}
 	issued, err := json.Marshal(ledger.Issued{Order: o})
@@ -83,11 +85,11 @@
 // outage followed. The test fails without pollPendingOrders.
 func TestSuccessorLoadsAtOnceWhatAnEngineLost(t *testing.T) {
 	is := is.New(t)
-	weight := galenastair.Weight{Name: "m", Memory: 10}
-	engines := &fakeEngines{loaded: map[string][]galenastair.LoadedWeight{}}
+	weight := galenastair.ModelWeights{Name: "m", Memory: 10}
+	engines := &fakeEngines{loaded: map[string][]galenastair.LoadedWeights{}}
 	log := &loopbackLog{recordLeader: ledger.Leader{ID: "entry-2", Fence: 9}, loop: control.NewLoop()}
 	l := NewLeader("entry-2", "r", Dependencies{
-		Engine: engines, Log: log, Store: fakeStore{[]galenastair.Weight{weight}}, Loop: log.loop,
+		Engine: engines, Log: log, Store: fakeStore{[]galenastair.ModelWeights{weight}}, Loop: log.loop,
 		Leadership: func(time.Time) (galenastair.Fence, bool) { return 9, true },
 	})
 	log.leader = l
@@ -112,11 +114,11 @@
 // counted the order as loading for 10 s from its own start, and the model had no copy meanwhile.
 func TestSuccessorWaitsNoLongerForAnOldOrder(t *testing.T) {
 	is := is.New(t)
-	weight := galenastair.Weight{Name: "m", Memory: 10}
-	engines := &fakeEngines{loaded: map[string][]galenastair.LoadedWeight{}}
+	weight := galenastair.ModelWeights{Name: "m", Memory: 10}
+	engines := &fakeEngines{loaded: map[string][]galenastair.LoadedWeights{}}
 	log := &loopbackLog{recordLeader: ledger.Leader{ID: "entry-2", Fence: 9}, loop: control.NewLoop()}
 	l := NewLeader("entry-2", "r", Dependencies{
-		Engine: engines, Log: log, Store: fakeStore{[]galenastair.Weight{weight}}, Loop: log.loop,
+		Engine: engines, Log: log, Store: fakeStore{[]galenastair.ModelWeights{weight}}, Loop: log.loop,
 		Leadership: func(time.Time) (galenastair.Fence, bool) { return 9, true },
 	})
 	log.leader = l
--- a/planner/bed_test.go
+++ b/planner/bed_test.go
@@ -63,21 +63,21 @@
 
 // apply executes an order only if its sequence number is the number of accepted orders, as engines
 // do.
-func (e *fakeEngine) apply(o galenastair.EngineOrder) galenastair.OrderAnswer {
+func (e *fakeEngine) apply(o galenastair.EngineOrder) galenastair.OrderResult {
 	if o.Fence < e.fence {
-		return galenastair.OrderFenced
+		return galenastair.OrderStaleFence
 	}
 	e.fence = o.Fence
-	if o.Sequence != e.sequence {
-		return galenastair.OrderBusy
+	if o.ExpectedSequence != e.sequence {
+		return galenastair.OrderConflict
 	}
 	held, loaded := e.models[o.Model]
 	has := loaded && (o.Adapter == "" || slices.Contains(held, o.Adapter))
 	if has == (o.Kind == galenastair.LoadModel) {
-		return galenastair.OrderHeld
+		return galenastair.OrderDone
 	}
 	if o.Adapter != "" && !loaded {
-		return galenastair.OrderWrong
+		return galenastair.OrderInvalid
 	}
 	e.sequence++
 	switch {
@@ -85,7 +85,7 @@
 		e.models[o.Model] = append(held, o.Adapter)
 	case o.Adapter != "":
 		e.models[o.Model] = slices.DeleteFunc(held, func(a string) bool { return a == o.Adapter })
-		return galenastair.OrderHeld
+		return galenastair.OrderDone
 	case o.Kind == galenastair.LoadModel:
 		e.models[o.Model] = nil
 	default:
@@ -105,10 +105,10 @@
 	}
 }
 
-func (e *fakeEngine) listModels() []galenastair.EngineModel {
-	var out []galenastair.EngineModel
+func (e *fakeEngine) listModels() []galenastair.LoadedModel {
+	var out []galenastair.LoadedModel
 	for name, adapters := range e.models {
-		out = append(out, galenastair.EngineModel{Name: name, Adapters: slices.Clone(adapters)})
+		out = append(out, galenastair.LoadedModel{Name: name, Adapters: slices.Clone(adapters)})
 	}
 	return out
 }
@@ -136,7 +136,7 @@
 	server pool.Server
 }
 
-func (f *fakeFleet) Order(_ context.Context, address string, o galenastair.EngineOrder) (galenastair.OrderAnswer, error) {
+func (f *fakeFleet) SendOrder(_ context.Context, address string, o galenastair.EngineOrder) (galenastair.OrderResult, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.fakes[address]
--- a/planner/contents.go
+++ b/planner/contents.go
@@ -14,7 +14,7 @@
 	models  map[galenastair.ModelName]*catalog.Model
 	// adapters lists each model's adapters as MODEL/ADAPTER.
 	adapters       map[galenastair.ModelName][]galenastair.ModelName
-	weights        []galenastair.Weight
+	weights        []galenastair.ModelWeights
 	largestAdapter galenastair.Bytes
 }
 
@@ -27,7 +27,7 @@
 		for n := 1; n <= m.AdapterCount; n++ {
 			ms.adapters[m.Name] = append(ms.adapters[m.Name], adapterName(m.Name, "a"+strconv.Itoa(n)))
 		}
-		ms.weights = append(ms.weights, galenastair.Weight{Name: m.Name, Memory: m.Memory})
+		ms.weights = append(ms.weights, galenastair.ModelWeights{Name: m.Name, Memory: m.Memory})
 		if m.AdapterCount > 0 {
 			ms.largestAdapter = max(ms.largestAdapter, m.AdapterMemory)
 		}
--- a/planner/engine.go
+++ b/planner/engine.go
@@ -122,7 +122,7 @@
 // applyState applies the state that an idle engine returned.
 func (e *engine) applyState(now time.Time, s galenastair.EngineState) {
 	models, adapters := listedNames(s.Models)
-	for _, name := range s.Fetching {
+	for _, name := range s.LoadingAdapters {
 		adapters[name] = true
 	}
 	syncCopies(now, e.models, models, maxReportAge, true)
@@ -133,7 +133,7 @@
 	}
 }
 
-func listedNames(ms []galenastair.EngineModel) (models, adapters map[galenastair.ModelName]bool) {
+func listedNames(ms []galenastair.LoadedModel) (models, adapters map[galenastair.ModelName]bool) {
 	models, adapters = map[galenastair.ModelName]bool{}, map[galenastair.ModelName]bool{}
 	for _, m := range ms {
 		models[m.Name] = true
--- a/planner/engine_test.go
+++ b/planner/engine_test.go
@@ -31,7 +31,7 @@
 	}})
 }
 
-func testEngine(models ...galenastair.EngineModel) *engine {
+func testEngine(models ...galenastair.LoadedModel) *engine {
 	return newEngine(pool.Server{ID: "e1", Service: "writer", Incarnation: 1, Heartbeat: 1, Models: models})
 }
 
@@ -41,9 +41,9 @@
 func TestQueuedLoadKeepsMemoryAfterStateQuery(t *testing.T) {
 	is := is.New(t)
 	models, now := testModels(), time.Now()
-	e := testEngine(galenastair.EngineModel{Name: "m1"}, galenastair.EngineModel{Name: "m2"})
+	e := testEngine(galenastair.LoadedModel{Name: "m1"}, galenastair.LoadedModel{Name: "m2"})
 	e.enqueue(now, queuedOrder{kind: galenastair.LoadModel, model: "m3"})
-	e.applyState(now, galenastair.EngineState{Sequence: 7, Models: []galenastair.EngineModel{{Name: "m1"}, {Name: "m2"}}})
+	e.applyState(now, galenastair.EngineState{Sequence: 7, Models: []galenastair.LoadedModel{{Name: "m1"}, {Name: "m2"}}})
 	is.Equal(e.models["m3"].state, place.Loading)
 	is.True(e.freeMemory(models) < 72*gigabyte)
 	e.enqueue(now, queuedOrder{kind: galenastair.LoadModel, model: "m4"})
@@ -55,7 +55,7 @@
 func TestAdapterInUseKeepsItsSlot(t *testing.T) {
 	is := is.New(t)
 	models, now := testModels(), time.Now()
-	e := testEngine(galenastair.EngineModel{Name: "m1", Adapters: []string{"a1", "a2"}})
+	e := testEngine(galenastair.LoadedModel{Name: "m1", Adapters: []string{"a1", "a2"}})
 	unload := queuedOrder{kind: galenastair.UnloadModel, model: "m1", adapter: "a1"}
 	e.enqueue(now, unload)
 	e.accepted(now, unload)
@@ -63,7 +63,7 @@
 	e.queue = nil
 	e.enqueue(now, load)
 	is.True(!e.hasRoom(models, load))
-	state := galenastair.EngineState{Sequence: 1, Models: []galenastair.EngineModel{{Name: "m1", Adapters: []string{"a2"}}}}
+	state := galenastair.EngineState{Sequence: 1, Models: []galenastair.LoadedModel{{Name: "m1", Adapters: []string{"a2"}}}}
 	// the engine no longer lists the adapter, but still runs requests that use it
 	e.applyState(now.Add(time.Second), state)
 	is.True(!e.hasRoom(models, load))
@@ -76,13 +76,13 @@
 func TestLateRegistrationKeepsOrderedLoad(t *testing.T) {
 	is := is.New(t)
 	models, now := testModels(), time.Now()
-	e := testEngine(galenastair.EngineModel{Name: "m1"}, galenastair.EngineModel{Name: "m2"})
+	e := testEngine(galenastair.LoadedModel{Name: "m1"}, galenastair.LoadedModel{Name: "m2"})
 	load := queuedOrder{kind: galenastair.LoadModel, model: "m3"}
 	e.enqueue(now, load)
 	e.accepted(now, load)
 	e.queue = nil
 	e.leading = true
-	late := pool.Server{ID: "e1", Service: "writer", Incarnation: 1, Heartbeat: 2, Models: []galenastair.EngineModel{{Name: "m1"}, {Name: "m2"}}}
+	late := pool.Server{ID: "e1", Service: "writer", Incarnation: 1, Heartbeat: 2, Models: []galenastair.LoadedModel{{Name: "m1"}, {Name: "m2"}}}
 	e.applyRegistration(now.Add(time.Second), late)
 	is.True(e.freeMemory(models) < 72*gigabyte)
 	is.True(!e.stateUnknown)
@@ -99,12 +99,12 @@
 func TestRegistrationOlderThanStateRemovesNothing(t *testing.T) {
 	is := is.New(t)
 	models, now := testModels(), time.Now()
-	e := testEngine(galenastair.EngineModel{Name: "m1"}, galenastair.EngineModel{Name: "m2"})
+	e := testEngine(galenastair.LoadedModel{Name: "m1"}, galenastair.LoadedModel{Name: "m2"})
 	e.beginTerm()
-	three := []galenastair.EngineModel{{Name: "m1", Adapters: []string{"a1"}}, {Name: "m2"}, {Name: "m3"}}
+	three := []galenastair.LoadedModel{{Name: "m1", Adapters: []string{"a1"}}, {Name: "m2"}, {Name: "m3"}}
 	e.applyState(now, galenastair.EngineState{Sequence: 3, Models: three})
 	e.stateUnknown = false
-	old := pool.Server{ID: "e1", Service: "writer", Incarnation: 1, Heartbeat: 2, Models: []galenastair.EngineModel{{Name: "m1"}, {Name: "m2"}}}
+	old := pool.Server{ID: "e1", Service: "writer", Incarnation: 1, Heartbeat: 2, Models: []galenastair.LoadedModel{{Name: "m1"}, {Name: "m2"}}}
 	e.applyRegistration(now.Add(maxRegistrationDelay/2), old)
 	is.True(e.freeMemory(models) < 72*gigabyte)
 	is.Equal(len(e.adapters), 1)
@@ -120,7 +120,7 @@
 	is := is.New(t)
 	s := newService(&catalog.Service{Name: "writer", Engine: testModels().engine})
 	now := time.Now()
-	s.setEngine(now, pool.Server{ID: "e1", Incarnation: 1, Heartbeat: 9, Models: []galenastair.EngineModel{{Name: "m1"}}})
+	s.setEngine(now, pool.Server{ID: "e1", Incarnation: 1, Heartbeat: 9, Models: []galenastair.LoadedModel{{Name: "m1"}}})
 	s.engines["e1"].sequence = 4
 	s.setEngine(now, pool.Server{ID: "e1", Incarnation: 2, Heartbeat: 1})
 	is.Equal(s.engines["e1"].sequence, int64(0))
--- a/planner/large_test.go
+++ b/planner/large_test.go
@@ -23,7 +23,7 @@
 	for i := range engines {
 		srv := pool.Server{ID: galenastair.BackendServerID(fmt.Sprint("e", i)), Service: "writer", Slots: 64, Incarnation: 1, Heartbeat: 1}
 		for p := range 3 {
-			srv.Models = append(srv.Models, galenastair.EngineModel{Name: e.Models[(3*i+p)%models].Name, Adapters: []string{"a1", "a2"}})
+			srv.Models = append(srv.Models, galenastair.LoadedModel{Name: e.Models[(3*i+p)%models].Name, Adapters: []string{"a1", "a2"}})
 		}
 		s.setEngine(now, srv)
 	}
--- a/planner/order.go
+++ b/planner/order.go
@@ -36,13 +36,13 @@
 		return
 	}
 	order := galenastair.EngineOrder{
-		Kind:     q.kind,
-		Model:    q.model,
-		Adapter:  q.adapter,
-		Sequence: e.sequence,
-		Holder:   p.self,
-		Fence:    fence,
-		Expect:   e.server.ID,
+		Kind:             q.kind,
+		Model:            q.model,
+		Adapter:          q.adapter,
+		ExpectedSequence: e.sequence,
+		Holder:           p.self,
+		Fence:            fence,
+		ExpectedServer:   e.server.ID,
 	}
 	e.orderInFlight = true
 	held := e.heldSummary()
@@ -54,14 +54,14 @@
 // send sends one order. It checks the lease again immediately before the call, since the process
 // may have been suspended after the order was planned.
 func (p *Planner) send(s *service, e *engine, q queuedOrder, address string, o galenastair.EngineOrder, held string) {
-	answer, err := galenastair.OrderWrong, ErrNotLeader
+	answer, err := galenastair.OrderInvalid, ErrNotLeader
 	fence, ok := p.lease.OrderFence()
 	sent := ok && fence == o.Fence
 	if sent {
-		answer, err = p.control.Order(p.ctx, address, o)
+		answer, err = p.control.SendOrder(p.ctx, address, o)
 	}
-	p.logger.Log("event", "order", "kind", q.kind, "name", q.name(), "server", o.Expect, "reason", q.reason,
-		"fence", int64(o.Fence), "sequence", o.Sequence, "held", held, "answer", outcomeLabel(answer, err), "err", err)
+	p.logger.Log("event", "order", "kind", q.kind, "name", q.name(), "server", o.ExpectedServer, "reason", q.reason,
+		"fence", int64(o.Fence), "sequence", o.ExpectedSequence, "held", held, "answer", outcomeLabel(answer, err), "err", err)
 	p.onOrder(q.kind, q.reason, outcomeLabel(answer, err))
 	_ = p.loop.Post(p.ctx, func() {
 		e.orderInFlight = false
@@ -69,27 +69,27 @@
 	})
 }
 
-func outcomeLabel(a galenastair.OrderAnswer, err error) string {
+func outcomeLabel(a galenastair.OrderResult, err error) string {
 	if err != nil {
 		return "Unknown"
 	}
 	switch a {
 	case galenastair.OrderAccepted:
 		return "Accepted"
-	case galenastair.OrderHeld:
+	case galenastair.OrderDone:
 		return "Held"
-	case galenastair.OrderBusy:
+	case galenastair.OrderConflict:
 		return "Busy"
-	case galenastair.OrderFenced:
+	case galenastair.OrderStaleFence:
 		return "Fenced"
-	case galenastair.OrderGone:
+	case galenastair.OrderMisdirected:
 		return "Gone"
 	}
 	return "Wrong"
 }
 
 // handleOutcome processes the outcome of an order.
-func (p *Planner) handleOutcome(s *service, e *engine, q queuedOrder, o galenastair.EngineOrder, sent bool, a galenastair.OrderAnswer, err error) {
+func (p *Planner) handleOutcome(s *service, e *engine, q queuedOrder, o galenastair.EngineOrder, sent bool, a galenastair.OrderResult, err error) {
 	now := p.clock.Now()
 	switch {
 	case !sent:
@@ -99,20 +99,20 @@
 		// the order may still take effect seconds later, unless another order is accepted first;
 		// the engine's state shows whether it has
 		e.stateUnknown, e.retryAt = true, now.Add(unansweredRetryDelay)
-		e.lostSequence, e.lostUntil = o.Sequence, now.Add(maxOrderDelay)
+		e.lostSequence, e.lostUntil = o.ExpectedSequence, now.Add(maxOrderDelay)
 		return
 	}
 	switch a {
 	case galenastair.OrderAccepted:
 		e.accepted(now, q)
 		p.finish(now, e, q)
-	case galenastair.OrderHeld:
+	case galenastair.OrderDone:
 		e.alreadyApplied(now, q)
 		p.finish(now, e, q)
-	case galenastair.OrderBusy:
+	case galenastair.OrderConflict:
 		e.stateUnknown, e.retryAt = true, now.Add(busyRetryDelay)
 		return
-	case galenastair.OrderFenced:
+	case galenastair.OrderStaleFence:
 		p.lease.FenceRejected(o.Fence)
 		p.abandon(e, q)
 	default:
@@ -205,7 +205,7 @@
 			has = has || a == q.adapter
 		}
 	}
-	for _, f := range state.Fetching {
+	for _, f := range state.LoadingAdapters {
 		has = has || f == q.name()
 	}
 	if has == (q.kind == galenastair.LoadModel) {
--- a/planner/planner_test.go
+++ b/planner/planner_test.go
@@ -197,7 +197,7 @@
 	h := newHarness(t, 1, 2)
 	h.step(time.Second)
 	h.step(time.Second)
-	var models [2][]galenastair.EngineModel
+	var models [2][]galenastair.LoadedModel
 	for i := range models {
 		models[i] = h.fleet.fakes[fmt.Sprintf("e%d", i)].listModels()
 	}
--- a/planner/site.go
+++ b/planner/site.go
@@ -115,7 +115,7 @@
 		in.CachedModels[name] = true
 	}
 	for name, c := range e.models {
-		w := galenastair.Weight{Name: name, Memory: s.modelSet.memory(name)}
+		w := galenastair.ModelWeights{Name: name, Memory: s.modelSet.memory(name)}
 		in.Copies = append(in.Copies, place.Copy{Weight: w, State: c.state})
 	}
 	return in
--- a/planner/site_test.go
+++ b/planner/site_test.go
@@ -17,7 +17,7 @@
 	plan := newPlacer(&catalog.Engine{LoadsPerSecond: 5, Models: []catalog.Model{{Name: "m", LoadTime: load}}})
 	in := place.Input{
 		Now:       time.Unix(1000, 0),
-		Catalogue: []galenastair.Weight{{Name: "m", Memory: 10}, {Name: "n", Memory: 10}},
+		Catalogue: []galenastair.ModelWeights{{Name: "m", Memory: 10}, {Name: "n", Memory: 10}},
 		Work: func(name galenastair.ModelName) float64 {
 			return map[galenastair.ModelName]float64{"m": 0.9, "n": 0.5}[name]
 		},
@@ -25,7 +25,7 @@
 	for i, name := range []galenastair.ModelName{"m", "n"} {
 		in.Servers = append(in.Servers, place.Server{
 			ID: galenastair.BackendServerID(string(rune('a' + i))), FreeMemory: 20,
-			Copies: []place.Copy{{Weight: galenastair.Weight{Name: name, Memory: 10}, State: place.Ready}},
+			Copies: []place.Copy{{Weight: galenastair.ModelWeights{Name: name, Memory: 10}, State: place.Ready}},
 		})
 	}
 	n := 0
--- a/pool/cache.go
+++ b/pool/cache.go
@@ -22,11 +22,11 @@
 
 // prefixKeys returns a key for each prefix of the prompt's parts. A part is cached only together
 // with all parts before it, and only for the same model and adapter.
-func prefixKeys(h galenastair.Hints) []uint64 {
-	keys := make([]uint64, len(h.Parts))
+func prefixKeys(h galenastair.RequestHints) []uint64 {
+	keys := make([]uint64, len(h.PromptParts))
 	d := xxhash.New()
 	_, _ = d.WriteString(string(h.Model))
-	for i, p := range h.Parts {
+	for i, p := range h.PromptParts {
 		_, _ = d.WriteString("," + p.ID)
 		keys[i] = d.Sum64()
 	}
--- a/pool/choose.go
+++ b/pool/choose.go
@@ -53,7 +53,7 @@
 
 // Choose picks a server for a request. If there is none, the reason says why.
 func (p *Pool) Choose(now time.Time, q Query) (Choice, bool) {
-	q.keys = prefixKeys(q.Hints)
+	q.keys = prefixKeys(q.RequestHints)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	candidates := p.candidates(now, &q)
@@ -72,7 +72,7 @@
 	return Choice{
 		Server:           best.Server,
 		PredictedLatency: p.predictLatency(now, best, &q),
-		CachedTokens:     best.cache.match(q.keys, q.Parts),
+		CachedTokens:     best.cache.match(q.keys, q.PromptParts),
 		Candidates:       len(candidates),
 		Limit:            best.limit.withAge(now, best.ID),
 		Reason:           reason,
--- a/pool/cost.go
+++ b/pool/cost.go
@@ -63,20 +63,20 @@
 // observePrefill records the time to the first event. It counts only if no other prompt was
 // pending when the request was sent, as the time would otherwise include those prompts.
 func (a *Attempt) observePrefill(now time.Time) {
-	if !a.unqueued || a.query.Prompt <= 0 {
+	if !a.unqueued || a.query.PromptTokens <= 0 {
 		return
 	}
-	seconds := now.Sub(a.beganAt).Seconds() / float64(a.query.Prompt)
+	seconds := now.Sub(a.beganAt).Seconds() / float64(a.query.PromptTokens)
 	a.pool.costOf(&a.query).prefill.observe(seconds)
 	a.pool.overall.prefill.observe(seconds)
 }
 
 // observeDecode records the time from the first event to the end of an answer.
 func (a *Attempt) observeDecode(now time.Time) {
-	if !a.query.engine() || a.query.Output <= 0 {
+	if !a.query.engine() || a.query.OutputTokens <= 0 {
 		return
 	}
-	seconds := now.Sub(a.startedAt).Seconds() / float64(a.query.Output)
+	seconds := now.Sub(a.startedAt).Seconds() / float64(a.query.OutputTokens)
 	a.pool.costOf(&a.query).decode.observe(seconds)
 	a.pool.overall.decode.observe(seconds)
 }
@@ -88,9 +88,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := p.costOf(&q)
-	seconds := float64(q.Prompt) * c.prefill.value
+	seconds := float64(q.PromptTokens) * c.prefill.value
 	if slots := p.slotsOf(q.Service); slots > 0 {
-		seconds += float64(q.Output) * c.decode.value / float64(slots)
+		seconds += float64(q.OutputTokens) * c.decode.value / float64(slots)
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
--- a/pool/cost_test.go
+++ b/pool/cost_test.go
@@ -14,10 +14,10 @@
 // them, and callers would find no copy of a model that is being moved.
 func TestEngineTimeFollowsObservedSpeed(t *testing.T) {
 	is := is.New(t)
-	q := Query{Service: "llm", Hints: galenastair.Hints{Model: "m/a1", Prompt: 9000, Output: 60}, TargetLatency: time.Second}
+	q := Query{Service: "llm", RequestHints: galenastair.RequestHints{Model: "m/a1", PromptTokens: 9000, OutputTokens: 60}, TargetLatency: time.Second}
 	predicted := func(reads, runs time.Duration) float64 {
 		p := testPool()
-		p.Set(start, Server{ID: "e1", Service: "llm", Slots: 10, Models: []galenastair.EngineModel{{Name: "m", Adapters: []string{"a1"}}}})
+		p.Set(start, Server{ID: "e1", Service: "llm", Slots: 10, Models: []galenastair.LoadedModel{{Name: "m", Adapters: []string{"a1"}}}})
 		now := start
 		for range 200 {
 			a := p.Begin(now, "e1", q)
@@ -37,8 +37,8 @@
 func TestEngineTimeExcludesQueueing(t *testing.T) {
 	is := is.New(t)
 	p := testPool()
-	p.Set(start, Server{ID: "e1", Service: "llm", Slots: 10, Models: []galenastair.EngineModel{{Name: "m"}}})
-	q := Query{Service: "llm", Hints: galenastair.Hints{Model: "m", Prompt: 2040}, TargetLatency: time.Second}
+	p.Set(start, Server{ID: "e1", Service: "llm", Slots: 10, Models: []galenastair.LoadedModel{{Name: "m"}}})
+	q := Query{Service: "llm", RequestHints: galenastair.RequestHints{Model: "m", PromptTokens: 2040}, TargetLatency: time.Second}
 	alone := p.EngineTime(q)
 	now := start
 	for range 50 {
--- a/pool/flight.go
+++ b/pool/flight.go
@@ -41,7 +41,7 @@
 
 // Begin records a request that is about to be sent to a server.
 func (p *Pool) Begin(now time.Time, id galenastair.BackendServerID, q Query) *Attempt {
-	q.keys = prefixKeys(q.Hints)
+	q.keys = prefixKeys(q.RequestHints)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a := &Attempt{pool: p, query: q, beganAt: now}
@@ -54,7 +54,7 @@
 	a.nominal = b.nominal(now, &q)
 	a.unqueued = q.engine() && b.pendingTokens == 0 && b.peerPendingTokens(now) < 1
 	b.inFlight++
-	b.pendingTokens += q.Prompt
+	b.pendingTokens += q.PromptTokens
 	if !q.NoRetry && b.health.mayProbe(now) {
 		b.health.probing = true
 	}
@@ -71,7 +71,7 @@
 		return
 	}
 	a.started, a.startedAt = true, now
-	a.backend.pendingTokens -= a.query.Prompt
+	a.backend.pendingTokens -= a.query.PromptTokens
 	a.backend.health.started(now)
 	a.observePrefill(now)
 	ratio := float64(now.Sub(a.beganAt)) / float64(a.nominal)
@@ -91,7 +91,7 @@
 	b := a.backend
 	b.inFlight--
 	if !a.started {
-		b.pendingTokens -= a.query.Prompt
+		b.pendingTokens -= a.query.PromptTokens
 		b.health.awaitingFirstEvent = max(0, b.health.awaitingFirstEvent-1)
 	}
 	switch r {
--- a/pool/forecast.go
+++ b/pool/forecast.go
@@ -60,7 +60,7 @@
 	if !q.engine() {
 		return b.nominalPlain(now)
 	}
-	tokens := float64(b.pendingTokens) + b.peerPendingTokens(now) + float64(q.Prompt-b.cache.match(q.keys, q.Parts))
+	tokens := float64(b.pendingTokens) + b.peerPendingTokens(now) + float64(q.PromptTokens-b.cache.match(q.keys, q.PromptParts))
 	prefill := time.Duration(tokens / prefillTokensPerSecond * float64(time.Second))
 	inFlight := float64(b.inFlight) + b.peerInFlight(now)
 	decode := 2 * (decodeStep + time.Duration(inFlight*float64(decodeStepPerRequest)))
@@ -106,7 +106,7 @@
 // Query describes the request to choose a server for.
 type Query struct {
 	Service galenastair.ServiceName
-	galenastair.Hints
+	galenastair.RequestHints
 	// TargetLatency is the time within which the first event should arrive.
 	TargetLatency time.Duration
 	// NoRetry is set if the request must not be sent twice.
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -134,7 +134,7 @@
 }
 
 // modelNames returns the names of the models, and MODEL/ADAPTER for each adapter.
-func modelNames(models []galenastair.EngineModel) map[galenastair.ModelName]bool {
+func modelNames(models []galenastair.LoadedModel) map[galenastair.ModelName]bool {
 	out := map[galenastair.ModelName]bool{}
 	for _, e := range models {
 		out[e.Name] = true
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -20,15 +20,15 @@
 	for i, zone := range []galenastair.AvailabilityZone{"z1", "z1", "z2"} {
 		p.Set(start, Server{
 			ID: galenastair.BackendServerID("s" + strconv.Itoa(i+1)), Service: "writer", AvailabilityZone: zone,
-			Slots: 64, Incarnation: 1, Heartbeat: 1, Models: []galenastair.EngineModel{{Name: "m", Adapters: []string{"a1"}}},
+			Slots: 64, Incarnation: 1, Heartbeat: 1, Models: []galenastair.LoadedModel{{Name: "m", Adapters: []string{"a1"}}},
 		})
 	}
 	return p
 }
 
 func testQuery() Query {
-	return Query{Service: "writer", TargetLatency: 800 * time.Millisecond, Hints: galenastair.Hints{Model: "m", Prompt: 2000, Output: 20,
-		Parts: []galenastair.PromptPart{{ID: "shared", Tokens: 500}, {ID: "own", Tokens: 1500}}}}
+	return Query{Service: "writer", TargetLatency: 800 * time.Millisecond, RequestHints: galenastair.RequestHints{Model: "m", PromptTokens: 2000, OutputTokens: 20,
+		PromptParts: []galenastair.PromptPart{{ID: "shared", Tokens: 500}, {ID: "own", Tokens: 1500}}}}
 }
 
 // runRequests sends n requests, one per gap, to servers whose first event comes after the time
@@ -58,7 +58,7 @@
 		}
 		running = rest
 		q := testQuery()
-		q.Parts[1].ID = strconv.Itoa(n)
+		q.PromptParts[1].ID = strconv.Itoa(n)
 		c, ok := p.Choose(now, q)
 		if !ok {
 			t.Fatal("no choice")
@@ -146,11 +146,11 @@
 	is := is.New(t)
 	p := testPool()
 	q := testQuery()
-	q.Prompt, q.Parts = 8000, []galenastair.PromptPart{{ID: "long", Tokens: 7900}, {ID: "x", Tokens: 100}}
+	q.PromptTokens, q.PromptParts = 8000, []galenastair.PromptPart{{ID: "long", Tokens: 7900}, {ID: "x", Tokens: 100}}
 	a := p.Begin(start, "s2", q)
 	a.Started(start.Add(400 * time.Millisecond))
 	a.End(start.Add(500*time.Millisecond), Succeeded)
-	q.Parts = []galenastair.PromptPart{{ID: "long", Tokens: 7900}, {ID: "y", Tokens: 100}}
+	q.PromptParts = []galenastair.PromptPart{{ID: "long", Tokens: 7900}, {ID: "y", Tokens: 100}}
 	now := start.Add(time.Second)
 	c, _ := p.Choose(now, q)
 	is.Equal(c.ID, galenastair.BackendServerID("s2"))
@@ -166,7 +166,7 @@
 // for another model.
 func TestPrefixKeysDependOnModel(t *testing.T) {
 	is := is.New(t)
-	a, b := testQuery().Hints, testQuery().Hints
+	a, b := testQuery().RequestHints, testQuery().RequestHints
 	b.Model = "m/a1"
 	is.True(prefixKeys(a)[0] != prefixKeys(b)[0])
 }
@@ -176,7 +176,7 @@
 func TestLeavingServerGetsNoNewRequests(t *testing.T) {
 	is := is.New(t)
 	p := testPool(WithLeaveGrace(400 * time.Millisecond))
-	p.Set(start, Server{ID: "s1", Service: "writer", Slots: 64, Incarnation: 1, Heartbeat: 2, Leaving: true, LeavingSince: start, Models: []galenastair.EngineModel{{Name: "m"}}})
+	p.Set(start, Server{ID: "s1", Service: "writer", Slots: 64, Incarnation: 1, Heartbeat: 2, Leaving: true, LeavingSince: start, Models: []galenastair.LoadedModel{{Name: "m"}}})
 	for range 20 {
 		c, ok := p.Choose(start, testQuery())
 		is.True(ok)
@@ -236,7 +236,7 @@
 	is := is.New(t)
 	p := testPool()
 	p.AddModel(start, "s1", "m/a9")
-	old := Server{ID: "s1", Service: "writer", Slots: 64, Incarnation: 1, Heartbeat: 2, Models: []galenastair.EngineModel{{Name: "m"}}}
+	old := Server{ID: "s1", Service: "writer", Slots: 64, Incarnation: 1, Heartbeat: 2, Models: []galenastair.LoadedModel{{Name: "m"}}}
 	p.Set(start.Add(time.Second), old)
 	is.True(p.HasModel("m/a9"))
 	old.Heartbeat = 3
@@ -282,7 +282,7 @@
 	p := New("z1")
 	for i := range 1900 {
 		p.Set(start, Server{ID: galenastair.BackendServerID(strconv.Itoa(i)), Service: "writer", Slots: 64, Incarnation: 1, Heartbeat: 1,
-			Models: []galenastair.EngineModel{{Name: galenastair.ModelName("m" + strconv.Itoa(i%190))}}})
+			Models: []galenastair.LoadedModel{{Name: galenastair.ModelName("m" + strconv.Itoa(i%190))}}})
 	}
 	q := testQuery()
 	q.Model = "m7"
@@ -300,7 +300,7 @@
 	is := is.New(t)
 	p := testPool()
 	p.Set(start, Server{ID: "s4", Service: "writer", AvailabilityZone: "z1", Slots: 64, Incarnation: 1, Heartbeat: 1,
-		Models: []galenastair.EngineModel{{Name: "rare"}}})
+		Models: []galenastair.LoadedModel{{Name: "rare"}}})
 	gone := func(id galenastair.BackendServerID, q Query) {
 		p.Begin(start, id, q).End(start, Down)
 	}
--- a/pool/server.go
+++ b/pool/server.go
@@ -33,7 +33,7 @@
 	Incarnation int64
 	// Heartbeat counts the registrations since its start.
 	Heartbeat int64
-	Models    []galenastair.EngineModel
+	Models    []galenastair.LoadedModel
 	// CachedModels are the models of which the server keeps a local copy in memory or on disk.
 	CachedModels []galenastair.ModelName
 }
--- a/pool/stale_test.go
+++ b/pool/stale_test.go
@@ -48,7 +48,7 @@
 func addCopies(p *Pool, from, to int) {
 	for i := from; i < to; i++ {
 		p.Set(start, Server{ID: galenastair.BackendServerID("s" + strconv.Itoa(i)), Service: "writer", AvailabilityZone: "z",
-			Slots: 64, Incarnation: 1, Heartbeat: 1, Models: []galenastair.EngineModel{{Name: "m"}}})
+			Slots: 64, Incarnation: 1, Heartbeat: 1, Models: []galenastair.LoadedModel{{Name: "m"}}})
 	}
 }
 
@@ -108,7 +108,7 @@
 // processed.
 func (s *fleetSim) send(now time.Time) time.Duration {
 	p := s.pools[s.rng.IntN(len(s.pools))]
-	q := Query{Service: "writer", TargetLatency: 800 * time.Millisecond, Hints: galenastair.Hints{Model: "m", Prompt: 2000, Output: 20}}
+	q := Query{Service: "writer", TargetLatency: 800 * time.Millisecond, RequestHints: galenastair.RequestHints{Model: "m", PromptTokens: 2000, OutputTokens: 20}}
 	choice, _ := p.Choose(now, q)
 	a := p.Begin(now, choice.ID, q)
 	begin := s.busyUntil[choice.ID]
--- a/proof/check_backend.go
+++ b/proof/check_backend.go
@@ -38,7 +38,7 @@
 		}
 	}
 	for _, r := range h.Requests {
-		if r.Outcome != galenastair.NotRun || r.Status == 0 {
+		if r.Outcome != galenastair.OutcomeNotRun || r.Status == 0 {
 			continue
 		}
 		res.Checks++
--- a/proof/check_test.go
+++ b/proof/check_test.go
@@ -19,7 +19,7 @@
 func servedRequest(id galenastair.RequestID, start, end float64) Request {
 	return Request{
 		ID: id, Organisation: "Furnir", Entry: "entry-1", Model: "m", Start: at(start), End: at(end),
-		Status: 200, Outcome: galenastair.Ran, Whole: true, Correct: true, Tokens: 100,
+		Status: 200, Outcome: galenastair.OutcomeRan, Whole: true, Correct: true, Tokens: 100,
 	}
 }
 
@@ -32,7 +32,7 @@
 		r.Key = "k"
 		return r
 	}
-	notRun := Request{ID: "r", Status: 503, Outcome: galenastair.NotRun, Code: "Overloaded"}
+	notRun := Request{ID: "r", Status: 503, Outcome: galenastair.OutcomeNotRun, Code: "Overloaded"}
 	stop := Fault{Kind: StopEntry, Target: "entry-1", Start: at(1), End: at(3)}
 	broken := Request{ID: "r", Entry: "entry-1", Start: at(0), End: at(2), ConnectionBroken: true}
 	accepted := Change{Kind: "ContractPublished", Accepted: true, Offset: 5, Start: at(1), End: at(1), BaseOffset: 3}
--- a/proof/traffic.go
+++ b/proof/traffic.go
@@ -181,7 +181,7 @@
 	r.ConnectionRefused = errors.Is(err, syscall.ECONNREFUSED)
 	r.ConnectionBroken = err != nil && !r.ConnectionRefused || err == nil && a.Status == http.StatusOK && !a.Complete && a.Code == ""
 	if err != nil {
-		r.Outcome = galenastair.Unknown
+		r.Outcome = galenastair.OutcomeUnknown
 		return response{r, ""}
 	}
 	r.Status, r.Outcome, r.Code, r.RetryAfter, r.Whole = a.Status, a.Outcome, a.Code, a.RetryAfter, a.Complete
--- a/queue/fair.go
+++ b/queue/fair.go
@@ -165,7 +165,7 @@
 	for _, f := range slices.Clone(q.active) {
 		for len(f.items) > 0 {
 			it := q.removeAt(f, 0)
-			out = append(out, Refused{it, galenastair.Refuse(cause, retry, "")})
+			out = append(out, Refused{it, galenastair.NewRefusal(cause, retry, "")})
 		}
 	}
 	return out
@@ -189,7 +189,7 @@
 
 func newRefused(it *Item, wait time.Duration, detail string) Refused {
 	wait = min(max(wait, minRetryAfter), maxRetryAfter)
-	return Refused{it, galenastair.Refuse(galenastair.ErrOverloaded, wait.Round(time.Millisecond), detail)}
+	return Refused{it, galenastair.NewRefusal(galenastair.ErrOverloaded, wait.Round(time.Millisecond), detail)}
 }
 
 // Shed drops one item of the organisation with the largest backlog for its rate, when this queue,
--- a/queue/fair_test.go
+++ b/queue/fair_test.go
@@ -88,7 +88,7 @@
 	is.Equal(len(out), 1)
 	is.Equal(out[0].Item.Organisation, galenastair.Organisation("flood"))
 	is.True(errors.Is(out[0].Err, galenastair.ErrOverloaded))
-	is.Equal(out[0].Err.Outcome, galenastair.NotRun)
+	is.Equal(out[0].Err.Outcome, galenastair.OutcomeNotRun)
 	is.True(out[0].Err.RetryAfter >= minRetryAfter)
 	is.Equal(q.Len(), 10)
 }
--- a/rate/charge.go
+++ b/rate/charge.go
@@ -23,10 +23,10 @@
 func (l *Limiter) charge(ctx context.Context, o galenastair.Organisation, n galenastair.Tokens, id galenastair.RequestID) (*Receipt, error) {
 	c, ok := l.contracts().Contract(o)
 	if !ok {
-		return nil, galenastair.Refuse(galenastair.ErrNotPermitted, 0, "the organisation has no contract")
+		return nil, galenastair.NewRefusal(galenastair.ErrNotPermitted, 0, "the organisation has no contract")
 	}
 	if n > c.Burst {
-		return nil, galenastair.Refuse(galenastair.ErrOverBurst, 0, "")
+		return nil, galenastair.NewRefusal(galenastair.ErrExceedsBurst, 0, "")
 	}
 	req := &chargeRequest{organisation: o, tokens: n, request: id}
 	req.cache = l.cacheFor(o, n)
@@ -36,7 +36,7 @@
 	select {
 	case req.cache.borrowing <- struct{}{}:
 	case <-ctx.Done():
-		return nil, galenastair.Refuse(galenastair.ErrRateUnavailable, takeoverRetryAfter, "no answer in time")
+		return nil, galenastair.NewRefusal(galenastair.ErrRateUnavailable, takeoverRetryAfter, "no answer in time")
 	}
 	defer func() { <-req.cache.borrowing }()
 	if r, err := l.chargeFromCache(req, true); r != nil || err != nil {
@@ -75,7 +75,7 @@
 		return l.newReceipt(now, req, parts), nil
 	}
 	if refuse && now.Before(req.cache.refusedUntil) && req.tokens >= req.cache.refusedNeed {
-		return nil, galenastair.Refuse(req.cache.refusalCause, req.cache.retryAt.Sub(now), "")
+		return nil, galenastair.NewRefusal(req.cache.refusalCause, req.cache.retryAt.Sub(now), "")
 	}
 	return nil, nil
 }
@@ -196,5 +196,5 @@
 	defer l.mu.Unlock()
 	now := l.clock.Now()
 	req.cache.rememberRefusal(now, req.tokens, wait, cause)
-	return galenastair.Refuse(cause, wait, "")
+	return galenastair.NewRefusal(cause, wait, "")
 }
--- a/rate/limiter_test.go
+++ b/rate/limiter_test.go
@@ -25,14 +25,14 @@
 	f := newFleet(6, c)
 	f.advance(14 * time.Second)
 	_, err := charge(f, 4, 1001)
-	is.True(errors.Is(err, galenastair.ErrOverBurst))
+	is.True(errors.Is(err, galenastair.ErrExceedsBurst))
 	_, err = charge(f, 4, 1000) // larger than any share
 	is.NoErr(err)
 	_, err = charge(f, 5, 500)
 	var refusal *galenastair.Refusal
 	is.True(errors.As(err, &refusal))
 	is.True(errors.Is(err, galenastair.ErrRateExceeded))
-	is.Equal(refusal.Outcome, galenastair.NotRun)
+	is.Equal(refusal.Outcome, galenastair.OutcomeNotRun)
 	f.advance(refusal.RetryAfter)
 	_, err = charge(f, 5, 500)
 	is.NoErr(err) // RetryAfter was sufficient
--- a/refusal.go
+++ b/refusal.go
@@ -12,28 +12,28 @@
 // Causes of a Refusal. Test for them with errors.Is. Callers receive their texts in the
 // response body.
 var (
-	ErrKeyMissing         = eris.New("no key came with the request")
-	ErrKeyUnknown         = eris.New("the key is not known")
-	ErrKeyWithdrawn       = eris.New("the key has been withdrawn")
-	ErrNotPermitted       = eris.New("the contract does not permit this model or service")
-	ErrNotFound           = eris.New("no such model, service or path")
-	ErrBadRequest         = eris.New("the request cannot be read")
-	ErrTooLarge           = eris.New("the request is larger than the limit")
-	ErrRateExceeded       = eris.New("the organisation is over its rate and burst")
-	ErrOverBurst          = eris.New("the request alone is larger than the burst")
-	ErrRateUnavailable    = eris.New("no holder of the organisation's rate can answer")
-	ErrOverloaded         = eris.New("the request cannot be served in time")
-	ErrNoBackendServer    = eris.New("no backend server is ready for this model or service")
-	ErrNotMember          = eris.New("this instance holds no lease")
-	ErrStopping           = eris.New("this instance is stopping")
-	ErrDuplicate          = eris.New("a request with this idempotency key was already sent")
-	ErrDuplicateUnsettled = eris.New("a request with this idempotency key is still running")
-	ErrClaimUnavailable   = eris.New("the claim for this idempotency key cannot be kept now")
-	ErrPoison             = eris.New("this request stopped the backend servers that ran it")
-	ErrBackendServer      = eris.New("the backend server failed")
-	ErrAnswerCut          = eris.New("the answer was cut before its end")
-	ErrTimeout            = eris.New("the request ran out of time")
-	ErrConfiguration      = eris.New("no configuration is in force yet")
+	ErrKeyMissing          = eris.New("no key came with the request")
+	ErrKeyUnknown          = eris.New("the key is not known")
+	ErrKeyWithdrawn        = eris.New("the key has been withdrawn")
+	ErrNotPermitted        = eris.New("the contract does not permit this model or service")
+	ErrNotFound            = eris.New("no such model, service or path")
+	ErrBadRequest          = eris.New("the request cannot be read")
+	ErrTooLarge            = eris.New("the request is larger than the limit")
+	ErrRateExceeded        = eris.New("the organisation is over its rate and burst")
+	ErrExceedsBurst        = eris.New("the request alone is larger than the burst")
+	ErrRateUnavailable     = eris.New("no holder of the organisation's rate can answer")
+	ErrOverloaded          = eris.New("the request cannot be served in time")
+	ErrNoBackendServer     = eris.New("no backend server is ready for this model or service")
+	ErrNotMember           = eris.New("this instance holds no lease")
+	ErrStopping            = eris.New("this instance is stopping")
+	ErrDuplicate           = eris.New("a request with this idempotency key was already sent")
+	ErrDuplicateInProgress = eris.New("a request with this idempotency key is still running")
+	ErrClaimUnavailable    = eris.New("the claim for this idempotency key cannot be kept now")
+	ErrPoisonRequest       = eris.New("this request stopped the backend servers that ran it")
+	ErrBackendFailed       = eris.New("the backend server failed")
+	ErrResponseTruncated   = eris.New("the answer was cut before its end")
+	ErrTimeout             = eris.New("the request ran out of time")
+	ErrNoConfiguration     = eris.New("no configuration is in force yet")
 )
 
 // Code identifies a cause in responses to callers and is stable across versions.
@@ -55,20 +55,20 @@
 	{ErrBadRequest, "BadRequest", http.StatusBadRequest},
 	{ErrTooLarge, "TooLarge", http.StatusRequestEntityTooLarge},
 	{ErrRateExceeded, "RateExceeded", http.StatusTooManyRequests},
-	{ErrOverBurst, "OverBurst", http.StatusBadRequest},
+	{ErrExceedsBurst, "OverBurst", http.StatusBadRequest},
 	{ErrRateUnavailable, "RateUnavailable", http.StatusServiceUnavailable},
 	{ErrOverloaded, "Overloaded", http.StatusServiceUnavailable},
 	{ErrNoBackendServer, "NoBackendServer", http.StatusServiceUnavailable},
 	{ErrNotMember, "NotMember", http.StatusServiceUnavailable},
 	{ErrStopping, "Stopping", http.StatusServiceUnavailable},
 	{ErrDuplicate, "Duplicate", http.StatusConflict},
-	{ErrDuplicateUnsettled, "DuplicateUnsettled", http.StatusConflict},
+	{ErrDuplicateInProgress, "DuplicateUnsettled", http.StatusConflict},
 	{ErrClaimUnavailable, "ClaimUnavailable", http.StatusServiceUnavailable},
-	{ErrPoison, "Poison", http.StatusUnprocessableEntity},
-	{ErrBackendServer, "BackendServer", http.StatusBadGateway},
-	{ErrAnswerCut, "AnswerCut", http.StatusBadGateway},
+	{ErrPoisonRequest, "Poison", http.StatusUnprocessableEntity},
+	{ErrBackendFailed, "BackendServer", http.StatusBadGateway},
+	{ErrResponseTruncated, "AnswerCut", http.StatusBadGateway},
 	{ErrTimeout, "Timeout", http.StatusGatewayTimeout},
-	{ErrConfiguration, "NoConfiguration", http.StatusServiceUnavailable},
+	{ErrNoConfiguration, "NoConfiguration", http.StatusServiceUnavailable},
 }
 
 // Refusal is an error that is returned to the caller: its cause, whether the request has run, and
@@ -81,15 +81,15 @@
 }
 
 // NewRefusal returns a Refusal of a request that has not run.
-func Refuse(cause error, retryAfter time.Duration, detail string) *Refusal {
-	return &Refusal{Cause: cause, Outcome: NotRun, RetryAfter: retryAfter, Detail: detail}
+func NewRefusal(cause error, retryAfter time.Duration, detail string) *Refusal {
+	return &Refusal{Cause: cause, Outcome: OutcomeNotRun, RetryAfter: retryAfter, Detail: detail}
 }
 
 // WithOutcome returns the refusal with the outcome that the request has reached. If a key is
 // withdrawn during the response, for example, the request has run. OutcomeNotRun
 // would make the caller send it again.
-func (r *Refusal) After(o Outcome) *Refusal {
-	if r.Outcome != NotRun || o == NotRun {
+func (r *Refusal) WithOutcome(o Outcome) *Refusal {
+	if r.Outcome != OutcomeNotRun || o == OutcomeNotRun {
 		return r
 	}
 	refusal := *r
--- a/registry/change.go
+++ b/registry/change.go
@@ -31,7 +31,7 @@
 }
 
 // qualifiedNames returns the names of all models, and of all adapters in the form "model/adapter".
-func qualifiedNames(models []galenastair.EngineModel) []galenastair.ModelName {
+func qualifiedNames(models []galenastair.LoadedModel) []galenastair.ModelName {
 	var out []galenastair.ModelName
 	for _, m := range models {
 		out = append(out, m.Name)
@@ -43,13 +43,13 @@
 }
 
 // modelsFromNames is the inverse of qualifiedNames. It omits adapters whose model is missing.
-func modelsFromNames(names map[galenastair.ModelName]galenastair.Offset) []galenastair.EngineModel {
-	var out []galenastair.EngineModel
+func modelsFromNames(names map[galenastair.ModelName]galenastair.Offset) []galenastair.LoadedModel {
+	var out []galenastair.LoadedModel
 	index := map[galenastair.ModelName]int{}
 	for name := range names {
 		if !strings.Contains(string(name), "/") {
 			index[name] = len(out)
-			out = append(out, galenastair.EngineModel{Name: name})
+			out = append(out, galenastair.LoadedModel{Name: name})
 		}
 	}
 	for name := range names {
--- a/registry/table_test.go
+++ b/registry/table_test.go
@@ -12,7 +12,7 @@
 	"galenastair/pool"
 )
 
-func newServer(id string, incarnation int64, leaving bool, models ...galenastair.EngineModel) pool.Server {
+func newServer(id string, incarnation int64, leaving bool, models ...galenastair.LoadedModel) pool.Server {
 	return pool.Server{ID: galenastair.BackendServerID(id), Service: "s", Address: "a", Slots: 1, Incarnation: incarnation, Leaving: leaving, Models: models}
 }
 
@@ -67,7 +67,7 @@
 }
 
 func randomRecord(rng *rand.Rand) logRecord {
-	m := galenastair.EngineModel{Name: galenastair.ModelName(fmt.Sprint("m", rng.IntN(3))), Adapters: []string{fmt.Sprint("a", rng.IntN(3))}}
+	m := galenastair.LoadedModel{Name: galenastair.ModelName(fmt.Sprint("m", rng.IntN(3))), Adapters: []string{fmt.Sprint("a", rng.IntN(3))}}
 	return logRecord{newServer(fmt.Sprint("e", rng.IntN(6)), int64(rng.IntN(2)), rng.IntN(5) == 0, m), rng.IntN(8) == 0}
 }
 
@@ -109,7 +109,7 @@
 func TestRenewalProducesNoChange(t *testing.T) {
 	is := is.New(t)
 	table := NewTable()
-	m := galenastair.EngineModel{Name: "m", Adapters: []string{"a1"}}
+	m := galenastair.LoadedModel{Name: "m", Adapters: []string{"a1"}}
 	table.Set(0, newServer("e", 1, false, m))
 	table.AdvanceTo(1, false)
 	table.Set(1, newServer("e", 1, false, m))
--- a/report/news.go
+++ b/report/news.go
@@ -62,7 +62,7 @@
 		HighestFence: int64(r.HighestFence),
 		ChecksFence:  r.ChecksFence,
 	}
-	finished := r.FinishedOrder
+	finished := r.FinishedOrders
 	for _, id := range finished[max(0, len(finished)-maxFinishedOrders):] {
 		s.FinishedOrders = append(s.FinishedOrders, string(id))
 	}
@@ -91,11 +91,11 @@
 		ChecksFence:  s.ChecksFence,
 	}
 	for _, id := range s.FinishedOrders {
-		r.FinishedOrder = append(r.FinishedOrder, galenastair.OrderID(id))
+		r.FinishedOrders = append(r.FinishedOrders, galenastair.OrderID(id))
 	}
 	for _, l := range s.Loaded {
-		r.Loaded = append(r.Loaded, galenastair.LoadedWeight{
-			Weight: galenastair.Weight{
+		r.Loaded = append(r.Loaded, galenastair.LoadedWeights{
+			Weight: galenastair.ModelWeights{
 				Name:    galenastair.ModelName(l.Name),
 				Version: l.Version,
 				Base:    galenastair.ModelName(l.Base),
--- a/report/region_test.go
+++ b/report/region_test.go
@@ -63,10 +63,10 @@
 	return r
 }
 
-func loadedModel(m int) galenastair.LoadedWeight {
-	return galenastair.LoadedWeight{
-		Weight: galenastair.Weight{Name: galenastair.ModelName(fmt.Sprintf("model-%d", m)), Version: "v1", Memory: 8 << 30},
-		State:  galenastair.Ready,
+func loadedModel(m int) galenastair.LoadedWeights {
+	return galenastair.LoadedWeights{
+		Weight: galenastair.ModelWeights{Name: galenastair.ModelName(fmt.Sprintf("model-%d", m)), Version: "v1", Memory: 8 << 30},
+		State:  galenastair.LoadStateReady,
 		Order:  "order-0123456789",
 	}
 }
@@ -239,7 +239,7 @@
 	tracker := NewTracker(defaultMinInterval)
 	tracker.SetServers([]Server{{ID: "e1"}})
 	now := time.Now()
-	with := galenastair.EngineReport{Running: 1, Loaded: []galenastair.LoadedWeight{loadedModel(1)}}
+	with := galenastair.EngineReport{Running: 1, Loaded: []galenastair.LoadedWeights{loadedModel(1)}}
 	older := EngineUpdate{Engine: hashEngine("e1"), Age: 10 * time.Second, Digest: digestState(with), State: &with, Running: 1}
 	is.Equal(len(tracker.ApplyMessage(now, Message{Updates: []EngineUpdate{older}})), 1)
 	is.True(tracker.ApplyReport(now, "e1", galenastair.EngineReport{}))
--- a/report/reporter_test.go
+++ b/report/reporter_test.go
@@ -61,7 +61,7 @@
 	return galenastair.EngineReport{
 		BackendServer: "e1",
 		Running:       int(e.running.Add(10)),
-		Loaded:        []galenastair.LoadedWeight{loadedModel(1)},
+		Loaded:        []galenastair.LoadedWeights{loadedModel(1)},
 	}, nil
 }
 
--- a/request/call.go
+++ b/request/call.go
@@ -24,7 +24,7 @@
 
 // ServiceCall is a caller's request to a plain service, which is not a model engine.
 type ServiceCall struct {
-	galenastair.ServiceCall
+	galenastair.ServiceRequest
 	Service        galenastair.ServiceName
 	Key            galenastair.KeyHash
 	IdempotencyKey galenastair.IdempotencyKey
--- a/request/complete.go
+++ b/request/complete.go
@@ -70,7 +70,7 @@
 	c.auth = auth
 	c.summary.Organisation = auth.organisation
 	if !auth.contract.PermitsModel(c.call.Model) {
-		return galenastair.Refuse(galenastair.ErrNotPermitted, 0, string(c.call.Model))
+		return galenastair.NewRefusal(galenastair.ErrNotPermitted, 0, string(c.call.Model))
 	}
 	c.digest = claim.DigestOf(auth.organisation, string(c.call.Model), c.call.Body)
 	if err := c.s.poison.Allow(c.s.clock.Now(), c.digest); err != nil {
@@ -91,7 +91,7 @@
 	}
 	err = c.runWithCharge(ctx)
 	if err == nil {
-		claim.Finish(galenastair.Ran)
+		claim.Finish(galenastair.OutcomeRan)
 	} else {
 		claim.Finish(refusalOf(err, c.outcome()).Outcome)
 	}
@@ -116,7 +116,7 @@
 // settle returns the unused part of the charge. A debt that the charge included
 // remains paid.
 func (c *completion) settle(charge Charge, debt galenastair.Tokens, err error) {
-	if err != nil && c.outcome() == galenastair.NotRun {
+	if err != nil && c.outcome() == galenastair.OutcomeNotRun {
 		c.summary.Used = 0
 	} else if c.summary.Used == 0 {
 		// Without the engine's token count the whole charge is kept, because the
@@ -151,7 +151,7 @@
 	// A request that crashes backend servers is retried once, so that it cannot crash
 	// the whole fleet.
 	if c.delivered && !c.s.poison.RecordCrash(now, c.digest) {
-		return &galenastair.Refusal{Cause: galenastair.ErrPoison, Outcome: c.outcome()}
+		return &galenastair.Refusal{Cause: galenastair.ErrPoisonRequest, Outcome: c.outcome()}
 	}
 	if !c.s.retries.MayRetry() {
 		return err
@@ -240,7 +240,7 @@
 	return failed
 }
 
-func (c *completion) forward(stream galenastair.AnswerStream) error {
+func (c *completion) forward(stream galenastair.ResponseStream) error {
 	defer stream.Close()
 	for {
 		chunk, err := stream.Next()
@@ -311,7 +311,7 @@
 	summary := c.summary
 	summary.Attempts = c.attempts
 	summary.Duration = c.s.clock.Now().Sub(c.startedAt)
-	summary.Outcome = galenastair.Ran
+	summary.Outcome = galenastair.OutcomeRan
 	var refusal *galenastair.Refusal
 	if errors.As(err, &refusal) {
 		summary.Code = refusal.Code()
--- a/request/complete_test.go
+++ b/request/complete_test.go
@@ -27,33 +27,33 @@
 			attempts: []fakeAttempt{{refuse: galenastair.ErrNotSent}, {chunks: 2}}, text: "12",
 		},
 		"stalled, resumed on a new connection without a gap": {
-			attempts: []fakeAttempt{{chunks: 2, cut: galenastair.ErrSilent}, {chunks: 2}}, text: "1234",
+			attempts: []fakeAttempt{{chunks: 2, cut: galenastair.ErrProgressTimeout}, {chunks: 2}}, text: "1234",
 		},
 		"cut before the first token, engine gone: retried on another server": {
-			attempts: []fakeAttempt{{cut: galenastair.ErrAnswerCut}, {refuse: galenastair.ErrStreamGone}, {chunks: 2}}, text: "12",
+			attempts: []fakeAttempt{{cut: galenastair.ErrResponseTruncated}, {refuse: galenastair.ErrStreamNotFound}, {chunks: 2}}, text: "12",
 		},
 		"cut after tokens, engine gone: not restarted": {
-			attempts: []fakeAttempt{{chunks: 2, cut: galenastair.ErrAnswerCut}, {refuse: galenastair.ErrStreamGone}, {chunks: 2}},
-			text:     "12", cause: galenastair.ErrAnswerCut, outcome: galenastair.Ran,
+			attempts: []fakeAttempt{{chunks: 2, cut: galenastair.ErrResponseTruncated}, {refuse: galenastair.ErrStreamNotFound}, {chunks: 2}},
+			text:     "12", cause: galenastair.ErrResponseTruncated, outcome: galenastair.OutcomeRan,
 		},
 		"idempotency key, not sent: retried": {
 			attempts: []fakeAttempt{{refuse: galenastair.ErrNotSent}, {chunks: 1}}, key: "k", text: "1",
 		},
 		"idempotency key, crash: not retried, outcome unknown": {
 			attempts: []fakeAttempt{{refuse: errCrash}, {chunks: 2}}, key: "k",
-			cause: galenastair.ErrBackendServer, outcome: galenastair.Unknown,
+			cause: galenastair.ErrBackendFailed, outcome: galenastair.OutcomeUnknown,
 		},
 		"no server accepts it": {
 			attempts: []fakeAttempt{{refuse: galenastair.ErrDeclined}, {refuse: galenastair.ErrNotSent}},
-			cause:    galenastair.ErrNoBackendServer, outcome: galenastair.NotRun,
+			cause:    galenastair.ErrNoBackendServer, outcome: galenastair.OutcomeNotRun,
 		},
 		"one server crashes, none is left: outcome unknown": {
 			attempts: []fakeAttempt{{refuse: errCrash}, {refuse: galenastair.ErrNotSent}},
-			cause:    galenastair.ErrNoBackendServer, outcome: galenastair.Unknown,
+			cause:    galenastair.ErrNoBackendServer, outcome: galenastair.OutcomeUnknown,
 		},
 		"crashes its servers: retried once, then refused": {
 			attempts: []fakeAttempt{{refuse: errCrash}, {refuse: errCrash}, {chunks: 1}},
-			cause:    galenastair.ErrPoison, outcome: galenastair.Unknown,
+			cause:    galenastair.ErrPoisonRequest, outcome: galenastair.OutcomeUnknown,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -95,7 +95,7 @@
 	is.True(errors.Is(err, galenastair.ErrKeyWithdrawn))
 	var r *galenastair.Refusal
 	is.True(errors.As(err, &r))
-	is.Equal(r.Outcome, galenastair.Ran) // NotRun may only be reported if the request did not run
+	is.Equal(r.Outcome, galenastair.OutcomeRan) // NotRun may only be reported if the request did not run
 	is.True(!writer.ended)
 	is.Equal(ts.engine.canceled, 1) // the request is cancelled on the engine
 }
@@ -119,7 +119,7 @@
 	ts := newTestServer(t, fakeAttempt{chunks: 1})
 	ts.configuration.isolated = true
 	err := ts.server.Complete(context.Background(), ts.call(), &textWriter{})
-	is.True(errors.Is(err, galenastair.ErrConfiguration))
+	is.True(errors.Is(err, galenastair.ErrNoConfiguration))
 	is.Equal(len(ts.engine.servers), 0)
 }
 
@@ -143,7 +143,7 @@
 	_, err := ts.server.CallService(context.Background(), call)
 	var r *galenastair.Refusal
 	is.True(errors.As(err, &r))
-	is.Equal(r.Outcome, galenastair.Unknown)
+	is.Equal(r.Outcome, galenastair.OutcomeUnknown)
 	call.Method = "GET"
 	ts.service.errs = []error{errors.New("connection reset by peer")}
 	answer, err := ts.server.CallService(context.Background(), call)
--- a/request/decide.go
+++ b/request/decide.go
@@ -47,11 +47,11 @@
 func (p requestProgress) outcome() galenastair.Outcome {
 	switch {
 	case p.chunks > 0:
-		return galenastair.Ran
+		return galenastair.OutcomeRan
 	case p.sent:
-		return galenastair.Unknown
+		return galenastair.OutcomeUnknown
 	default:
-		return galenastair.NotRun
+		return galenastair.OutcomeNotRun
 	}
 }
 
@@ -62,7 +62,7 @@
 
 // connectionFailed reports whether the connection failed, as opposed to the engine refusing the request.
 func connectionFailed(err error) bool {
-	return errors.Is(err, galenastair.ErrSilent) || errors.Is(err, galenastair.ErrAnswerCut) || errors.Is(err, galenastair.ErrCrossed)
+	return errors.Is(err, galenastair.ErrProgressTimeout) || errors.Is(err, galenastair.ErrResponseTruncated) || errors.Is(err, galenastair.ErrInvalidResponse)
 }
 
 // chooseAction returns the reaction to a failed attempt, such as a crashed backend
--- a/request/fake_test.go
+++ b/request/fake_test.go
@@ -75,7 +75,7 @@
 
 func (c *fakeClaims) Begin(_ context.Context, _ galenastair.Organisation, key galenastair.IdempotencyKey, _ claim.Digest, _ galenastair.RequestID) (Claim, error) {
 	if c.held[key] {
-		return nil, &galenastair.Refusal{Cause: galenastair.ErrDuplicate, Outcome: galenastair.Ran}
+		return nil, &galenastair.Refusal{Cause: galenastair.ErrDuplicate, Outcome: galenastair.OutcomeRan}
 	}
 	c.held[key] = true
 	return c, nil
@@ -107,7 +107,7 @@
 	galenastair.Engine
 }
 
-func (e *fakeEngine) next(ctx context.Context, server string, after int64) (galenastair.AnswerStream, error) {
+func (e *fakeEngine) next(ctx context.Context, server string, after int64) (galenastair.ResponseStream, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.attempts) == 0 {
@@ -122,11 +122,11 @@
 	return &fakeStream{ctx: ctx, fakeAttempt: a, sequence: after}, nil
 }
 
-func (e *fakeEngine) Complete(ctx context.Context, server string, _ galenastair.Completion) (galenastair.AnswerStream, error) {
+func (e *fakeEngine) Complete(ctx context.Context, server string, _ galenastair.Completion) (galenastair.ResponseStream, error) {
 	return e.next(ctx, server, 0)
 }
 
-func (e *fakeEngine) Resume(ctx context.Context, server string, _ galenastair.RequestID, after int64) (galenastair.AnswerStream, error) {
+func (e *fakeEngine) Resume(ctx context.Context, server string, _ galenastair.RequestID, after int64) (galenastair.ResponseStream, error) {
 	e.resumed = append(e.resumed, after)
 	return e.next(ctx, server, after)
 }
@@ -203,8 +203,8 @@
 	d := dispatch.New()
 	d.SetServers([]dispatch.Server{{ID: "e1", Address: "e1"}, {ID: "e2", Address: "e2"}})
 	for _, id := range []galenastair.BackendServerID{"e1", "e2"} {
-		d.ApplyReport(galenastair.EngineReport{BackendServer: id, Loaded: []galenastair.LoadedWeight{
-			{Weight: galenastair.Weight{Name: "m"}, State: galenastair.Ready},
+		d.ApplyReport(galenastair.EngineReport{BackendServer: id, Loaded: []galenastair.LoadedWeights{
+			{Weight: galenastair.ModelWeights{Name: "m"}, State: galenastair.LoadStateReady},
 		}})
 	}
 	services := NewServiceList("zone-a")
@@ -233,11 +233,11 @@
 
 type fakeService struct{ errs []error }
 
-func (s *fakeService) Call(context.Context, string, galenastair.ServiceCall) (galenastair.ServiceAnswer, error) {
+func (s *fakeService) Call(context.Context, string, galenastair.ServiceRequest) (galenastair.ServiceResponse, error) {
 	if len(s.errs) == 0 {
-		return galenastair.ServiceAnswer{Status: 200, Body: io.NopCloser(nil)}, nil
+		return galenastair.ServiceResponse{Status: 200, Body: io.NopCloser(nil)}, nil
 	}
 	err := s.errs[0]
 	s.errs = s.errs[1:]
-	return galenastair.ServiceAnswer{}, err
+	return galenastair.ServiceResponse{}, err
 }
--- a/request/patience_test.go
+++ b/request/patience_test.go
@@ -30,7 +30,7 @@
 	}
 	c.seen[id] = true
 	if c.clock.now.Before(c.movedAt) {
-		return nil, galenastair.Refuse(galenastair.ErrClaimUnavailable, time.Second, "the key's home moves")
+		return nil, galenastair.NewRefusal(galenastair.ErrClaimUnavailable, time.Second, "the key's home moves")
 	}
 	return c.fakeClaims.Begin(ctx, o, key, d, id)
 }
--- a/request/server.go
+++ b/request/server.go
@@ -104,14 +104,14 @@
 // lookUpKey returns the principal of a key, or a refusal if the key is unknown or withdrawn.
 func lookUpKey(v *config.View, key galenastair.KeyHash) (principal, error) {
 	if v == nil {
-		return principal{}, galenastair.Refuse(galenastair.ErrConfiguration, notMemberRetryAfter, "")
+		return principal{}, galenastair.NewRefusal(galenastair.ErrNoConfiguration, notMemberRetryAfter, "")
 	}
 	k, ok := v.LookupKey(key)
 	if !ok {
-		return principal{}, galenastair.Refuse(galenastair.ErrKeyUnknown, 0, "")
+		return principal{}, galenastair.NewRefusal(galenastair.ErrKeyUnknown, 0, "")
 	}
 	if k.Withdrawn || k.Contract == nil {
-		return principal{}, galenastair.Refuse(galenastair.ErrKeyWithdrawn, 0, "")
+		return principal{}, galenastair.NewRefusal(galenastair.ErrKeyWithdrawn, 0, "")
 	}
 	return principal{organisation: k.Organisation, contract: k.Contract}, nil
 }
@@ -122,13 +122,13 @@
 // lease expired.
 func (s *Server) authorise(key galenastair.KeyHash) (principal, error) {
 	if !s.lease.Holds(s.clock.Now()) {
-		return principal{}, galenastair.Refuse(galenastair.ErrNotMember, notMemberRetryAfter, "")
+		return principal{}, galenastair.NewRefusal(galenastair.ErrNotMember, notMemberRetryAfter, "")
 	}
 	// Instances that are partitioned from the log and the other instances would
 	// otherwise accept withdrawn keys with a stale configuration. /readyz does not
 	// protect against this, since callers with an open connection do not check it.
 	if !s.configuration.Ready() {
-		return principal{}, galenastair.Refuse(galenastair.ErrConfiguration, notMemberRetryAfter, "")
+		return principal{}, galenastair.NewRefusal(galenastair.ErrNoConfiguration, notMemberRetryAfter, "")
 	}
 	return lookUpKey(s.configuration.View(), key)
 }
@@ -153,12 +153,12 @@
 	var refusal *galenastair.Refusal
 	switch {
 	case errors.As(err, &refusal):
-		return refusal.After(o)
+		return refusal.WithOutcome(o)
 	case errors.Is(err, context.DeadlineExceeded):
 		return &galenastair.Refusal{Cause: galenastair.ErrTimeout, Outcome: o}
-	case o == galenastair.Ran:
-		return &galenastair.Refusal{Cause: galenastair.ErrAnswerCut, Outcome: o, Detail: err.Error()}
+	case o == galenastair.OutcomeRan:
+		return &galenastair.Refusal{Cause: galenastair.ErrResponseTruncated, Outcome: o, Detail: err.Error()}
 	default:
-		return &galenastair.Refusal{Cause: galenastair.ErrBackendServer, Outcome: o, RetryAfter: backendServerRetryAfter, Detail: err.Error()}
+		return &galenastair.Refusal{Cause: galenastair.ErrBackendFailed, Outcome: o, RetryAfter: backendServerRetryAfter, Detail: err.Error()}
 	}
 }
--- a/request/service.go
+++ b/request/service.go
@@ -17,14 +17,14 @@
 
 // CallService serves one call to a plain service. The caller of CallService closes the
 // body of the response.
-func (s *Server) CallService(ctx context.Context, call ServiceCall) (galenastair.ServiceAnswer, error) {
+func (s *Server) CallService(ctx context.Context, call ServiceCall) (galenastair.ServiceResponse, error) {
 	c := &serviceExchange{s: s, call: call}
 	c.idempotent = call.Repeatable()
 	// Responses of plain services cannot be resumed.
 	c.resumes = maxResumes
 	startedAt := s.clock.Now()
 	answer, err := c.admit(ctx)
-	summary := Summary{ID: call.ID, Organisation: c.auth.organisation, Service: call.Service, Outcome: galenastair.Ran, Attempts: c.attempts}
+	summary := Summary{ID: call.ID, Organisation: c.auth.organisation, Service: call.Service, Outcome: galenastair.OutcomeRan, Attempts: c.attempts}
 	summary.BackendServer = c.server
 	summary.Duration = s.clock.Now().Sub(startedAt)
 	if err != nil {
@@ -47,14 +47,14 @@
 	tried  []galenastair.BackendServerID
 }
 
-func (c *serviceExchange) admit(ctx context.Context) (galenastair.ServiceAnswer, error) {
+func (c *serviceExchange) admit(ctx context.Context) (galenastair.ServiceResponse, error) {
 	auth, err := c.s.authorise(c.call.Key)
 	if err != nil {
-		return galenastair.ServiceAnswer{}, err
+		return galenastair.ServiceResponse{}, err
 	}
 	c.auth = auth
 	if !auth.contract.PermitsService(c.call.Service) {
-		return galenastair.ServiceAnswer{}, galenastair.Refuse(galenastair.ErrNotPermitted, 0, string(c.call.Service))
+		return galenastair.ServiceResponse{}, galenastair.NewRefusal(galenastair.ErrNotPermitted, 0, string(c.call.Service))
 	}
 	if c.call.IdempotencyKey == "" {
 		return c.runWithCharge(ctx)
@@ -63,24 +63,24 @@
 	d := claim.DigestOf(auth.organisation, target, c.call.Body)
 	claim, err := c.s.beginClaim(ctx, auth.organisation, c.call.IdempotencyKey, d, c.call.ID)
 	if err != nil {
-		return galenastair.ServiceAnswer{}, err
+		return galenastair.ServiceResponse{}, err
 	}
 	answer, err := c.runWithCharge(ctx)
 	if err == nil {
-		claim.Finish(galenastair.Ran)
+		claim.Finish(galenastair.OutcomeRan)
 	} else {
 		claim.Finish(refusalOf(err, c.outcome()).Outcome)
 	}
 	return answer, err
 }
 
-func (c *serviceExchange) runWithCharge(ctx context.Context) (galenastair.ServiceAnswer, error) {
+func (c *serviceExchange) runWithCharge(ctx context.Context) (galenastair.ServiceResponse, error) {
 	charge, err := c.s.charge(ctx, c.auth.organisation, serviceCallTokens, c.call.ID)
 	if err != nil {
-		return galenastair.ServiceAnswer{}, err
+		return galenastair.ServiceResponse{}, err
 	}
 	answer, err := c.run(ctx)
-	if err != nil && c.outcome() == galenastair.NotRun {
+	if err != nil && c.outcome() == galenastair.OutcomeNotRun {
 		charge.Settle(0)
 	} else {
 		charge.Settle(serviceCallTokens)
@@ -88,7 +88,7 @@
 	return answer, err
 }
 
-func (c *serviceExchange) run(ctx context.Context) (galenastair.ServiceAnswer, error) {
+func (c *serviceExchange) run(ctx context.Context) (galenastair.ServiceResponse, error) {
 	ctx, remove := c.s.active.Add(ctx, c.call.Key)
 	for {
 		answer, err := c.attempt(ctx)
@@ -99,7 +99,7 @@
 		if err := c.checkRetry(ctx, err); err != nil {
 			err = cancellationCause(ctx, err)
 			remove()
-			return galenastair.ServiceAnswer{}, err
+			return galenastair.ServiceResponse{}, err
 		}
 	}
 }
@@ -116,24 +116,24 @@
 	return ctx.Err()
 }
 
-func (c *serviceExchange) attempt(ctx context.Context) (galenastair.ServiceAnswer, error) {
+func (c *serviceExchange) attempt(ctx context.Context) (galenastair.ServiceResponse, error) {
 	grant, err := c.s.services.Choose(c.call.Service, c.tried)
 	if err != nil {
-		return galenastair.ServiceAnswer{}, err
+		return galenastair.ServiceResponse{}, err
 	}
 	if _, err := c.s.authorise(c.call.Key); err != nil {
 		grant.Release()
-		return galenastair.ServiceAnswer{}, err
+		return galenastair.ServiceResponse{}, err
 	}
 	c.attempts++
 	c.tried = append(slices.Clip(c.tried), grant.Server)
 	c.server = grant.Server
 	c.s.logger.Log("event", "route", "request", c.call.ID, "organisation", c.auth.organisation, "service", c.call.Service, "server", grant.Server, "reason", grant.Reason, "attempt", c.attempts)
-	answer, err := c.s.service.Call(ctx, grant.Address, c.call.ServiceCall)
+	answer, err := c.s.service.Call(ctx, grant.Address, c.call.ServiceRequest)
 	c.sent = c.sent || !hadNoEffect(err)
 	if err != nil {
 		grant.Release()
-		return galenastair.ServiceAnswer{}, err
+		return galenastair.ServiceResponse{}, err
 	}
 	answer.Body = &callbackBody{ReadCloser: answer.Body, onClose: grant.Release}
 	return answer, nil
--- a/request/services.go
+++ b/request/services.go
@@ -50,7 +50,7 @@
 		}
 	}
 	if best < 0 {
-		return ServiceGrant{}, galenastair.Refuse(galenastair.ErrNoBackendServer, serviceRetryAfter, string(name))
+		return ServiceGrant{}, galenastair.NewRefusal(galenastair.ErrNoBackendServer, serviceRetryAfter, string(name))
 	}
 	return l.grant(l.instances[best]), nil
 }
--- a/route/router.go
+++ b/route/router.go
@@ -70,7 +70,7 @@
 	s.window.applyReport(rep)
 	ready := make([]galenastair.ModelName, 0, len(rep.Loaded))
 	for _, l := range rep.Loaded {
-		if l.State == galenastair.Ready {
+		if l.State == galenastair.LoadStateReady {
 			ready = append(ready, l.Weight.Name)
 		}
 	}
@@ -103,7 +103,7 @@
 		return
 	}
 	for _, e := range events {
-		if e.Dropped {
+		if e.Evicted {
 			r.index.remove(e.Prefix, s)
 			continue
 		}
--- a/route/router_test.go
+++ b/route/router_test.go
@@ -35,7 +35,7 @@
 func report(i int, models ...galenastair.ModelName) galenastair.EngineReport {
 	rep := galenastair.EngineReport{BackendServer: id(i)}
 	for _, m := range models {
-		rep.Loaded = append(rep.Loaded, galenastair.LoadedWeight{Weight: galenastair.Weight{Name: m}, State: galenastair.Ready})
+		rep.Loaded = append(rep.Loaded, galenastair.LoadedWeights{Weight: galenastair.ModelWeights{Name: m}, State: galenastair.LoadStateReady})
 	}
 	return rep
 }
@@ -240,7 +240,7 @@
 	r.CacheEvents(id(0), []galenastair.CacheEvent{{Model: "m", Prefix: 7}})
 	_, n := r.index.longest([]uint64{7})
 	is.Equal(n, 1)
-	r.CacheEvents(id(0), []galenastair.CacheEvent{{Model: "m", Prefix: 7, Dropped: true}})
+	r.CacheEvents(id(0), []galenastair.CacheEvent{{Model: "m", Prefix: 7, Evicted: true}})
 	_, n = r.index.longest([]uint64{7})
 	is.Equal(n, 0)
 	for h := range uint64(3 * maxGenerationSize) {
@@ -282,7 +282,7 @@
 	is := is.New(t)
 	r := newTestRouter(4, "m")
 	now := start
-	report := func(models ...galenastair.LoadedWeight) {
+	report := func(models ...galenastair.LoadedWeights) {
 		for i := range 4 {
 			r.servers[id(i)].reportedAt = now
 		}
@@ -308,7 +308,7 @@
 	r.DetectOutliers(now)
 	is.Equal(len(r.Unhealthy()), 0)
 	// With a copy loaded it is unhealthy again until a probe succeeds.
-	report(galenastair.LoadedWeight{Weight: galenastair.Weight{Name: "m"}, State: galenastair.Ready})
+	report(galenastair.LoadedWeights{Weight: galenastair.ModelWeights{Name: "m"}, State: galenastair.LoadStateReady})
 	is.Equal(r.Unhealthy(), []galenastair.BackendServerID{id(1)})
 	r.servers[id(1)].health.probing = true
 	r.Sent(now, id(1), nil)
--- a/service.go
+++ b/service.go
@@ -7,7 +7,7 @@
 )
 
 // ServiceRequest is a request to a plain service.
-type ServiceCall struct {
+type ServiceRequest struct {
 	ID     RequestID
 	Method string
 	Path   string
@@ -17,15 +17,15 @@
 }
 
 // ServiceResponse is the response of a plain service. The receiver must close Body.
-type ServiceAnswer struct {
+type ServiceResponse struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
 	// ContentLength is the length of Body in bytes, or -1 if it is unknown.
-	Length int64
+	ContentLength int64
 }
 
 // Service is a client of plain services. The server argument is an address from the InstanceList.
 type Service interface {
-	Call(ctx context.Context, server string, c ServiceCall) (ServiceAnswer, error)
+	Call(ctx context.Context, server string, c ServiceRequest) (ServiceResponse, error)
 }
--- a/service/client.go
+++ b/service/client.go
@@ -34,31 +34,31 @@
 
 // Call sends a request. An error that wraps ErrNotSent or ErrDeclined means that the
 // service did not execute it.
-func (c *Client) Call(ctx context.Context, server string, call galenastair.ServiceCall) (galenastair.ServiceAnswer, error) {
+func (c *Client) Call(ctx context.Context, server string, call galenastair.ServiceRequest) (galenastair.ServiceResponse, error) {
 	req, err := newRequest(server, call)
 	if err != nil {
-		return galenastair.ServiceAnswer{}, eris.Wrapf(galenastair.ErrNotSent, "%v", err)
+		return galenastair.ServiceResponse{}, eris.Wrapf(galenastair.ErrNotSent, "%v", err)
 	}
 	tracked, sending := httpclient.WithRequestTrace(ctx)
 	resp, err := c.pool.Transport(server).RoundTrip(req.WithContext(tracked))
 	if err != nil {
-		return galenastair.ServiceAnswer{}, c.pool.ClassifyError(ctx, server, sending, err)
+		return galenastair.ServiceResponse{}, c.pool.ClassifyError(ctx, server, sending, err)
 	}
 	if resp.StatusCode >= http.StatusBadRequest && resp.Header.Get(headerOutcome) == outcomeNotRun {
 		defer resp.Body.Close()
 		detail, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorDetailBytes))
-		return galenastair.ServiceAnswer{}, eris.Wrapf(galenastair.ErrDeclined, "status %d: %s", resp.StatusCode, detail)
+		return galenastair.ServiceResponse{}, eris.Wrapf(galenastair.ErrDeclined, "status %d: %s", resp.StatusCode, detail)
 	}
 	httpclient.RemoveNonForwardedHeaders(resp.Header)
-	return galenastair.ServiceAnswer{
-		Status: resp.StatusCode,
-		Header: resp.Header,
-		Body:   resp.Body,
-		Length: resp.ContentLength,
+	return galenastair.ServiceResponse{
+		Status:        resp.StatusCode,
+		Header:        resp.Header,
+		Body:          resp.Body,
+		ContentLength: resp.ContentLength,
 	}, nil
 }
 
-func newRequest(server string, call galenastair.ServiceCall) (*http.Request, error) {
+func newRequest(server string, call galenastair.ServiceRequest) (*http.Request, error) {
 	url := "http://" + server + call.Path
 	if call.Query != "" {
 		url += "?" + call.Query
--- a/service/client_test.go
+++ b/service/client_test.go
@@ -34,15 +34,15 @@
 		{"answered", standin.Faults{}, nil, http.StatusOK, 1},
 		{"failed after the effect", standin.Faults{Fail: true}, nil, http.StatusInternalServerError, 1},
 		{"declined", standin.Faults{Decline: true}, galenastair.ErrDeclined, 0, 0},
-		{"answer lost", standin.Faults{LoseAnswers: true}, galenastair.ErrBackendServer, 0, 1},
-		{"died after the effect", standin.Faults{DieAfterEffect: true}, galenastair.ErrBackendServer, 0, 1},
+		{"answer lost", standin.Faults{LoseAnswers: true}, galenastair.ErrBackendFailed, 0, 1},
+		{"died after the effect", standin.Faults{DieAfterEffect: true}, galenastair.ErrBackendFailed, 0, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			s.UpdateFaults(func(sw *standin.Faults) { *sw = tt.switches })
 			before := s.Calls().Total
-			answer, err := c.Call(context.Background(), server.Listener.Addr().String(), galenastair.ServiceCall{
+			answer, err := c.Call(context.Background(), server.Listener.Addr().String(), galenastair.ServiceRequest{
 				ID:     galenastair.RequestID(tt.name),
 				Method: http.MethodPost,
 				Path:   "/bids",
@@ -71,7 +71,7 @@
 	defer server.Close()
 	c := service.New()
 	defer c.Close()
-	answer, err := c.Call(context.Background(), server.Listener.Addr().String(), galenastair.ServiceCall{Method: http.MethodGet, Path: "/"})
+	answer, err := c.Call(context.Background(), server.Listener.Addr().String(), galenastair.ServiceRequest{Method: http.MethodGet, Path: "/"})
 	is.NoErr(err)
 	defer answer.Body.Close()
 	_, err = io.ReadAll(answer.Body)
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -105,7 +105,7 @@
 	if c.eventLossRate > 0 && rand.Float64() < c.eventLossRate {
 		return
 	}
-	ev := galenastair.CacheEvent{Sequence: c.lastSequence, Model: key.model, Prefix: key.prefix, Dropped: dropped}
+	ev := galenastair.CacheEvent{Sequence: c.lastSequence, Model: key.model, Prefix: key.prefix, Evicted: dropped}
 	c.events = append(c.events, timedEvent{ev, now})
 	if len(c.events) > maxEvents {
 		c.events = c.events[len(c.events)-maxEvents:]
--- a/standin/engine/control.go
+++ b/standin/engine/control.go
@@ -112,16 +112,16 @@
 
 func (e *Engine) snapshot() galenastair.EngineReport {
 	return galenastair.EngineReport{
-		BackendServer: e.id,
-		MemoryTotal:   e.weights.total,
-		MemoryUsed:    e.weights.used(),
-		Running:       len(e.batch.running),
-		Waiting:       len(e.batch.waiting),
-		CacheUsed:     galenastair.Bytes(e.cache.reservedTokens+e.cache.cachedTokens) * e.settings.BytesPerToken,
-		HighestFence:  e.fence,
-		ChecksFence:   e.settings.ChecksFence,
-		FinishedOrder: append([]galenastair.OrderID(nil), e.weights.finished...),
-		Loaded:        append([]galenastair.LoadedWeight(nil), e.weights.loaded...),
+		BackendServer:  e.id,
+		MemoryTotal:    e.weights.total,
+		MemoryUsed:     e.weights.used(),
+		Running:        len(e.batch.running),
+		Waiting:        len(e.batch.waiting),
+		CacheUsed:      galenastair.Bytes(e.cache.reservedTokens+e.cache.cachedTokens) * e.settings.BytesPerToken,
+		HighestFence:   e.fence,
+		ChecksFence:    e.settings.ChecksFence,
+		FinishedOrders: append([]galenastair.OrderID(nil), e.weights.finished...),
+		Loaded:         append([]galenastair.LoadedWeights(nil), e.weights.loaded...),
 	}
 }
 
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -48,11 +48,11 @@
 }
 
 // Preload marks weights as loaded and ready without fetching them.
-func (e *Engine) Preload(ws ...galenastair.Weight) {
+func (e *Engine) Preload(ws ...galenastair.ModelWeights) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, w := range ws {
-		e.weights.loaded = append(e.weights.loaded, galenastair.LoadedWeight{Weight: w, State: galenastair.Ready})
+		e.weights.loaded = append(e.weights.loaded, galenastair.LoadedWeights{Weight: w, State: galenastair.LoadStateReady})
 	}
 	e.weights.checkOvercommit("")
 }
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -15,7 +15,7 @@
 	s.EventLag, s.ReportLag = 0, 0
 	change(&s)
 	e := New("e1", s)
-	e.Preload(galenastair.Weight{Name: "model-1", Version: "v1", Memory: 1})
+	e.Preload(galenastair.ModelWeights{Name: "model-1", Version: "v1", Memory: 1})
 	return e
 }
 
@@ -43,7 +43,7 @@
 	e := newTestEngine(func(*Settings) {})
 	is.NoErr(e.admit(newTestSequence("r1", 0, 2)))
 	e.startStep()
-	w := galenastair.Weight{Name: "model-1", Version: "v1", Memory: 1}
+	w := galenastair.ModelWeights{Name: "model-1", Version: "v1", Memory: 1}
 	is.NoErr(e.applyOrder(galenastair.Order{ID: "o1", BackendServer: "e1", Kind: galenastair.UnloadModel, Weight: w}))
 	is.Equal(e.admit(newTestSequence("r2", 0, 1)), errNotReady)
 	e.endStep(time.Now())
@@ -51,23 +51,23 @@
 	e.startStep()
 	e.endStep(time.Now())
 	is.Equal(e.weights.used(), galenastair.Bytes(0))
-	is.Equal(e.report(time.Now()).FinishedOrder, []galenastair.OrderID{"o1"})
+	is.Equal(e.report(time.Now()).FinishedOrders, []galenastair.OrderID{"o1"})
 }
 
 func TestAdapterRequiresItsBaseModelAndOvercommitIsRecorded(t *testing.T) {
 	is := is.New(t)
 	e := newTestEngine(func(s *Settings) { s.Memory = 10 })
-	load := func(id galenastair.OrderID, w galenastair.Weight) error {
+	load := func(id galenastair.OrderID, w galenastair.ModelWeights) error {
 		return e.applyOrder(galenastair.Order{ID: id, BackendServer: "e1", Kind: galenastair.LoadModel, Weight: w})
 	}
-	is.Equal(load("o1", galenastair.Weight{Name: "a", Base: "model-9", Memory: 1}), errBaseNotLoaded)
-	is.NoErr(load("o2", galenastair.Weight{Name: "a", Base: "model-1", Memory: 1}))
-	is.NoErr(load("o2", galenastair.Weight{Name: "a", Base: "model-1", Memory: 1})) // a repeated order
+	is.Equal(load("o1", galenastair.ModelWeights{Name: "a", Base: "model-9", Memory: 1}), errBaseNotLoaded)
+	is.NoErr(load("o2", galenastair.ModelWeights{Name: "a", Base: "model-1", Memory: 1}))
+	is.NoErr(load("o2", galenastair.ModelWeights{Name: "a", Base: "model-1", Memory: 1})) // a repeated order
 	e.mu.Lock()
 	is.Equal(e.weights.used(), galenastair.Bytes(2))
 	is.Equal(len(e.weights.violations), 0)
 	e.mu.Unlock()
-	is.NoErr(load("o3", galenastair.Weight{Name: "model-2", Memory: 9}))
+	is.NoErr(load("o3", galenastair.ModelWeights{Name: "model-2", Memory: 9}))
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	is.Equal(e.weights.violations, []Violation{{Order: "o3", Used: 11, Total: 10}})
@@ -100,7 +100,7 @@
 	dropped := 0
 	for i, ev := range events {
 		is.True(i == 0 || ev.Sequence > events[i-1].Sequence)
-		if ev.Dropped {
+		if ev.Evicted {
 			dropped++
 		}
 	}
--- a/standin/engine/settings.go
+++ b/standin/engine/settings.go
@@ -41,7 +41,7 @@
 	// Journal records the requests that ran. Nil disables it.
 	Journal *journal.Journal
 	// Load fetches a weight from the platform's weight store.
-	Load func(context.Context, galenastair.Weight) error
+	Load func(context.Context, galenastair.ModelWeights) error
 	// Exit ends the process.
 	Exit func()
 }
@@ -61,7 +61,7 @@
 		EventLag:        200 * time.Millisecond,
 		ResumeTimeout:   10 * time.Second,
 		PingInterval:    time.Second,
-		Load:            func(context.Context, galenastair.Weight) error { return nil },
+		Load:            func(context.Context, galenastair.ModelWeights) error { return nil },
 		Exit:            func() { os.Exit(1) },
 	}
 }
--- a/standin/engine/weights.go
+++ b/standin/engine/weights.go
@@ -29,7 +29,7 @@
 // weights holds the models and adapters that occupy memory. Engine.mu guards it.
 type weights struct {
 	total      galenastair.Bytes
-	loaded     []galenastair.LoadedWeight
+	loaded     []galenastair.LoadedWeights
 	finished   []galenastair.OrderID
 	violations []Violation
 	journal    *journal.Journal
@@ -44,7 +44,7 @@
 	return sum
 }
 
-func (w *weights) find(name galenastair.ModelName, version string) *galenastair.LoadedWeight {
+func (w *weights) find(name galenastair.ModelName, version string) *galenastair.LoadedWeights {
 	for i := range w.loaded {
 		if w.loaded[i].Weight.Name == name && w.loaded[i].Weight.Version == version {
 			return &w.loaded[i]
@@ -57,7 +57,7 @@
 // its base model to be ready.
 func (w *weights) isReady(name galenastair.ModelName) bool {
 	for _, l := range w.loaded {
-		if l.Weight.Name == name && l.State == galenastair.Ready {
+		if l.Weight.Name == name && l.State == galenastair.LoadStateReady {
 			return l.Weight.Base == "" || w.isReady(l.Weight.Base)
 		}
 	}
@@ -69,17 +69,17 @@
 	if o.Weight.Base != "" && !w.contains(o.Weight.Base) {
 		return false, errBaseNotLoaded
 	}
-	if l := w.find(o.Weight.Name, o.Weight.Version); l != nil && l.State != galenastair.Unloading {
+	if l := w.find(o.Weight.Name, o.Weight.Version); l != nil && l.State != galenastair.LoadStateUnloading {
 		w.recordFinished(o.ID)
 		return false, nil
 	}
-	w.loaded = append(w.loaded, galenastair.LoadedWeight{Weight: o.Weight, State: galenastair.Loading, Order: o.ID})
+	w.loaded = append(w.loaded, galenastair.LoadedWeights{Weight: o.Weight, State: galenastair.LoadStateLoading, Order: o.ID})
 	w.checkOvercommit(o.ID)
 	return true, nil
 }
 
 func (w *weights) contains(name galenastair.ModelName) bool {
-	return slices.ContainsFunc(w.loaded, func(l galenastair.LoadedWeight) bool { return l.Weight.Name == name })
+	return slices.ContainsFunc(w.loaded, func(l galenastair.LoadedWeights) bool { return l.Weight.Name == name })
 }
 
 // checkOvercommit updates the peak of used memory and records a violation if it exceeds
@@ -95,12 +95,12 @@
 
 // finishLoad marks the weight of an order as ready, or removes it if the fetch failed.
 func (w *weights) finishLoad(id galenastair.OrderID, err error) {
-	i := slices.IndexFunc(w.loaded, func(l galenastair.LoadedWeight) bool { return l.Order == id })
+	i := slices.IndexFunc(w.loaded, func(l galenastair.LoadedWeights) bool { return l.Order == id })
 	if i >= 0 && err != nil {
 		w.loaded = slices.Delete(w.loaded, i, i+1)
 	}
-	if i >= 0 && err == nil && w.loaded[i].State == galenastair.Loading {
-		w.loaded[i].State = galenastair.Ready
+	if i >= 0 && err == nil && w.loaded[i].State == galenastair.LoadStateLoading {
+		w.loaded[i].State = galenastair.LoadStateReady
 	}
 	w.recordFinished(id)
 }
@@ -112,14 +112,14 @@
 	if l == nil {
 		return errNotFound
 	}
-	l.State = galenastair.Unloading
+	l.State = galenastair.LoadStateUnloading
 	l.Order = o.ID
 	return nil
 }
 
 func (w *weights) finishUnloads(runs func(galenastair.ModelName) bool) {
-	w.loaded = slices.DeleteFunc(w.loaded, func(l galenastair.LoadedWeight) bool {
-		gone := l.State == galenastair.Unloading && !runs(l.Weight.Name)
+	w.loaded = slices.DeleteFunc(w.loaded, func(l galenastair.LoadedWeights) bool {
+		gone := l.State == galenastair.LoadStateUnloading && !runs(l.Weight.Name)
 		if gone {
 			w.recordFinished(l.Order)
 		}
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -20,7 +20,7 @@
 	faults      *faultState
 	list        *instanceList
 	weightStore *weightStore
-	catalogue   []galenastair.Weight
+	catalogue   []galenastair.ModelWeights
 
 	mu            sync.Mutex
 	streams       map[string]*stream
@@ -36,7 +36,7 @@
 }
 
 // WithCatalogue sets the weights in the weight store.
-func WithCatalogue(weights []galenastair.Weight) Option {
+func WithCatalogue(weights []galenastair.ModelWeights) Option {
 	return func(p *Platform) { p.catalogue = weights }
 }
 
--- a/standin/platform/weights.go
+++ b/standin/platform/weights.go
@@ -50,7 +50,7 @@
 }
 
 // startLoad counts a load and returns its duration.
-func (s *weightStore) startLoad(w galenastair.Weight) time.Duration {
+func (s *weightStore) startLoad(w galenastair.ModelWeights) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := &s.counts
@@ -73,7 +73,7 @@
 	return fullSpeed * time.Duration(inFlight) / time.Duration(concurrency)
 }
 
-func (s *weightStore) endLoad(w galenastair.Weight) {
+func (s *weightStore) endLoad(w galenastair.ModelWeights) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if w.Base != "" {
@@ -84,7 +84,7 @@
 }
 
 func (p *Platform) postLoad(w http.ResponseWriter, r *http.Request) {
-	var weight galenastair.Weight
+	var weight galenastair.ModelWeights
 	if err := json.NewDecoder(r.Body).Decode(&weight); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
--- a/store.go
+++ b/store.go
@@ -59,11 +59,11 @@
 	Newest(ctx context.Context, t Topic) (KeyedBatch, error)
 	// Read returns the records from an offset on. If there are none yet, it waits for the
 	// first one, for at most the duration wait.
-	Follow(ctx context.Context, t Topic, from Offset, wait time.Duration) (KeyedBatch, error)
+	Read(ctx context.Context, t Topic, from Offset, wait time.Duration) (KeyedBatch, error)
 	// Put sets the value of a key in a keyed topic. A producer's repeated write takes effect
 	// only once.
 	Put(ctx context.Context, t Topic, key string, value []byte, p Producer) error
 	// CompareAndPut sets the value of a key in a keyed topic if the topic ends at the offset
 	// at, and returns the offset of the new record. Otherwise, it returns ErrConflict.
-	PutAt(ctx context.Context, t Topic, key string, value []byte, at Offset) (Offset, error)
+	CompareAndPut(ctx context.Context, t Topic, key string, value []byte, at Offset) (Offset, error)
 }
