--- a/engine/checker.go
+++ b/engine/checker.go
@@ -20,7 +20,7 @@
 	idPrefix     []byte
 }
 
-// validate returns the event's chunk, or ErrCrossed.
+// validate returns the event's chunk, or ErrInvalidResponse.
 func (c *eventValidator) validate(ev event) (galenastair.Chunk, error) {
 	if ev.id != c.nextSequence {
 		return galenastair.Chunk{}, eris.Wrapf(galenastair.ErrInvalidResponse, "event %d where %d was due", ev.id, c.nextSequence)
--- a/engine/client.go
+++ b/engine/client.go
@@ -37,7 +37,7 @@
 // Option configures a Client.
 type Option func(*Client)
 
-// WithIdleTimeout sets how long a stream may receive no byte before it fails with ErrSilent.
+// WithIdleTimeout sets how long a stream may receive no byte before it fails with ErrProgressTimeout.
 func WithIdleTimeout(d time.Duration) Option {
 	return func(c *Client) { c.idleTimeout = d }
 }
--- a/engine/doc.go
+++ b/engine/doc.go
@@ -24,8 +24,9 @@
 // has the status and Retry-After). An order with an outdated fencing number gets
 // 409 and X-Outcome: StaleFence, which maps to ErrStaleFence. A request of which
 // no byte was sent maps to ErrNotSent. A stream that the engine does not know gets
-// 404 and maps to ErrStreamGone. With any other error it is unknown whether the
-// request ran; these map to ErrBackendServer, ErrSilent, ErrCrossed or ErrAnswerCut.
+// 404 and maps to ErrStreamNotFound. With any other error it is unknown whether the
+// request ran; these map to ErrBackendFailed, ErrProgressTimeout, ErrInvalidResponse
+// or ErrResponseTruncated.
 //
 // Cost: an open stream takes about 10 KB (a 4 KB read buffer, the connection's
 // 4 KB buffer and a timer); each event costs one allocation.
--- a/gateway/bed_test.go
+++ b/gateway/bed_test.go
@@ -34,7 +34,7 @@
 	return b.scripts[len(b.calls)-1](ctx, c)
 }
 
-// truncatedBody is a body that ends with ErrAnswerCut.
+// truncatedBody is a body that ends with ErrResponseTruncated.
 type truncatedBody struct{ io.Reader }
 
 func (b truncatedBody) Read(p []byte) (int, error) {
--- a/httpconn/doc.go
+++ b/httpconn/doc.go
@@ -3,7 +3,8 @@
 // Unlike http.Transport it never retries a request, tells whether any byte of a failed
 // request may have been sent, and reuses a connection only if the peer has sent nothing
 // after the response. Sizes are in bytes. Errors wrap galenastair.ErrNotSent, together with
-// ErrAbsent if nothing listens at the address, ErrAnswerCut or ErrCrossed; when the context
-// ends, its cause is returned, for example galenastair.ErrSilent. An idle connection takes
-// 6 KB of memory for its two buffers and no goroutine.
+// ErrConnectionRefused if nothing listens at the address, ErrResponseTruncated or
+// ErrInvalidResponse; when the context ends, its cause is returned, for example
+// galenastair.ErrProgressTimeout. An idle connection takes 6 KB of memory for its two
+// buffers and no goroutine.
 package httpconn
--- a/httpconn/exchange.go
+++ b/httpconn/exchange.go
@@ -127,7 +127,7 @@
 	done bool
 }
 
-// Read returns galenastair.ErrAnswerCut if the body ends before its end by the framing.
+// Read returns galenastair.ErrResponseTruncated if the body ends before its end by the framing.
 func (b *responseBody) Read(p []byte) (int, error) {
 	if b.done {
 		return 0, io.EOF
