--- a/account/accounts.go
+++ b/account/accounts.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// HasQuota reports whether an organisation has a quota.
-func (a *Accounts) HasQuota(o galenastair.Organisation) bool {
+// IsLimited reports whether an organisation has a quota, so that its requests must be charged.
+func (a *Accounts) IsLimited(o galenastair.Organisation) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	_, limited := a.limits[o]
--- a/config/follower.go
+++ b/config/follower.go
@@ -40,7 +40,7 @@
 	lastReadFailed bool
 	view           atomic.Pointer[View]
 	logContact     atomic.Pointer[time.Time]
-	reachability   atomic.Pointer[LogReachability]
+	connectivity   atomic.Pointer[Connectivity]
 	lastSnapshot   atomic.Pointer[time.Time]
 	halted         atomic.Bool
 }
@@ -88,15 +88,15 @@
 // Ready reports whether the instance may serve requests with the view: the follower has
 // caught up once, supports the stream's rules version, and is not partitioned.
 func (f *Follower) Ready() bool {
-	return f.view.Load() != nil && !f.halted.Load() && f.LogReachability() != Partitioned
+	return f.view.Load() != nil && !f.halted.Load() && f.Connectivity() != Partitioned
 }
 
-// LogReachability returns what is known about the reachability of the log.
-func (f *Follower) LogReachability() LogReachability {
-	if s := f.reachability.Load(); s != nil {
+// Connectivity returns whether this instance reaches the log, itself or by its peers.
+func (f *Follower) Connectivity() Connectivity {
+	if s := f.connectivity.Load(); s != nil {
 		return *s
 	}
-	return LogReachable
+	return Connected
 }
 
 // LogContact returns when the log last answered a read; it is zero before that.
@@ -116,7 +116,7 @@
 		}
 		_ = level.Warn(f.logger).Log("msg", "cannot read configuration stream", "err", err)
 		f.readFromPeers(ctx)
-		f.updateReachability()
+		f.updateConnectivity()
 		timer.Wait(ctx, minRetryDelay+rand.N(maxRetryDelay-minRetryDelay))
 	}
 	return ctx.Err()
@@ -143,7 +143,7 @@
 	now := f.clock.Now()
 	f.logContact.Store(&now)
 	f.detector.reset()
-	f.updateReachability()
+	f.updateConnectivity()
 	// a view taken while catching up would be an outdated configuration
 	if caughtUp || f.view.Load() != nil {
 		f.publish()
@@ -158,14 +158,14 @@
 	return min(max(timeout, minPollTimeout), maxPollTimeout)
 }
 
-// updateReachability re-evaluates the reachability of the log, which Ready depends on.
-func (f *Follower) updateReachability() {
+// updateConnectivity re-evaluates the connectivity, which Ready depends on.
+func (f *Follower) updateConnectivity() {
 	limit := f.pollTimeout() + readTimeoutMargin + maxRetryDelay
 	s := f.detector.evaluate(f.clock.Now(), f.LogContact(), limit, f.peers.Members())
-	if old := f.LogReachability(); old != s {
+	if old := f.Connectivity(); old != s {
 		_ = level.Warn(f.logger).Log("msg", "standing towards the log changed", "old", old, "new", s)
 	}
-	f.reachability.Store(&s)
+	f.connectivity.Store(&s)
 }
 
 // publish replaces the view if any records were applied since it was taken.
--- a/config/reach.go
+++ b/config/reach.go
@@ -6,21 +6,21 @@
 	"galenastair"
 )
 
-// LogReachability is what an instance knows about the reachability of the log.
-type LogReachability string
+// Connectivity tells whether an instance reaches the log, itself or by its peers.
+type Connectivity string
 
-// Values of LogReachability.
+// Values of Connectivity.
 const (
-	// LogReachable means that the log has answered recently.
-	LogReachable LogReachability = "InTouch"
-	// LogReachableByPeers means that this instance cannot reach the log, but has heard
+	// Connected means that the log has answered recently.
+	Connected Connectivity = "InTouch"
+	// ConnectedByPeers means that this instance cannot reach the log, but has heard
 	// from a peer that can.
-	LogReachableByPeers LogReachability = "Relayed"
+	ConnectedByPeers Connectivity = "Relayed"
 	// LogDown means that the log answers no instance, so no change can be accepted.
-	LogDown LogReachability = "DownForAll"
+	LogDown Connectivity = "DownForAll"
 	// Partitioned means that the log may be reachable from instances that do not respond to
 	// this one, and so may accept changes that this instance does not see.
-	Partitioned LogReachability = "CutOff"
+	Partitioned Connectivity = "CutOff"
 )
 
 // Peer is another instance of the last known epoch.
@@ -84,14 +84,14 @@
 	}
 }
 
-// evaluate returns the reachability of the log. contact is when the log last answered this
+// evaluate returns the current connectivity. contact is when the log last answered this
 // instance; contacts older than limit do not count.
-func (d *partitionDetector) evaluate(now, contact time.Time, limit time.Duration, peers []Peer) LogReachability {
+func (d *partitionDetector) evaluate(now, contact time.Time, limit time.Duration, peers []Peer) Connectivity {
 	switch {
 	case now.Sub(contact) <= limit:
-		return LogReachable
+		return Connected
 	case now.Sub(d.peerContact) <= limit:
-		return LogReachableByPeers
+		return ConnectedByPeers
 	case d.partitioned(peers):
 		return Partitioned
 	}
--- a/config/reach_test.go
+++ b/config/reach_test.go
@@ -19,7 +19,7 @@
 
 // A switch failure partitions a group of instances from the log and the other instances. A
 // key that is withdrawn on the other side would stay valid in the group.
-// Fails if evaluate ignores peerContact (LogReachableByPeers); if partitioned returns false
+// Fails if evaluate ignores peerContact (ConnectedByPeers); if partitioned returns false
 // (Partitioned), ignores Deregistered, or omits size >= 2; or if responsive is always true
 // or requires a response in the last round.
 func TestPartitionDetector(t *testing.T) {
@@ -37,10 +37,10 @@
 		rounds    int           // rounds of requests since then
 		responses []response
 		peers     []Peer
-		want      LogReachability
+		want      Connectivity
 	}{
-		{"the log answers", time.Second, 0, nil, all, LogReachable},
-		{"only this instance cannot reach the log", time.Minute, 12, []response{{"b", time.Second}}, all, LogReachableByPeers},
+		{"the log answers", time.Second, 0, nil, all, Connected},
+		{"only this instance cannot reach the log", time.Minute, 12, []response{{"b", time.Second}}, all, ConnectedByPeers},
 		{"the log is down", time.Minute, 12, []response{{"a", time.Minute}, {"b", time.Minute}, {"c", -1}}, all, LogDown},
 		{"one zone does not respond", time.Minute, 12, []response{{"a", time.Minute}, {"b", time.Minute}}, all, Partitioned},
 		{"one zone is deregistered", time.Minute, 12, []response{{"a", time.Minute}, {"b", time.Minute}}, deregistered, LogDown},
@@ -76,7 +76,7 @@
 func (unreachablePeers) Members() []Peer { return peersInZones("a", "b") }
 
 // A partitioned instance must not be ready, and must be ready again once the log answers.
-// Fails if Ready ignores the reachability of the log.
+// Fails if Ready ignores the connectivity.
 func TestPartitionedInstanceIsNotReady(t *testing.T) {
 	is := is.New(t)
 	l := newFakeLog()
@@ -90,8 +90,8 @@
 		f.readFromPeers(t.Context())
 	}
 	clock.advance(time.Minute)
-	f.updateReachability()
-	is.Equal(f.LogReachability(), Partitioned)
+	f.updateConnectivity()
+	is.Equal(f.Connectivity(), Partitioned)
 	is.True(!f.Ready() && f.View() != nil)
 	l.setDown(false)
 	l.add(testRecord("x", KindKeyWithdrawn, KeyWithdrawn{KeyHash: testKey(1)}))
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -159,11 +159,11 @@
 	d.deliver()
 }
 
-// CacheEvents applies an engine's additions to and evictions from its prefix cache.
-func (d *Dispatcher) CacheEvents(id galenastair.BackendServerID, events []galenastair.CacheEvent) {
+// ApplyCacheEvents applies an engine's additions to and evictions from its prefix cache.
+func (d *Dispatcher) ApplyCacheEvents(id galenastair.BackendServerID, events []galenastair.CacheEvent) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.scheduler.CacheEvents(id, events)
+	d.scheduler.ApplyCacheEvents(id, events)
 }
 
 // Demand returns the demand of every model requested on this instance so far.
--- a/dispatch/flight.go
+++ b/dispatch/flight.go
@@ -96,9 +96,9 @@
 	s.dispatchServer(now, r.BackendServer)
 }
 
-// CacheEvents applies an engine's additions to and evictions from its prefix cache.
-func (s *Scheduler) CacheEvents(id galenastair.BackendServerID, events []galenastair.CacheEvent) {
-	s.router.CacheEvents(id, events)
+// ApplyCacheEvents applies an engine's additions to and evictions from its prefix cache.
+func (s *Scheduler) ApplyCacheEvents(id galenastair.BackendServerID, events []galenastair.CacheEvent) {
+	s.router.ApplyCacheEvents(id, events)
 }
 
 // Unhealthy returns the backend servers that remain slow, failing or silent. Placement loads
--- a/engine/doc.go
+++ b/engine/doc.go
@@ -21,7 +21,7 @@
 //
 // Errors: an engine that has not run a request, or has not acted on an order,
 // returns the header X-Outcome: NotRun, which maps to ErrDeclined (DeclinedError
-// has the status and Retry-After). An order with an outdated fencing number gets
+// has the status and Retry-After). An order with an outdated fencing token gets
 // 409 and X-Outcome: StaleFence, which maps to ErrStaleFence. A request of which
 // no byte was sent maps to ErrNotSent. A stream that the engine does not know gets
 // 404 and maps to ErrStreamNotFound. With any other error it is unknown whether the
--- a/entry/duty.go
+++ b/entry/duty.go
@@ -59,7 +59,7 @@
 // Owns reports whether this instance owns a share in the current ring and its lease is valid.
 func (d rateAssignment) Owns(a rate.ShareID, now time.Time) bool {
 	owner, ok := shareOwner(a)(d.s.View)
-	return ok && owner.Incarnation == d.s.Self.Incarnation && d.s.Holds(now)
+	return ok && owner.Incarnation == d.s.Self.Incarnation && d.s.HoldsLease(now)
 }
 
 // Serves reports whether this instance may act as the owner of a share now.
@@ -110,7 +110,7 @@
 }
 
 // HoldsLease reports whether this instance's lease is valid.
-func (d claimAssignment) HoldsLease(now time.Time) bool { return d.members.Status().Holds(now) }
+func (d claimAssignment) HoldsLease(now time.Time) bool { return d.members.Status().HoldsLease(now) }
 
-// Holds reports whether this instance's lease is valid.
-func (e *Entry) Holds(now time.Time) bool { return e.members.Status().Holds(now) }
+// HoldsLease reports whether this instance's lease is valid.
+func (e *Entry) HoldsLease(now time.Time) bool { return e.members.Status().HoldsLease(now) }
--- a/entry/report.go
+++ b/entry/report.go
@@ -110,7 +110,7 @@
 	if err != nil {
 		return 0
 	}
-	e.dispatcher.CacheEvents(s.ID, events)
+	e.dispatcher.ApplyCacheEvents(s.ID, events)
 	for _, ev := range events {
 		after = max(after, ev.Sequence)
 	}
--- a/entry/status.go
+++ b/entry/status.go
@@ -15,7 +15,7 @@
 		return galenastair.ErrStopping
 	case !e.follower.Ready():
 		return galenastair.ErrNoConfiguration
-	case !e.Holds(time.Now()):
+	case !e.HoldsLease(time.Now()):
 		return galenastair.ErrNotMember
 	default:
 		return nil
@@ -30,7 +30,7 @@
 		Instance:         in.ID,
 		Region:           in.Region,
 		AvailabilityZone: in.AvailabilityZone,
-		HoldsLease:       e.Holds(now),
+		HoldsLease:       e.HoldsLease(now),
 		LogContact:       now.Sub(e.follower.LogContact()),
 		Requests:         e.server.Active().Len(),
 		BackendServers:   e.backendServers(now),
--- a/lease/campaign.go
+++ b/lease/campaign.go
@@ -51,7 +51,7 @@
 		return 0
 	}
 	own := min(1, slowLinkMbps/e.linkMbps) * float64(slowLinkDelay)
-	full := min(maxLinkLoad, exchangeMbps*float64(e.Fleet())/e.linkMbps) * float64(fullLinkDelay)
+	full := min(maxLinkLoad, exchangeMbps*float64(e.FleetSize())/e.linkMbps) * float64(fullLinkDelay)
 	return time.Duration(own + full)
 }
 
@@ -107,7 +107,7 @@
 	check := e.checkLease
 	e.checkLease = false
 	e.mu.Unlock()
-	return check && rand.IntN(max(1, e.Fleet())) < leaseCheckers
+	return check && rand.IntN(max(1, e.FleetSize())) < leaseCheckers
 }
 
 // hasRecord reports whether the record has been read from the store.
@@ -130,7 +130,7 @@
 
 // electionJitter returns a random wait for instances that lose a leader at the same moment.
 func (e *Elector) electionJitter() time.Duration {
-	fleet := e.Fleet()
+	fleet := e.FleetSize()
 	if fleet == 0 {
 		return rand.N(baseElectionJitter)
 	}
@@ -156,7 +156,7 @@
 // campaign tries to take the lease.
 func (e *Elector) campaign(ctx context.Context) {
 	e.mu.Lock()
-	r := Record{Offset: e.record.Offset + 1, Leader: e.self, Fleet: e.record.Fleet}
+	r := Record{Offset: e.record.Offset + 1, Leader: e.self, FleetSize: e.record.FleetSize}
 	e.mu.Unlock()
 	predecessor := PredecessorLapsed
 	if r.Offset == 0 {
--- a/lease/elector.go
+++ b/lease/elector.go
@@ -32,8 +32,8 @@
 	// Leader is the leader's peer address; empty after a release.
 	Leader string
 	Fence  galenastair.Fence
-	// Fleet is the number of instances that the leader knew of.
-	Fleet int
+	// FleetSize is the number of instances that the leader knew of.
+	FleetSize int `json:"Fleet"`
 }
 
 // Renewal is the newest renewal that an instance knows of.
@@ -128,7 +128,7 @@
 func (e *Elector) Run(ctx context.Context) error {
 	timer.Wait(ctx, e.linkDelay()+rand.N(startJitter))
 	e.loadRecord(ctx)
-	if known := e.LatestRecord(); known.Fleet > 0 && known.Fleet <= MaxRestoreFleet {
+	if known := e.LatestRecord(); known.FleetSize > 0 && known.FleetSize <= MaxRestoreFleet {
 		e.restoreCheckpoint(ctx, true)
 	}
 	close(e.started)
@@ -157,11 +157,11 @@
 	return e.record.Leader
 }
 
-// Fleet returns the number of instances that the leader counted at its last renewal.
-func (e *Elector) Fleet() int {
+// FleetSize returns the number of instances that the leader counted at its last renewal.
+func (e *Elector) FleetSize() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.record.Fleet
+	return e.record.FleetSize
 }
 
 // Renewal returns the newest renewal known here, for use in replies to other instances.
@@ -183,7 +183,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if r.Offset > e.record.Offset && e.loaded {
-		r.Fence, r.Fleet = e.record.Fence, e.record.Fleet
+		r.Fence, r.FleetSize = e.record.Fence, e.record.FleetSize
 		e.setRecord(r, e.clock().Add(ttl))
 		e.leaderSteppedDown = false
 	}
@@ -254,7 +254,7 @@
 	next := e.record
 	e.mu.Unlock()
 	next.Offset++
-	next.Fleet = e.fleet()
+	next.FleetSize = e.fleet()
 	sent := e.clock()
 	next, err := e.write(ctx, next)
 	if err == nil {
@@ -311,7 +311,7 @@
 	call, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	e.mu.Lock()
-	r := Record{Offset: e.record.Offset + 1, Fence: e.record.Fence, Fleet: e.record.Fleet}
+	r := Record{Offset: e.record.Offset + 1, Fence: e.record.Fence, FleetSize: e.record.FleetSize}
 	e.mu.Unlock()
 	if _, err := e.write(call, r); err != nil {
 		e.logger.Log("event", "lease", "call", "release", "err", err)
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -58,27 +58,28 @@
 // Apply applies a record of the control stream; leader is the leader right after the
 // record's offset.
 //
-// A record by any other author is void. A paused leader that resumes after its lease
-// may still append orders; no instance counts them, and it reads back that they are void.
-func (l *Ledger) Apply(now time.Time, rec galenastair.Record, leader Leader) Verdict {
+// A record by any other author has no effect. A paused leader that resumes after its
+// lease may still append orders; no instance counts them, and the paused leader reads
+// back that they have no effect.
+func (l *Ledger) Apply(now time.Time, rec galenastair.Record, leader Leader) ApplyResult {
 	l.setLeader(now, leader)
 	switch rec.Kind {
 	case KindIssued:
 		body, ok := decode[Issued](rec)
 		if !ok || !l.writtenByLeader(rec, body.Order.Fence) || l.orders[body.Order.ID] != nil {
-			return Void
+			return NoEffect
 		}
 		l.orders[body.Order.ID] = &pendingOrder{order: body.Order, startedAt: now}
-		return Valid
+		return Applied
 	case KindSettled:
 		body, ok := decode[Settled](rec)
 		if !ok || !l.writtenByLeader(rec, body.Fence) || l.orders[body.Order] == nil {
-			return Void
+			return NoEffect
 		}
 		l.orders[body.Order].settledAt = now
-		return Valid
+		return Applied
 	}
-	return Foreign
+	return UnknownKind
 }
 
 func (l *Ledger) writtenByLeader(rec galenastair.Record, f galenastair.Fence) bool {
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -17,7 +17,7 @@
 	leader2   = Leader{"i1", 2}
 )
 
-func issue(l *Ledger, now time.Time, by Leader, id string, memory galenastair.Bytes) Verdict {
+func issue(l *Ledger, now time.Time, by Leader, id string, memory galenastair.Bytes) ApplyResult {
 	return l.Apply(now, record(KindIssued, by, Issued{order(by, id, memory)}), by)
 }
 
@@ -61,9 +61,9 @@
 			is := is.New(t)
 			l := New(DefaultOrderLifetime)
 			l.ApplyReport(startTime, report(c.checks, leader1.Fence))
-			is.Equal(issue(l, startTime, leader1, "a", 6), Valid)
-			is.Equal(issue(l, startTime, leader2, "b", 1), Valid)
-			is.Equal(issue(l, startTime, leader1, "c", 1), Valid) // issue makes leader1 the leader again
+			is.Equal(issue(l, startTime, leader1, "a", 6), Applied)
+			is.Equal(issue(l, startTime, leader2, "b", 1), Applied)
+			is.Equal(issue(l, startTime, leader1, "c", 1), Applied) // issue makes leader1 the leader again
 			l.Apply(startTime, galenastair.Record{}, leader2)
 			now := startTime.Add(c.after)
 			l.ApplyReport(now, report(c.checks, c.fence))
@@ -76,7 +76,7 @@
 			is.True(len(got) >= 2)
 			for _, s := range got {
 				is.Equal(s.Settlement, c.want)
-				is.Equal(l.Apply(now, record(KindSettled, leader2, s), leader2), Valid)
+				is.Equal(l.Apply(now, record(KindSettled, leader2, s), leader2), Applied)
 			}
 			is.True(!l.Fits(order(leader2, "d", 4))) // the memory stays reserved until a later report
 			l.ApplyReport(now.Add(time.Second), report(c.checks, c.fence))
@@ -86,13 +86,13 @@
 }
 
 // An order that is read back counts only if its author was the leader at its offset, so the
-// order of a leader that was paused past its lease is void. The test fails if writtenByLeader
+// order of a leader that was paused past its lease has no effect. The test fails if writtenByLeader
 // always returns true.
 func TestOrderFromNonLeaderIsVoid(t *testing.T) {
 	is := is.New(t)
 	l := New(DefaultOrderLifetime)
 	rec := record(KindIssued, leader1, Issued{order(leader1, "a", 6)})
-	is.Equal(l.Apply(startTime, rec, leader2), Void)
+	is.Equal(l.Apply(startTime, rec, leader2), NoEffect)
 	is.Equal(len(l.PendingOrders("e")), 0)
 }
 
@@ -106,7 +106,7 @@
 	l.ApplyReport(startTime.Add(2*time.Second), report(true, 1, "x"))
 	l.ApplyReport(startTime.Add(1*time.Second), report(true, 1))
 	is.Equal(l.FreeMemory("e"), galenastair.Bytes(4))
-	is.Equal(issue(l, startTime, leader1, "a", 3), Valid)
+	is.Equal(issue(l, startTime, leader1, "a", 3), Applied)
 	raw, err := l.Snapshot()
 	is.NoErr(err)
 
--- a/ledger/model_steps_test.go
+++ b/ledger/model_steps_test.go
@@ -27,8 +27,8 @@
 	for n := 1 + sim.randN(12); n > 0 && in.applied < len(sim.log); n-- {
 		rec := sim.log[in.applied]
 		in.applied++
-		verdict := in.ledger.Apply(sim.now, rec.rec, rec.leader)
-		if verdict != Valid || rec.rec.Kind != KindIssued {
+		result := in.ledger.Apply(sim.now, rec.rec, rec.leader)
+		if result != Applied || rec.rec.Kind != KindIssued {
 			continue
 		}
 		body, _ := decode[Issued](rec.rec)
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -36,14 +36,15 @@
 	Settlement Settlement
 }
 
-// Verdict is the result of applying a record.
-type Verdict string
+// ApplyResult is the result of applying a record.
+type ApplyResult string
 
-// Results of applying a record: Void has no effect, Foreign is not a record of orders.
+// Results of applying a record. NoEffect is that of a record that cannot be decoded or is not the
+// leader's, UnknownKind that of a record that is not about orders.
 const (
-	Valid   Verdict = "Valid"
-	Void    Verdict = "Void"
-	Foreign Verdict = "Foreign"
+	Applied     ApplyResult = "Valid"
+	NoEffect    ApplyResult = "Void"
+	UnknownKind ApplyResult = "Foreign"
 )
 
 // Leader identifies the leader at a record's offset.
@@ -52,7 +53,7 @@
 	Fence galenastair.Fence
 }
 
-// decode parses a record's body. A malformed body makes the record void on every instance.
+// decode parses a record's body. A record with a malformed body has no effect on any instance.
 func decode[T any](rec galenastair.Record) (T, bool) {
 	var body T
 	err := json.Unmarshal(rec.Body, &body)
--- a/logservice/doc.go
+++ b/logservice/doc.go
@@ -12,7 +12,7 @@
 //	GET    /instances                                           -> ListResponse,
 //	       or 304 if If-None-Match is the ETag of the current list
 //	GET    /catalogue                                           -> CatalogueResponse
-//	POST   /loads                              body: galenastair.Weight
+//	POST   /loads                              body: galenastair.ModelWeights
 //
 // A POST to /instances registers an instance and is its heartbeat as well; an instance
 // without heartbeats for some time is removed from the list. Offsets of a stream start
--- a/measure/fleet.go
+++ b/measure/fleet.go
@@ -230,7 +230,7 @@
 					kept = append(kept, ev)
 				}
 			}
-			f.after(cacheEventLag, func() { e.CacheEvents(en.id, kept) })
+			f.after(cacheEventLag, func() { e.ApplyCacheEvents(en.id, kept) })
 		}
 	}
 }
--- a/measure/placing.go
+++ b/measure/placing.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// isUnhealthy returns the verdict of the scheduler of the first entry. In the real system,
+// isUnhealthy returns what the scheduler of the first entry finds. In the real system,
 // the leader likewise uses the scheduler of its own instance.
 func (l *leader) isUnhealthy(id galenastair.BackendServerID) bool {
 	c, ok := l.fleet.entries[0].scheduler.(*dispatch.Scheduler)
--- a/measure/policy.go
+++ b/measure/policy.go
@@ -53,7 +53,7 @@
 	Done(now time.Time, t *dispatch.Ticket, res dispatch.Result)
 	SetServers(now time.Time, list []dispatch.Server)
 	ApplyReport(now time.Time, r galenastair.EngineReport)
-	CacheEvents(id galenastair.BackendServerID, events []galenastair.CacheEvent)
+	ApplyCacheEvents(id galenastair.BackendServerID, events []galenastair.CacheEvent)
 	Poll() []dispatch.Decision
 	Demand() []dispatch.Demand
 }
@@ -174,7 +174,7 @@
 func (r *baselineScheduler) ApplyReport(_ time.Time, e galenastair.EngineReport) {
 	r.reports[e.BackendServer] = e
 }
-func (r *baselineScheduler) CacheEvents(galenastair.BackendServerID, []galenastair.CacheEvent) {}
+func (r *baselineScheduler) ApplyCacheEvents(galenastair.BackendServerID, []galenastair.CacheEvent) {}
 
 func (r *baselineScheduler) Done(_ time.Time, t *dispatch.Ticket, _ dispatch.Result) {
 	r.inFlight[r.sentTo[t]]--
--- a/member/measure_test.go
+++ b/member/measure_test.go
@@ -135,7 +135,7 @@
 	time.Sleep(30 * time.Second)
 	held := 0
 	for _, in := range rest {
-		if in.Status().Holds(time.Now()) {
+		if in.Status().HoldsLease(time.Now()) {
 			held++
 		}
 	}
--- a/member/model_test.go
+++ b/member/model_test.go
@@ -285,7 +285,7 @@
 		}
 		now := p.localTime(m)
 		s := &Status{Self: p.self, View: p.state.View, lease: p.lease, history: p.history}
-		if !s.Holds(now) {
+		if !s.HoldsLease(now) {
 			continue
 		}
 		m.stats.held++
--- a/member/restart_test.go
+++ b/member/restart_test.go
@@ -26,7 +26,7 @@
 	l.setDown(false)
 	begin := time.Now()
 	eventually(t, "the new process is a member", func() bool {
-		return again.Status().Self.Incarnation != 0 && again.Status().Holds(time.Now())
+		return again.Status().Self.Incarnation != 0 && again.Status().HoldsLease(time.Now())
 	})
 	is.True(time.Since(begin) < timing.OutageLeaseDuration/4)
 }
--- a/member/runtime_test.go
+++ b/member/runtime_test.go
@@ -92,7 +92,7 @@
 
 func (in *instance) members() int {
 	s := in.Status()
-	if !s.Holds(time.Now()) {
+	if !s.HoldsLease(time.Now()) {
 		return 0
 	}
 	return len(s.View.Ring)
@@ -107,7 +107,7 @@
 	is.True(s.Serves("any", 0, now))
 	is.True(!s.Serves("any", 1, now)) // a ring of one member has one slot
 	is.NoErr(a.Leave(t.Context()))
-	is.True(!a.Status().Holds(time.Now()))
+	is.True(!a.Status().HoldsLease(time.Now()))
 	a.cancel()
 	is.True(errors.Is(<-a.ended, context.Canceled))
 	is.True(errors.Is(<-a.ended, context.Canceled))
--- a/member/state.go
+++ b/member/state.go
@@ -54,7 +54,7 @@
 	rules rules
 }
 
-// Leader returns the leader's id, incarnation and fencing number; all are zero if the ring is empty.
+// Leader returns the leader's id, incarnation and fencing token; all are zero if the ring is empty.
 func (s *State) Leader() (galenastair.InstanceID, Incarnation, galenastair.Fence) {
 	m, ok := s.View.Leader()
 	if !ok {
--- a/member/status.go
+++ b/member/status.go
@@ -37,13 +37,13 @@
 	return !l.stopped && (l.soleMember || now.Before(l.until))
 }
 
-// Holds reports whether this instance is a member that holds its lease at now.
+// HoldsLease reports whether this instance is a member that holds its lease at now.
 //
 // Check it right before each action that needs the lease. If the process pauses between the check
 // and the action, the action can still happen after the lease has ended. The delay of the next
 // owner (see ownerHistory) covers pauses of up to Timing.GrantDuration after the end of the lease;
-// fencing numbers or claims must cover longer ones.
-func (s *Status) Holds(now time.Time) bool {
+// fencing tokens or claims must cover longer ones.
+func (s *Status) HoldsLease(now time.Time) bool {
 	return s.Self.Incarnation != 0 && s.lease.holds(now)
 }
 
@@ -80,11 +80,11 @@
 // Leads reports whether this instance may act as leader at now.
 //
 // A new leader does not add the delay that covers a paused predecessor. Orders that the predecessor
-// sends after it resumes are either refused because of their fencing number, or are in the log and
+// sends after it resumes are either refused because of their fencing token, or are in the log and
 // taken into account by the new leader (see package ledger). Waiting would leave models that have
 // lost their copies without a leader for longer.
 func (s *Status) Leads(now time.Time) bool {
-	if !s.Holds(now) {
+	if !s.HoldsLease(now) {
 		return false
 	}
 	owner, ok := LeaderOf(s.View)
@@ -97,7 +97,7 @@
 
 // ActsAs reports whether this instance may act as the owner of a role at now.
 func (s *Status) ActsAs(ownerOf OwnerFunc, now time.Time) bool {
-	if !s.Holds(now) {
+	if !s.HoldsLease(now) {
 		return false
 	}
 	since, ok := s.actsSince(ownerOf)
--- a/node/limits.go
+++ b/node/limits.go
@@ -54,6 +54,6 @@
 
 // position returns the position of this instance among all instances, as last reported by the leader.
 func (c *leaderClient) position() ratelimit.Position {
-	fleetSize := c.borrower.ReportedFleet()
-	return ratelimit.Position{Index: min(int(c.index.Load()), max(0, fleetSize-1)), Fleet: fleetSize}
+	fleetSize := c.borrower.ReportedFleetSize()
+	return ratelimit.Position{Index: min(int(c.index.Load()), max(0, fleetSize-1)), FleetSize: fleetSize}
 }
--- a/node/node.go
+++ b/node/node.go
@@ -118,15 +118,15 @@
 	tolerance := quota.Tolerance{Window: s.Bounds.QuotaWindow, Ratio: s.Bounds.QuotaOver, Slack: s.Bounds.QuotaSlack}
 	n.borrower = quota.NewBorrower(tolerance)
 	// until a leader or its checkpoint gives a fleet size, other instances may hold the whole quota
-	n.borrower.SetFleet(0)
-	n.pool = pool.New(s.AvailabilityZone, pool.WithLeaveGrace(max(0, s.Bounds.LeaveTimeout-requestTransitTime)), pool.WithFleetSize(n.borrower.ReportedFleet))
+	n.borrower.SetFleetSize(0)
+	n.pool = pool.New(s.AvailabilityZone, pool.WithLeaveGrace(max(0, s.Bounds.LeaveTimeout-requestTransitTime)), pool.WithFleetSize(n.borrower.ReportedFleetSize))
 	n.accounts = account.New(s.PeerAddress, tolerance)
 	n.backendClient = httpconn.NewPool()
 	backend := platform.NewBackendClient(n.backendClient)
 	l := lease.New(lease.DefaultTiming(s.Bounds.BetweenHolders, s.Bounds.FencesChecked))
 	n.lease = leaseAdapter{l}
 	n.elector = lease.NewElector(n.store, platform.LeaseTopic, l, s.PeerAddress, lease.WithLogger(n.logger),
-		lease.WithCheckpointer(n.checkpointer(context.Background())), lease.WithFleetSize(n.borrower.ReportedFleet), lease.WithLinkMbps(s.LinkMbps), lease.WithOnElected(n.onElected))
+		lease.WithCheckpointer(n.checkpointer(context.Background())), lease.WithFleetSize(n.borrower.ReportedFleetSize), lease.WithLinkMbps(s.LinkMbps), lease.WithOnElected(n.onElected))
 	n.planner = planner.New(string(s.ID), tolerance, backend, n.lease, n.loop,
 		planner.WithLogger(n.logger), planner.WithOrderObserver(n.metrics.countOrder))
 	n.catalogSource = newCatalogSource(n.logger)
@@ -170,7 +170,7 @@
 		MaxCatalogAge: b.KeyLife - authorisationMargin,
 		RetryRatio:    b.RetryRatio,
 		RetrySlack:    b.RetrySlack,
-		FleetSize:     n.borrower.Fleet,
+		FleetSize:     n.borrower.FleetSize,
 		Draining:      n.draining.Load,
 	}, gateway.Dependencies{
 		CatalogSource: n.catalogSource,
--- a/node/quotas.go
+++ b/node/quotas.go
@@ -25,7 +25,7 @@
 // Take charges an organisation locally. It returns false if another instance has to be asked.
 func (q quotas) Take(now time.Time, o galenastair.Organisation, cost float64) bool {
 	if q.accounts.Table().Version != 0 {
-		return !q.accounts.HasQuota(o)
+		return !q.accounts.IsLimited(o)
 	}
 	return q.Borrower.Take(now, o, cost)
 }
@@ -75,7 +75,7 @@
 
 // RetryAfter estimates the time until an organisation over its quota can send a request again.
 func (q quotas) RetryAfter(o galenastair.Organisation, cost float64) time.Duration {
-	if q.ReportedFleet() == 0 {
+	if q.ReportedFleetSize() == 0 {
 		return ownerDiscoveryTime
 	}
 	return max(q.accounts.RetryAfter(boottime.Now(), o), q.Borrower.RetryAfter(o, cost))
--- a/node/status.go
+++ b/node/status.go
@@ -42,7 +42,7 @@
 		Ready:            true,
 		Leader:           n.elector.Leader(),
 		IsLeader:         n.lease.Holds(),
-		FleetSize:        n.borrower.Fleet(),
+		FleetSize:        n.borrower.FleetSize(),
 		InFallback:       n.borrower.InFallback(),
 		BackendServers:   n.pool.States(time.Now()),
 	}
--- a/node/tails.go
+++ b/node/tails.go
@@ -53,7 +53,7 @@
 		from, reported := r.Positions[f.topic]
 		age, known := f.follower.Age()
 		if reported && known {
-			update.Tails = append(update.Tails, s.assignSource(r, update.QuotaAllocation.Fleet, f.tailFrom(from, age)))
+			update.Tails = append(update.Tails, s.assignSource(r, update.QuotaAllocation.FleetSize, f.tailFrom(from, age)))
 		}
 	}
 	return update, nil
--- a/node/tails_test.go
+++ b/node/tails_test.go
@@ -54,7 +54,7 @@
 	}, lease.NewElector(nil, platform.LeaseTopic, lease.New(lease.Timing{}), "me"), nil, nil}
 	update, err := peers.Exchange(ctx, planner.Report{Instance: "i", Positions: map[galenastair.Topic]galenastair.Offset{platform.ConfigurationTopic: 0}})
 	is.NoErr(err)
-	is.Equal(update.QuotaAllocation.Fleet, 0)
+	is.Equal(update.QuotaAllocation.FleetSize, 0)
 	is.Equal(len(update.Tails), 1)
 	cancel()
 	<-followerDone
--- a/peer/planning/standing.go
+++ b/peer/planning/standing.go
@@ -9,7 +9,7 @@
 )
 
 func encodeContribution(out *planningpb.ExchangeRequest, p quota.Contribution) {
-	out.Fleet = uint32(p.Fleet)
+	out.Fleet = uint32(p.FleetSize)
 	out.Part = float64(p.Fraction)
 	out.PassedUs = uint64(p.Elapsed.Microseconds())
 	out.Version = p.Version
@@ -20,11 +20,11 @@
 
 func decodeContribution(r *planningpb.ExchangeRequest) quota.Contribution {
 	p := quota.Contribution{
-		Fleet:    int(r.Fleet),
-		Fraction: quota.Fraction(r.Part),
-		Elapsed:  time.Duration(r.PassedUs) * time.Microsecond,
-		Version:  r.Version,
-		Advanced: make(map[galenastair.Organisation]time.Duration, len(r.Advanced)),
+		FleetSize: int(r.Fleet),
+		Fraction:  quota.Fraction(r.Part),
+		Elapsed:   time.Duration(r.PassedUs) * time.Microsecond,
+		Version:   r.Version,
+		Advanced:  make(map[galenastair.Organisation]time.Duration, len(r.Advanced)),
 	}
 	for _, a := range r.Advanced {
 		p.Advanced[galenastair.Organisation(a.Organisation)] = time.Duration(a.TimeUs) * time.Microsecond
@@ -33,7 +33,7 @@
 }
 
 func encodeAllocation(out *planningpb.ExchangeReply, s quota.Allocation) {
-	out.Fleet = uint32(s.Fleet)
+	out.Fleet = uint32(s.FleetSize)
 	out.Part = float64(s.Fraction)
 	out.Version = s.Version
 	for _, o := range s.LowUsage {
@@ -42,7 +42,7 @@
 }
 
 func decodeAllocation(r *planningpb.ExchangeReply) quota.Allocation {
-	s := quota.Allocation{Fleet: int(r.Fleet), Fraction: quota.Fraction(r.Part), Version: r.Version}
+	s := quota.Allocation{FleetSize: int(r.Fleet), Fraction: quota.Fraction(r.Part), Version: r.Version}
 	for _, o := range r.Moderate {
 		s.LowUsage = append(s.LowUsage, galenastair.Organisation(o))
 	}
--- a/place/order.go
+++ b/place/order.go
@@ -31,9 +31,9 @@
 type ownOrder struct {
 	order galenastair.Order
 	// unrecorded is set for an order to an engine that checks fences. Other orders have a
-	// record, whose verdict is delivered to verdict.
-	unrecorded bool
-	verdict    chan ledger.Verdict
+	// record, whose result is delivered to applyResult.
+	unrecorded  bool
+	applyResult chan ledger.ApplyResult
 	// sentAt is when a send ended without an answer.
 	sentAt time.Time
 	// ended is the reason why no copy of the order can arrive any more; empty until then.
@@ -161,8 +161,8 @@
 	}
 	// An append whose answer was lost may have succeeded, so only reading back decides.
 	select {
-	case v := <-o.verdict:
-		if v == ledger.Valid {
+	case v := <-o.applyResult:
+		if v == ledger.Applied {
 			return nil
 		}
 		err = errNotReadBack
@@ -196,7 +196,7 @@
 		l.ledger.AddUnrecorded(l.clock.Now(), o)
 		return &ownOrder{order: o, unrecorded: true}, nil
 	}
-	own := &ownOrder{order: o, verdict: make(chan ledger.Verdict, 1)}
+	own := &ownOrder{order: o, applyResult: make(chan ledger.ApplyResult, 1)}
 	l.ownOrders[o.ID] = own
 	return own, nil
 }
@@ -293,35 +293,35 @@
 }
 
 func (l *Leader) applyRecord(now time.Time, rec galenastair.Record, leader ledger.Leader) {
-	verdict := l.ledger.Apply(now, rec, leader)
+	result := l.ledger.Apply(now, rec, leader)
 	switch rec.Kind {
 	case ledger.KindIssued:
 		var body ledger.Issued
 		if json.Unmarshal(rec.Body, &body) != nil {
 			return
 		}
-		l.deliverVerdict(rec, body.Order, verdict)
+		l.deliverResult(rec, body.Order, result)
 	case ledger.KindSettled:
 		var body ledger.Settled
-		if json.Unmarshal(rec.Body, &body) == nil && verdict == ledger.Valid {
+		if json.Unmarshal(rec.Body, &body) == nil && result == ledger.Applied {
 			delete(l.ownOrders, body.Order)
 		}
 	}
 }
 
-// deliverVerdict passes a record's verdict to the task that waits for it. A valid record of this
-// instance without a waiting task arrived late: its order was abandoned and is never sent.
-func (l *Leader) deliverVerdict(rec galenastair.Record, o galenastair.Order, v ledger.Verdict) {
+// deliverResult passes a record's result to the task that waits for it. A record of this instance
+// that took effect without a waiting task arrived late: its order was abandoned and is never sent.
+func (l *Leader) deliverResult(rec galenastair.Record, o galenastair.Order, v ledger.ApplyResult) {
 	own := l.ownOrders[o.ID]
-	if own == nil && v == ledger.Valid && rec.Author == string(l.self) {
+	if own == nil && v == ledger.Applied && rec.Author == string(l.self) {
 		l.ownOrders[o.ID] = &ownOrder{order: o, ended: ledger.NeverSent}
 		return
 	}
-	if own == nil || own.verdict == nil {
+	if own == nil || own.applyResult == nil {
 		return
 	}
 	select {
-	case own.verdict <- v:
+	case own.applyResult <- v:
 	default:
 	}
 }
--- a/planner/owners.go
+++ b/planner/owners.go
@@ -24,7 +24,7 @@
 	if p.ownersDecided || !p.lender.FleetCounted(now) {
 		return
 	}
-	p.hasOwners = p.lender.Fleet(now) > maxLendingFleet
+	p.hasOwners = p.lender.FleetSize(now) > maxLendingFleet
 	p.ownersDecided = true
 }
 
--- a/quota/lender.go
+++ b/quota/lender.go
@@ -101,10 +101,10 @@
 // been counted the allocation has no fleet size, which leaves the instance's fraction unchanged.
 func (l *Lender) Contribute(now time.Time, id galenastair.InstanceID, c Contribution) Allocation {
 	l.expireInstances(now)
-	l.knownFleet = max(l.knownFleet, c.Fleet)
+	l.knownFleet = max(l.knownFleet, c.FleetSize)
 	l.instances[id] = instanceState{now, c.Fraction, c.Fraction}
-	fleet := l.Fleet(now)
-	if c.Fleet == 0 {
+	fleet := l.FleetSize(now)
+	if c.FleetSize == 0 {
 		c.Fraction = equalFraction(fleet)
 	}
 	l.addContribution(now, c)
@@ -113,7 +113,7 @@
 	}
 	fraction := l.allocate(now, id)
 	l.instances[id] = instanceState{now, c.Fraction, fraction}
-	return l.withLowUsage(c, Allocation{Fleet: fleet, Fraction: fraction})
+	return l.withLowUsage(c, Allocation{FleetSize: fleet, Fraction: fraction})
 }
 
 // FleetCounted reports whether enough of the term has passed to know the number of instances.
@@ -142,7 +142,7 @@
 // fractions together exceed the whole for as long as the partition lasts. Therefore a new instance
 // gets only what the others do not hold until each of them has exchanged with the lender.
 func (l *Lender) allocate(now time.Time, id galenastair.InstanceID) Fraction {
-	fleet := l.Fleet(now)
+	fleet := l.FleetSize(now)
 	held := Fraction(fleet-len(l.instances)) * equalFraction(l.knownFleet)
 	for other, h := range l.instances {
 		if other != id {
@@ -160,8 +160,8 @@
 	}
 }
 
-// Fleet returns the number of instances, as far as it is known.
-func (l *Lender) Fleet(now time.Time) int {
+// FleetSize returns the number of instances, as far as it is known.
+func (l *Lender) FleetSize(now time.Time) int {
 	if now.Sub(l.termStart) < instanceTimeout {
 		// instances that have not exchanged yet in this term may still hold a fraction
 		return max(len(l.instances), l.knownFleet)
--- a/quota/part.go
+++ b/quota/part.go
@@ -18,8 +18,8 @@
 type Contribution struct {
 	Elapsed  time.Duration
 	Fraction Fraction
-	// Fleet is the number of instances that it knows of; 0 if it has not been told.
-	Fleet int
+	// FleetSize is the number of instances that it knows of; 0 if it has not been told.
+	FleetSize int
 	// Advanced is how much of the elapsed time was already granted in advance.
 	Advanced map[galenastair.Organisation]time.Duration
 	// Version is that of the low-usage list that the instance has.
@@ -28,9 +28,9 @@
 
 // Allocation is the lender's answer to a contribution.
 type Allocation struct {
-	// Fleet is the number of instances; 0 leaves fleet size and fraction unchanged.
-	Fleet    int
-	Fraction Fraction
+	// FleetSize is the number of instances; 0 leaves fleet size and fraction unchanged.
+	FleetSize int
+	Fraction  Fraction
 	// LowUsage lists all low-usage organisations, if Version differs from the instance's own.
 	LowUsage []galenastair.Organisation
 	Version  int64
--- a/quota/pass.go
+++ b/quota/pass.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// SetFleet sets the number of instances when this one holds no fraction of the quotas.
-func (b *Borrower) SetFleet(fleet int) {
+// SetFleetSize sets the number of instances when this one holds no fraction of the quotas.
+func (b *Borrower) SetFleetSize(fleet int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fleet, b.fraction = fleet, 0
@@ -48,7 +48,7 @@
 func (b *Borrower) TakeContribution(now time.Time) Contribution {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c := Contribution{Fleet: b.fleet, Fraction: b.fraction, Version: b.version}
+	c := Contribution{FleetSize: b.fleet, Fraction: b.fraction, Version: b.version}
 	if !b.fallback && !b.contributedUntil.IsZero() {
 		c.Elapsed = max(0, now.Sub(b.contributedUntil))
 		c.Advanced = b.advancedSinceContribution(now)
@@ -78,8 +78,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.lenderAnswered = now
-	if allocation.Fleet > 0 {
-		b.fleet, b.fraction, b.allocated = allocation.Fleet, allocation.Fraction, true
+	if allocation.FleetSize > 0 {
+		b.fleet, b.fraction, b.allocated = allocation.FleetSize, allocation.Fraction, true
 	}
 	if allocation.Version != b.version {
 		b.version = allocation.Version
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -277,7 +277,7 @@
 	is := is.New(t)
 	s := NewBorrower(tolerance)
 	s.SetContracts(start, contract(50000, 50000))
-	s.SetAllocation(start, Allocation{Fleet: 1, Fraction: 1})
+	s.SetAllocation(start, Allocation{FleetSize: 1, Fraction: 1})
 	s.AddLoan(start, "org", 20000)
 	s.SetContracts(start, contract(1000, 1000))
 	is.True(!s.Take(start, "org", 2000))
@@ -292,7 +292,7 @@
 	before := f.lender.accounts["org"].level
 	f.borrowers[0].AddLoan(f.now, "org", f.lender.LendExact(f.now, LoanRequest{"org", 5000}))
 	f.now = f.now.Add(loanTTL)
-	f.borrowers[0].SetAllocation(f.now, Allocation{Fleet: 1, Fraction: 1})
+	f.borrowers[0].SetAllocation(f.now, Allocation{FleetSize: 1, Fraction: 1})
 	is.True(!f.borrowers[0].Take(f.now, "org", 5000))
 	f.exchange(0)
 	is.True(f.lender.accounts["org"].level >= before)
--- a/quota/restart_test.go
+++ b/quota/restart_test.go
@@ -148,14 +148,14 @@
 	for s.Take(now, "org", 100) {
 	}
 	now = now.Add(advancePeriod + time.Second)
-	s.SetAllocation(now, Allocation{Fleet: 1, Fraction: 1})
+	s.SetAllocation(now, Allocation{FleetSize: 1, Fraction: 1})
 	now = start.Add(tolerance.Window - time.Second)
-	s.SetAllocation(now, Allocation{Fleet: 1, Fraction: 1})
+	s.SetAllocation(now, Allocation{FleetSize: 1, Fraction: 1})
 	s.ReportLenderUnavailable(now)
 	is.True(!s.Take(now, "org", 100))
 	// one window later the reserve is available again
 	now = start.Add(tolerance.Window + time.Second)
-	s.SetAllocation(now, Allocation{Fleet: 1, Fraction: 1})
+	s.SetAllocation(now, Allocation{FleetSize: 1, Fraction: 1})
 	s.ReportLenderUnavailable(now)
 	is.True(s.Take(now, "org", 100))
 }
@@ -172,7 +172,7 @@
 		s.Restore(now, "a", Checkpoint{Instances: []galenastair.InstanceID{"a"}}, true)
 		s.ReportLenderUnavailable(now)
 		now = now.Add(2 * time.Second)
-		s.SetAllocation(now, Allocation{Fleet: 1, Fraction: 1})
+		s.SetAllocation(now, Allocation{FleetSize: 1, Fraction: 1})
 		is.Equal(s.Take(now.Add(after), "org", 1000), after < lenderWarmup)
 	}
 }
@@ -186,7 +186,7 @@
 	now := start
 	s := NewBorrower(tolerance)
 	s.SetContracts(now, contract(rate, rate))
-	s.SetAllocation(now, Allocation{Fleet: 2, Fraction: 0.5})
+	s.SetAllocation(now, Allocation{FleetSize: 2, Fraction: 0.5})
 	own := func() float64 {
 		s.ReportLenderUnavailable(now)
 		s.Take(now, "org", 1)
@@ -199,7 +199,7 @@
 	s.SetAllocation(now, Allocation{})
 	now = now.Add(time.Second)
 	is.Equal(own(), spent)
-	s.SetAllocation(now, Allocation{Fleet: 2, Fraction: 0.5})
+	s.SetAllocation(now, Allocation{FleetSize: 2, Fraction: 0.5})
 	now = now.Add(time.Second)
 	is.Equal(own(), whole)
 }
--- a/quota/share.go
+++ b/quota/share.go
@@ -144,8 +144,8 @@
 	a.loanExpires = now.Add(life)
 }
 
-// Fleet returns the number of instances, or defaultFleet if it is not known.
-func (b *Borrower) Fleet() int {
+// FleetSize returns the number of instances, or defaultFleet if it is not known.
+func (b *Borrower) FleetSize() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.fleet == 0 {
@@ -154,9 +154,9 @@
 	return b.fleet
 }
 
-// ReportedFleet returns the number of instances that a lender or a checkpoint has named; 0 if none
-// has.
-func (b *Borrower) ReportedFleet() int {
+// ReportedFleetSize returns the number of instances that a lender or a checkpoint has named; 0 if
+// none has.
+func (b *Borrower) ReportedFleetSize() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.fleet
--- a/ratelimit/shares.go
+++ b/ratelimit/shares.go
@@ -14,9 +14,9 @@
 
 // Position is an instance's position among those that share the rates.
 type Position struct {
-	// Index counts from 0. Fleet is the number of instances; 0 if it is not known.
-	Index int
-	Fleet int
+	// Index counts from 0. FleetSize is the number of instances; 0 if it is not known.
+	Index     int
+	FleetSize int
 }
 
 // FallbackLimiter admits requests by an instance's own fraction of each rate while the leader does
@@ -64,16 +64,16 @@
 // Admit grants a request on this instance's turn; ReportUnreachable must have been called
 // before.
 func (f *FallbackLimiter) Admit(now time.Time, limit Limit, position Position) Decision {
-	if position.Fleet == 0 || limit.PerSecond <= 0 {
+	if position.FleetSize == 0 || limit.PerSecond <= 0 {
 		return Decision{Delay: time.Second}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	turn := seconds(1 / limit.PerSecond)
-	period := time.Duration(position.Fleet) * turn
+	period := time.Duration(position.FleetSize) * turn
 	next, ok := f.nextTurns[limit.Server]
 	if !ok {
-		before := (position.Index + startOffset(limit.Server)) % position.Fleet
+		before := (position.Index + startOffset(limit.Server)) % position.FleetSize
 		next = f.unreachableSince.Add(time.Duration((float64(before) + f.rng.Float64()) * float64(turn)))
 	}
 	if missed := now.Sub(next) - maxSavedTurns*turn; missed >= 0 {
--- a/request/fake_test.go
+++ b/request/fake_test.go
@@ -57,7 +57,7 @@
 
 type fakeLease struct{ lapsed bool }
 
-func (l *fakeLease) Holds(time.Time) bool { return !l.lapsed }
+func (l *fakeLease) HoldsLease(time.Time) bool { return !l.lapsed }
 
 type fakeLimiter struct{ charged, used galenastair.Tokens }
 
--- a/request/port.go
+++ b/request/port.go
@@ -22,7 +22,7 @@
 
 // Lease reports whether this instance holds a valid membership lease.
 type Lease interface {
-	Holds(now time.Time) bool
+	HoldsLease(now time.Time) bool
 }
 
 // Limiter charges organisations for their requests before they are sent.
--- a/request/server.go
+++ b/request/server.go
@@ -121,7 +121,7 @@
 // while the request was queued, or the process may have been paused until after its
 // lease expired.
 func (s *Server) authorise(key galenastair.KeyHash) (principal, error) {
-	if !s.lease.Holds(s.clock.Now()) {
+	if !s.lease.HoldsLease(s.clock.Now()) {
 		return principal{}, galenastair.NewRefusal(galenastair.ErrNotMember, notMemberRetryAfter, "")
 	}
 	// Instances that are partitioned from the log and the other instances would
--- a/route/router.go
+++ b/route/router.go
@@ -94,10 +94,10 @@
 	}
 }
 
-// CacheEvents applies an engine's additions to and evictions from its prefix cache. Lost
+// ApplyCacheEvents applies an engine's additions to and evictions from its prefix cache. Lost
 // events need no handling: the index is an estimate that requests update and whose old
 // entries are deleted.
-func (r *Router) CacheEvents(id galenastair.BackendServerID, events []galenastair.CacheEvent) {
+func (r *Router) ApplyCacheEvents(id galenastair.BackendServerID, events []galenastair.CacheEvent) {
 	s := r.servers[id]
 	if s == nil {
 		return
--- a/route/router_test.go
+++ b/route/router_test.go
@@ -237,10 +237,10 @@
 func TestIndexEvictsPrefixes(t *testing.T) {
 	is := is.New(t)
 	r := newTestRouter(2, "m")
-	r.CacheEvents(id(0), []galenastair.CacheEvent{{Model: "m", Prefix: 7}})
+	r.ApplyCacheEvents(id(0), []galenastair.CacheEvent{{Model: "m", Prefix: 7}})
 	_, n := r.index.longest([]uint64{7})
 	is.Equal(n, 1)
-	r.CacheEvents(id(0), []galenastair.CacheEvent{{Model: "m", Prefix: 7, Evicted: true}})
+	r.ApplyCacheEvents(id(0), []galenastair.CacheEvent{{Model: "m", Prefix: 7, Evicted: true}})
 	_, n = r.index.longest([]uint64{7})
 	is.Equal(n, 0)
 	for h := range uint64(3 * maxGenerationSize) {
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -35,7 +35,7 @@
 	KeyLife time.Duration
 	// StopTimeout is the time from the signal to stop to the end of the process.
 	StopTimeout time.Duration
-	// BetweenHolders is the minimum time between the orders of two successive planners.
+	// BetweenHolders is the minimum time between the orders of two successive leaders.
 	BetweenHolders time.Duration
 	// FencesChecked reports whether engines reject an order with an old fencing token.
 	FencesChecked bool
--- a/standin/platform/doc.go
+++ b/standin/platform/doc.go
@@ -3,7 +3,7 @@
 // galenastair/logservice calls, and in addition:
 //
 //	GET, POST /switches   Faults; a POST changes only the fields in its body
-//	POST      /loads      galenastair.Weight; responds when the load has finished
+//	POST      /loads      galenastair.ModelWeights; responds when the load has finished
 //	GET       /loads      LoadStats
 //
 // All state is in memory. Time is the system clock.
