--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -40,7 +40,7 @@
 	defer cancel(context.Canceled)
 	stop := r.cancelIfSilent(cancel, choice)
 	defer stop()
-	resp, err := r.g.backend.Call(ctx, choice.Address, r.backendCall(choice, now))
+	resp, err := r.g.backend.Call(ctx, choice.Address, r.backendRequest(choice, now))
 	if err != nil {
 		return r.handleFailure(ctx, attempt, err)
 	}
@@ -63,7 +63,7 @@
 	return r.forwardStream(ctx, attempt, resp, stop)
 }
 
-func (r *activeRequest) backendCall(choice pool.Choice, now time.Time) galenastair.BackendRequest {
+func (r *activeRequest) backendRequest(choice pool.Choice, now time.Time) galenastair.BackendRequest {
 	c := galenastair.BackendRequest{
 		ID:             r.req.ID,
 		Method:         r.req.Method,
--- a/route/window.go
+++ b/route/window.go
@@ -110,9 +110,9 @@
 // budget for control traffic allows. With reports alone the window grew by one slot in that
 // time: at 1,000 short requests per second, an instance made most of them wait for 250 ms and
 // refused one in eight while the engine was idle. Until its first multiplicative decrease the
-// window doubles within the time of one response; after it, the window grows by one slot in that time. Above
-// growthInterTokenLatency only reports increase the window, because a batch that is too large
-// shows only in responses that end seconds later.
+// window doubles within the time of one response; after it, the window grows by one slot in
+// that time. Above growthInterTokenLatency only reports increase the window, because a batch
+// that is too large shows only in responses that end seconds later.
 func (w *window) applyFirstToken(took, expected, latency time.Duration) {
 	if !w.exhausted || took > queuedFirstTokenFactor*expected || latency > growthInterTokenLatency {
 		return
