--- a/proof/check_caller.go
+++ b/proof/check_caller.go
@@ -71,7 +71,7 @@
 		if r.Start.Sub(c.End) > b.AdmissionAfterWithdrawal {
 			res.violationf("%s was served by %s although it was sent %s after its key was withdrawn", r.ID, r.Entry, r.Start.Sub(c.End))
 		}
-		if r.Whole && r.End.Sub(c.End) > b.StreamAfterWithdrawal {
+		if r.Complete && r.End.Sub(c.End) > b.StreamAfterWithdrawal {
 			res.violationf("%s was streamed through %s until %s after its key was withdrawn", r.ID, r.Entry, r.End.Sub(c.End))
 		}
 	}
@@ -173,10 +173,10 @@
 			continue
 		}
 		res.Checks++
-		if r.Whole && !r.Correct {
+		if r.Complete && !r.Correct {
 			res.violationf("%s through %s got a complete answer that was not the expected one", r.ID, r.Entry)
 		}
-		if !r.Whole {
+		if !r.Complete {
 			truncated++
 		}
 	}
--- a/proof/check_test.go
+++ b/proof/check_test.go
@@ -19,7 +19,7 @@
 func servedRequest(id galenastair.RequestID, start, end float64) Request {
 	return Request{
 		ID: id, Organisation: "Furnir", Entry: "entry-1", Model: "m", Start: at(start), End: at(end),
-		Status: 200, Outcome: galenastair.OutcomeRan, Whole: true, Correct: true, Tokens: 100,
+		Status: 200, Outcome: galenastair.OutcomeRan, Complete: true, Correct: true, Tokens: 100,
 	}
 }
 
@@ -59,7 +59,7 @@
 		},
 		AnswersComplete: {
 			History{Requests: []Request{servedRequest("a", 0, 1)}},
-			History{Requests: []Request{{ID: "a", Status: 200, Whole: true}}},
+			History{Requests: []Request{{ID: "a", Status: 200, Complete: true}}},
 		},
 		NotRunAccurate: {
 			History{Requests: []Request{notRun}, Runs: []journal.Entry{{Request: "other"}}},
--- a/proof/history.go
+++ b/proof/history.go
@@ -25,11 +25,11 @@
 	Outcome        galenastair.Outcome
 	Code           galenastair.Code
 	RetryAfter     string
-	// Whole is set if the answer arrived with its end marker, Correct if every token
+	// Complete is set if the answer arrived with its end marker, Correct if every token
 	// was the expected one.
-	Whole   bool
-	Correct bool `json:"Right"`
-	Tokens  galenastair.Tokens
+	Complete bool `json:"Whole"`
+	Correct  bool `json:"Right"`
+	Tokens   galenastair.Tokens
 	// ConnectionRefused is set if no connection was made, ConnectionBroken if the
 	// connection ended without a complete answer or an error response.
 	ConnectionRefused bool `json:"Refused"`
@@ -37,7 +37,7 @@
 }
 
 // served reports whether the caller got a complete answer.
-func (r Request) served() bool { return r.Status == 200 && r.Whole }
+func (r Request) served() bool { return r.Status == 200 && r.Complete }
 
 // Fault is one fault that was injected. Err is set if it could not be
 // injected or ended.
--- a/proof/traffic.go
+++ b/proof/traffic.go
@@ -184,7 +184,7 @@
 		r.Outcome = galenastair.OutcomeUnknown
 		return response{r, ""}
 	}
-	r.Status, r.Outcome, r.Code, r.RetryAfter, r.Whole = a.Status, a.Outcome, a.Code, a.RetryAfter, a.Complete
+	r.Status, r.Outcome, r.Code, r.RetryAfter, r.Complete = a.Status, a.Outcome, a.Code, a.RetryAfter, a.Complete
 	r.Tokens = a.Usage.PromptTokens + a.Usage.CompletionTokens
 	return response{r, a.Text}
 }
