--- a/planner/doc.go
+++ b/planner/doc.go
@@ -1,7 +1,7 @@
 // Package planner decides which models and adapters each model engine holds, following demand. It
 // is active only while this instance holds the lease. Every instance reports its demand and its
 // in-flight load; the planner runs a few rounds per second and sends each engine its orders one at
-// a time.
+// a time. place.Planner decides which models to load and unload, and this package which adapters.
 //
 // The models loaded on an engine are read from its registration, and orders whose effect the
 // registration cannot show yet are added. Where the two disagree, memory and adapter slots are
